--- a/crates/control/src/config/mod.rs
+++ b/crates/control/src/config/mod.rs
@@ -1,12 +1,12 @@
 //! The configuration in force on this node: followed in the table and over peers.
 //!
 //! [`state`] and [`standing`] decide and do no input or output; [`keeper`] owns them in one task;
-//! [`follow`] polls the table; [`load`] reads what is missing; [`snapshot`] writes snapshots and
+//! [`poll`] polls the table; [`load`] reads what is missing; [`snapshot`] writes snapshots and
 //! compacts the change log.
 
-pub mod follow;
 pub mod keeper;
 pub mod load;
+pub mod poll;
 pub mod snapshot;
 pub mod standing;
 pub mod state;
@@ -15,8 +15,8 @@
 
 use serde::Deserialize;
 
-pub use follow::{ConfigFollower, follow_config};
 pub use keeper::{ConfigHandle, ConfigKeeper, ConfigLesson, ConfigNews, HeadConfirmation};
+pub use poll::{ConfigPoller, poll_config};
 pub use standing::{NodeStanding, StandingFacts, StandingRule};
 pub use state::{ConfigSnapshot, ConfigState};
 
--- a/crates/control/src/config/follow.rs
+++ b/crates/control/src/config/poll.rs
@@ -17,7 +17,7 @@
 
 /// Follows the head and brings the node up to it.
 #[derive(Debug, Clone, bon::Builder)]
-pub struct ConfigFollower<T, O> {
+pub struct ConfigPoller<T, O> {
     table: T,
     objects: O,
     keeper: ConfigHandle,
@@ -35,26 +35,26 @@
 
 /// Polls the head until the task is dropped.
 ///
-/// The pauses are spread, also after a failure: 410 nodes that all come back at the moment at
+/// The pauses are jittered, also after a failure: 410 nodes that all come back at the moment at
 /// which the store returns would otherwise take it down again.
-pub async fn follow_config<T: TableStore, O: ObjectStore>(follower: ConfigFollower<T, O>) {
+pub async fn poll_config<T: TableStore, O: ObjectStore>(follower: ConfigPoller<T, O>) {
     let mut known = None;
     let mut published = ConfigRevision(0);
     loop {
         // The next poll repeats it, and the circuit of the table tells when the store is down.
         log_skipped("poll configuration", follower.poll(&mut known).await);
         follower.tend_snapshots(&mut published).await;
-        tokio::time::sleep(spread(follower.settings.poll())).await;
+        tokio::time::sleep(jittered(follower.settings.poll())).await;
     }
 }
 
 /// A pause between half and one and a half of its mean.
 #[must_use]
-pub fn spread(mean: Duration) -> Duration {
+pub fn jittered(mean: Duration) -> Duration {
     mean.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-impl<T: TableStore, O: ObjectStore> ConfigFollower<T, O> {
+impl<T: TableStore, O: ObjectStore> ConfigPoller<T, O> {
     async fn poll(&self, known: &mut Option<KnownHead>) -> Result<(), StoreError> {
         let as_of = Instant::now();
         let read = self
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -38,7 +38,7 @@
 ///
 /// The list goes on standing when it can't be read. With a conditional read every second, 410
 /// nodes ask 410 times a second and get the 225 KB of 1,500 hosts only when something changed.
-pub async fn follow_hosts<L: HostListPort>(
+pub async fn poll_hosts<L: HostListPort>(
     list: L,
     sender: watch::Sender<Arc<HostDirectory>>,
     period: Duration,
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -21,7 +21,7 @@
 
 /// What the targets are put together from.
 #[derive(Debug, Clone)]
-pub struct FleetInputs {
+pub struct TargetInputs {
     /// The replicas.
     pub plans: watch::Receiver<Arc<FleetPlans>>,
     /// The hosts.
@@ -31,8 +31,8 @@
 }
 
 /// Publishes the targets at each change and each new evidence; runs until it is dropped.
-pub async fn follow_fleet(
-    mut inputs: FleetInputs,
+pub async fn publish_targets(
+    mut inputs: TargetInputs,
     evidence_store: EvidenceStore,
     views: watch::Sender<Arc<TargetView>>,
 ) {
@@ -63,7 +63,7 @@
 }
 
 impl FleetIndex {
-    fn rebuild(&mut self, inputs: &mut FleetInputs, evidence_store: &EvidenceStore) {
+    fn rebuild(&mut self, inputs: &mut TargetInputs, evidence_store: &EvidenceStore) {
         let plans = Arc::clone(&inputs.plans.borrow_and_update());
         let directory = Arc::clone(&inputs.directory.borrow_and_update());
         let drains = DrainSet::new(&inputs.config.borrow_and_update());
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -16,11 +16,11 @@
 pub mod pause;
 pub mod plans;
 pub mod probe;
+pub mod prober;
 pub mod review;
 pub mod settings;
 pub mod token;
 pub mod view;
-pub mod wholeness;
 
 pub use amend::{AmendError, AmendOutcome, Expect, RecordAmendment, amend_record};
 pub use evidence_store::EvidenceStore;
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -8,7 +8,7 @@
     RowExpectation, StoreError, TableRow, TableStore, WriteBatch, keys, settled_commit,
 };
 
-use crate::config::follow::spread;
+use crate::config::poll::jittered;
 
 use super::{MemberBook, MemberRow, MemberSettings, SignSource};
 
@@ -36,7 +36,7 @@
             self.book.state().beat();
             // The next beat writes it again; peers go by the links meanwhile.
             log_skipped("write member row", self.write_row().await);
-            tokio::time::sleep(spread(self.settings.write())).await;
+            tokio::time::sleep(jittered(self.settings.write())).await;
         }
     }
 
@@ -45,7 +45,7 @@
         loop {
             self.book.state().beat();
             self.book.publish(Instant::now());
-            tokio::time::sleep(spread(self.settings.beat())).await;
+            tokio::time::sleep(jittered(self.settings.beat())).await;
         }
     }
 
@@ -60,7 +60,7 @@
             } else {
                 self.settings.beat()
             };
-            tokio::time::sleep(spread(pause)).await;
+            tokio::time::sleep(jittered(pause)).await;
         }
     }
 
--- a/crates/control/src/plans.rs
+++ b/crates/control/src/plans.rs
@@ -38,7 +38,7 @@
 
 /// Follows the table and publishes each change; runs until it is dropped. What was read last goes
 /// on standing while the table is away; evidence of wholeness decides on dispatch.
-pub async fn follow_plans<T: TableStore>(
+pub async fn poll_plans<T: TableStore>(
     table: T,
     sender: watch::Sender<Arc<FleetPlans>>,
     period: Duration,
--- a/crates/control/src/wholeness.rs
+++ b/crates/control/src/prober.rs
@@ -33,7 +33,7 @@
 /// Limits of the watch. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
-pub struct WatchSettings {
+pub struct ProbeSettings {
     /// Time between two probes of one replica by one watcher.
     #[builder(default = 1_000)]
     pub period_ms: u64,
@@ -52,7 +52,7 @@
     pub probes_at_once: usize,
 }
 
-impl Default for WatchSettings {
+impl Default for ProbeSettings {
     fn default() -> Self {
         Self::builder().build()
     }
@@ -60,7 +60,7 @@
 
 /// What the watch goes by.
 #[derive(Debug, Clone)]
-pub struct WatchInputs {
+pub struct ProbeInputs {
     /// This node.
     pub node: NodeId,
     /// The replicas.
@@ -81,11 +81,11 @@
 }
 
 /// Probes replicas and records what they report; runs until it is dropped.
-pub async fn follow_wholeness<E: EnginePort>(
-    mut inputs: WatchInputs,
+pub async fn probe_replicas<E: EnginePort>(
+    mut inputs: ProbeInputs,
     engine: E,
     evidence_store: EvidenceStore,
-    settings: WatchSettings,
+    settings: ProbeSettings,
 ) {
     let period = Duration::from_millis(settings.period_ms);
     let mut turns: FastMap<ReplicaId, ProbeTurn> = FastMap::default();
@@ -147,7 +147,7 @@
 }
 
 /// A replica in a new incarnation is asked at once: it serves nobody before it is seen whole.
-fn new_turn(plan: &ReplicaPlan, settings: WatchSettings) -> ProbeTurn {
+fn new_turn(plan: &ReplicaPlan, settings: ProbeSettings) -> ProbeTurn {
     let period = Duration::from_millis(settings.period_ms);
     let longest = Duration::from_millis(settings.longest_pause_ms);
     ProbeTurn {
@@ -184,7 +184,7 @@
     turn: &ProbeTurn,
     plan: &ReplicaPlan,
     evidence_store: &EvidenceStore,
-    settings: WatchSettings,
+    settings: ProbeSettings,
 ) -> bool {
     let now = Instant::now();
     if now < turn.due {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::housekeeping::HousekeepingSettings;
 use crate::lease::LeaseSettings;
 use crate::ledger::LedgerSettings;
-use crate::wholeness::WatchSettings;
+use crate::prober::ProbeSettings;
 
 /// Settings of control. Times are in milliseconds; everything has a default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
@@ -20,7 +20,7 @@
     pub assembly: AssemblySettings,
     /// Evidence of wholeness.
     #[builder(default)]
-    pub watch: WatchSettings,
+    pub watch: ProbeSettings,
     /// The ledger of non-idempotent calls.
     #[builder(default)]
     pub ledger: LedgerSettings,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use control::config::ConfigNews;
-use control::config::follow::spread;
+use control::config::poll::jittered;
 use domain::{ConfigRevision, NodeId};
 use events::{EventCode, EventRecorder, EventSubject};
 use h2::RecvStream;
@@ -94,7 +94,7 @@
             link.fetch_snapshot(parts).await?;
             behind = 0;
         }
-        let pause = tokio::time::sleep(spread(parts.settings.exchange()));
+        let pause = tokio::time::sleep(jittered(parts.settings.exchange()));
         tokio::select! {
             () = pause => {}
             () = parts.hub.wake.notified() => {}
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use control::config::follow::spread;
+use control::config::poll::jittered;
 use domain::{FastMap, FastSet, NodeId};
 use events::{EventCode, EventSubject};
 use tokio::task::{AbortHandle, JoinSet};
@@ -124,7 +124,7 @@
     /// A peer whose link failed is avoided for a while, and another takes its place: retried at
     /// once, a frozen peer would hold the place and a returning one be run over.
     fn note_end(&mut self, ended: LinkEnd, now: Instant) {
-        let until = now + spread(self.parts.settings.avoid());
+        let until = now + jittered(self.parts.settings.avoid());
         self.running.remove(&ended.place);
         let detail = format!("{:?}: {}", ended.place, ended.error);
         self.parts
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -151,7 +151,7 @@
     loop {
         book.state().beat();
         book.publish(Instant::now());
-        tokio::time::sleep(control::config::follow::spread(pause)).await;
+        tokio::time::sleep(control::config::poll::jittered(pause)).await;
     }
 }
 
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -11,7 +11,7 @@
 use control::lease::LeaseSettings;
 use control::ledger::LedgerSettings;
 use control::members::MemberSettings;
-use control::wholeness::WatchSettings;
+use control::prober::ProbeSettings;
 use domain::{DomainId, NodeId, RegionId};
 use entry::EntrySettings;
 use events::EventLevel;
@@ -59,7 +59,7 @@
     /// Assembly of replicas.
     pub assembly: AssemblySettings,
     /// Evidence that replicas are whole.
-    pub watch: WatchSettings,
+    pub watch: ProbeSettings,
     /// Claims of non-idempotent calls.
     pub ledger: LedgerSettings,
     /// Cleaning up.
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use control::assembly::{AssemblyParts, FirstHosts, SupervisorInputs, supervise_leases};
-use control::directory::{HostDirectory, follow_hosts};
-use control::fleet::{FleetInputs, follow_fleet};
+use control::directory::{HostDirectory, poll_hosts};
+use control::fleet::{TargetInputs, publish_targets};
 use control::members::MemberView;
-use control::plans::{FleetPlans, follow_plans};
-use control::wholeness::{WatchInputs, follow_wholeness};
+use control::plans::{FleetPlans, poll_plans};
+use control::prober::{ProbeInputs, probe_replicas};
 use domain::LeaseName;
 use events::{EventCode, EventRecorder, EventSubject};
 use platform::CircuitState;
@@ -60,28 +60,28 @@
     let replicas = watch::Sender::new(Arc::new(FleetPlans::default()));
     let plans = replicas.subscribe();
     let period = Duration::from_millis(settings.hosts_ms);
-    tokio::spawn(follow_hosts(context.list.clone(), hosts, period));
+    tokio::spawn(poll_hosts(context.list.clone(), hosts, period));
     let period = Duration::from_millis(settings.plans_ms);
-    tokio::spawn(follow_plans(context.table.clone(), replicas, period));
-    let inputs = WatchInputs {
+    tokio::spawn(poll_plans(context.table.clone(), replicas, period));
+    let inputs = ProbeInputs {
         node: context.settings.node.clone(),
         plans: plans.clone(),
         directory: directory.clone(),
         members: members.clone(),
     };
     let engine = context.engine.clone();
-    tokio::spawn(follow_wholeness(
+    tokio::spawn(probe_replicas(
         inputs,
         engine,
         context.evidence_store.clone(),
         settings.watch,
     ));
-    let inputs = FleetInputs {
+    let inputs = TargetInputs {
         plans,
         directory: directory.clone(),
         config: context.config_sender.subscribe(),
     };
-    tokio::spawn(follow_fleet(
+    tokio::spawn(publish_targets(
         inputs,
         context.evidence_store.clone(),
         context.target_sender.clone(),
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use control::EvidenceStore;
-use control::config::{ConfigFollower, ConfigHandle, ConfigKeeper, follow_config};
+use control::config::{ConfigHandle, ConfigKeeper, ConfigPoller, poll_config};
 use control::members::{Member, MemberBook, MemberKeeper, MemberState, MemberView};
 use eyre::WrapErr;
 use peers::{
@@ -122,7 +122,7 @@
     pub fn start(self, context: &NodeContext) -> eyre::Result<PeerTasks> {
         let settings = &context.settings;
         let key = shared_key(settings)?;
-        let follower = ConfigFollower::builder()
+        let follower = ConfigPoller::builder()
             .table(context.table.clone())
             .objects(context.objects.clone())
             .keeper(self.config.clone())
@@ -130,7 +130,7 @@
             .recorder(context.recorder.clone())
             .settings(settings.config)
             .build();
-        tokio::spawn(follow_config(follower));
+        tokio::spawn(poll_config(follower));
         tokio::spawn(self.members.clone().write_forever());
         tokio::spawn(self.members.clone().beat_forever());
         tokio::spawn(self.members.clone().list_forever());
