--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -224,7 +224,7 @@
             };
             let mut evidence = entry.evidence.clone();
             evidence.age = entry.age(now);
-            if plan.draining || !evidence.allows(plan, limit) {
+            if plan.draining || !evidence.allows_dispatch(plan, limit) {
                 continue;
             }
             let seen = now.checked_sub(evidence.age).unwrap_or(now);
--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -266,7 +266,7 @@
                 };
                 change.slots = self.assigned_slots(&plan, health)?;
                 change.census = Some(self.counted(&plan, 1));
-                change.fleet = Some(fleet.formed(plan)?);
+                change.fleet = Some(fleet.with_replica(plan)?);
             }
             AssemblyStep::Reform {
                 replica,
@@ -286,7 +286,7 @@
                 if old.draining {
                     change.census = Some(self.counted(&plan, 1));
                 }
-                change.fleet = Some(fleet.changed(plan)?);
+                change.fleet = Some(fleet.with_changed(plan)?);
             }
             AssemblyStep::Drain(replica, _) => change = self.drain_change(replica, true)?,
             AssemblyStep::Undrain(replica) => change = self.drain_change(replica, false)?,
@@ -295,7 +295,7 @@
                 if !old.draining {
                     change.census = Some(self.counted(old, -1));
                 }
-                change.fleet = Some(fleet.dissolved(replica)?);
+                change.fleet = Some(fleet.without_replica(replica)?);
             }
         }
         Ok(change)
@@ -309,7 +309,7 @@
         let by = if draining { -1 } else { 1 };
         Ok(RowChanges {
             census: Some(self.counted(&plan, by)),
-            fleet: Some(self.fleet.0.changed(plan)?),
+            fleet: Some(self.fleet.0.with_changed(plan)?),
             slots: Vec::new(),
         })
     }
--- a/crates/control/src/evidence_store.rs
+++ b/crates/control/src/evidence_store.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use domain::{FastMap, FastSet, ReplicaId, WholenessEvidence};
+use domain::{FastMap, FastSet, HealthEvidence, ReplicaId};
 use tokio::sync::watch;
 use wire::engine::EngineLoad;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub struct EvidenceEntry {
     /// The evidence; its age counts up to `received`.
-    pub evidence: WholenessEvidence,
+    pub evidence: HealthEvidence,
     /// When this node got it.
     pub received: Instant,
     /// Load of the leading host, where this node itself asked for it lately.
@@ -59,19 +59,19 @@
     }
 
     /// Takes in evidence from a peer, unless what is known is as new.
-    pub fn record(&self, evidence: WholenessEvidence) {
+    pub fn record(&self, evidence: HealthEvidence) {
         self.take(evidence, None, false);
     }
 
     /// Takes in what this node saw itself, unless what is known is as new.
-    pub fn record_report(&self, evidence: WholenessEvidence, load: Option<EngineLoad>) {
+    pub fn record_report(&self, evidence: HealthEvidence, load: Option<EngineLoad>) {
         self.take(evidence, load, true);
     }
 
     /// A higher incarnation beats a lower one, whatever their ages: the lower one comes from a
     /// watcher that has not read the newer plan. Within one incarnation the newer observation
     /// wins, compared by ages alone.
-    fn take(&self, evidence: WholenessEvidence, load: Option<EngineLoad>, own: bool) {
+    fn take(&self, evidence: HealthEvidence, load: Option<EngineLoad>, own: bool) {
         let now = Instant::now();
         let as_of = now.checked_sub(evidence.age).filter(|_| !own);
         let mut rows = self.rows();
@@ -113,13 +113,13 @@
 
     /// Up to `max` pieces of evidence, the youngest first, with their ages now.
     #[must_use]
-    pub fn export(&self, max: usize) -> Vec<WholenessEvidence> {
+    pub fn export(&self, max: usize) -> Vec<HealthEvidence> {
         let now = Instant::now();
-        let mut evidence: Vec<WholenessEvidence> = self
+        let mut evidence: Vec<HealthEvidence> = self
             .rows()
             .entries
             .values()
-            .map(|entry| WholenessEvidence {
+            .map(|entry| HealthEvidence {
                 age: entry.age(now),
                 ..entry.evidence.clone()
             })
--- a/crates/control/src/lease/keeper.rs
+++ b/crates/control/src/lease/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use domain::{LeaseTerm, NodeId, RowVersion};
+use domain::{LeaseRecord, NodeId, RowVersion};
 use events::{EventCode, EventRecorder, EventSubject, log_skipped};
 use platform::{
     CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch, keys,
@@ -139,7 +139,7 @@
         let now = Instant::now();
         match read {
             RowRead::Unchanged => {}
-            RowRead::Absent => self.tracker.observe(LeaseTerm::default(), None, now),
+            RowRead::Absent => self.tracker.observe(LeaseRecord::default(), None, now),
             RowRead::Found(row) => {
                 let term = serde_json::from_value(row.value)
                     .map_err(|error| StoreError::Malformed(error.to_string()))?;
@@ -182,7 +182,7 @@
 
     async fn next_epoch_row(
         &self,
-        term: &LeaseTerm,
+        term: &LeaseRecord,
     ) -> Result<(RowExpectation, EpochRow), StoreError> {
         let key = keys::epoch_key(self.tracker.name());
         let expect = match self.table.read(&key, None).await? {
@@ -199,7 +199,7 @@
     /// Writes the term over the version last seen; none when another node was faster.
     async fn write_term(
         &self,
-        term: &LeaseTerm,
+        term: &LeaseRecord,
         epoch: Option<(RowExpectation, EpochRow)>,
     ) -> Result<Option<RowVersion>, StoreError> {
         let malformed = |error: serde_json::Error| StoreError::Malformed(error.to_string());
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,6 +1,6 @@
 //! Leases: who may act for a fabric domain, and who for housekeeping.
 //!
-//! A lease has two rows. `lease/{name}` holds the [`domain::LeaseTerm`] and is written at every
+//! A lease has two rows. `lease/{name}` holds the [`domain::LeaseRecord`] and is written at every
 //! renewal. `lease-epoch/{name}` holds the epoch and is written only when the holder changes, in
 //! the same transaction as the take-over. Every transaction under a lease checks the version of
 //! the second row, so that a holder that was paused past its lease changes nothing in the table.
--- a/crates/control/src/lease/tracker.rs
+++ b/crates/control/src/lease/tracker.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use domain::{LeaseEpoch, LeaseName, LeaseTerm, NodeId, RowVersion};
+use domain::{LeaseEpoch, LeaseName, LeaseRecord, NodeId, RowVersion};
 use serde::{Deserialize, Serialize};
 
 use super::{LeaseGrant, LeasePlace, LeaseSettings};
@@ -31,16 +31,16 @@
     /// Nothing to write.
     Wait,
     /// Write this term over the row's version, whatever its age.
-    Renew(LeaseTerm),
+    Renew(LeaseRecord),
     /// Write this term and a new epoch row.
-    Take(LeaseTerm),
+    Take(LeaseRecord),
     /// Give the lease up with this term.
-    Release(LeaseTerm),
+    Release(LeaseRecord),
 }
 
 #[derive(Debug, Clone)]
 struct SeenTerm {
-    term: LeaseTerm,
+    term: LeaseRecord,
     version: Option<RowVersion>,
     since: Instant,
 }
@@ -104,7 +104,7 @@
     ///
     /// The time since which a term stands counts from the end of the read that first saw it, so
     /// that an observer's slow read never shortens the holder's time.
-    pub fn observe(&mut self, term: LeaseTerm, version: Option<RowVersion>, now: Instant) {
+    pub fn observe(&mut self, term: LeaseRecord, version: Option<RowVersion>, now: Instant) {
         let mine = term.holder.as_ref() == Some(&self.holder);
         let other_epoch = self
             .held
@@ -126,7 +126,7 @@
         if let Some(version) = version
             && mine
             && self.held.is_none()
-            && term.beat == 0
+            && term.renewals == 0
         {
             self.held = Some(HeldTerm {
                 epoch: term.epoch,
@@ -165,7 +165,7 @@
             return LeaseStep::Wait;
         }
         seen.term
-            .taken(&self.holder, waited, self.settings.ttl())
+            .acquired(&self.holder, waited, self.settings.ttl())
             .map_or(LeaseStep::Wait, LeaseStep::Take)
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Notes a take-over that took effect; `started` is the moment before it was sent.
-    pub fn note_taken(&mut self, term: LeaseTerm, version: RowVersion, started: Instant) {
+    pub fn note_taken(&mut self, term: LeaseRecord, version: RowVersion, started: Instant) {
         self.held = Some(HeldTerm {
             epoch: term.epoch,
             epoch_version: version,
@@ -210,7 +210,7 @@
 
     /// Notes a renewal that took effect; `started` is the moment before it was sent, because the
     /// store may have written it at once and answered late.
-    pub fn note_renewed(&mut self, term: LeaseTerm, version: RowVersion, started: Instant) {
+    pub fn note_renewed(&mut self, term: LeaseRecord, version: RowVersion, started: Instant) {
         let until = started + self.usable(&term);
         if let Some(held) = &mut self.held {
             held.valid_until = held.valid_until.max(until);
@@ -223,7 +223,7 @@
         self.held = None;
     }
 
-    fn note_row(&mut self, term: LeaseTerm, version: RowVersion, now: Instant) {
+    fn note_row(&mut self, term: LeaseRecord, version: RowVersion, now: Instant) {
         self.seen = Some(SeenTerm {
             term,
             version: Some(version),
@@ -231,7 +231,7 @@
         });
     }
 
-    fn usable(&self, term: &LeaseTerm) -> Duration {
+    fn usable(&self, term: &LeaseRecord) -> Duration {
         let ttl = term.ttl().min(self.settings.ttl());
         ttl.saturating_sub(ttl / DRIFT_DIVISOR)
     }
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -226,7 +226,7 @@
             if current.body_hash != claim.body_hash {
                 return Ok(ClaimOutcome::Reused);
             }
-            if !current.is_free() {
+            if !current.is_replaceable() {
                 return Ok(ClaimOutcome::Existing(current));
             }
             expect = RowExpectation::Version(version);
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use domain::{HostId, ReplicaPlan, WholenessEvidence};
+use domain::{HealthEvidence, HostId, ReplicaPlan};
 use futures::future::join_all;
 use target::EnginePort;
 use web::ClientError;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProbeOutcome {
     /// Evidence for or against the replica's wholeness, and the leading host's load.
-    Evidence(WholenessEvidence, Option<EngineLoad>),
+    Evidence(HealthEvidence, Option<EngineLoad>),
     /// Some hosts gave no answer, and no answer speaks against it. Silence is no evidence: the
     /// hosts may be gone, or this node may be cut off from them while others reach them.
     Silent,
@@ -76,7 +76,7 @@
 /// Judges what a replica's hosts said, in the order of its hosts.
 #[must_use]
 pub fn judge_reports(plan: &ReplicaPlan, reports: &[HostReport], age: Duration) -> ProbeOutcome {
-    let mut evidence = WholenessEvidence {
+    let mut evidence = HealthEvidence {
         replica: plan.id.clone(),
         incarnation: plan.incarnation,
         hosts: Vec::with_capacity(plan.hosts.len()),
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -8,8 +8,8 @@
 
 use domain::record::{CustomerRecord, DrainRecord, ModelRecord, ServiceRecord};
 use domain::{
-    ConfigRevision, CustomerId, DomainId, FastMap, ModelName, RecordSpec, ReplicaPlan, ServiceName,
-    WholenessEvidence,
+    ConfigRevision, CustomerId, DomainId, FastMap, HealthEvidence, ModelName, RecordSpec,
+    ReplicaPlan, ServiceName,
 };
 use wire::engine::EngineLoad;
 
@@ -75,7 +75,7 @@
     /// Failure domain of its hosts; none while it is unknown.
     pub domain: Option<DomainId>,
     /// Newest evidence of wholeness, with the moment at which this node got it.
-    pub evidence: Option<(WholenessEvidence, Instant)>,
+    pub evidence: Option<(HealthEvidence, Instant)>,
     /// Load that the leading host reported, with the moment at which this node got it.
     pub load: Option<(EngineLoad, Instant)>,
     /// Whether a record, the host list or an engine wants it to take no new work.
@@ -97,10 +97,10 @@
             return false;
         };
         let held = now.saturating_duration_since(*received);
-        let aged = WholenessEvidence {
+        let aged = HealthEvidence {
             age: evidence.age + held,
             ..evidence.clone()
         };
-        aged.allows(&self.plan, limit)
+        aged.allows_dispatch(&self.plan, limit)
     }
 }
--- a/crates/control/tests/rules/evidence_store.rs
+++ b/crates/control/tests/rules/evidence_store.rs
@@ -3,17 +3,17 @@
 use std::time::{Duration, Instant};
 
 use control::EvidenceStore;
-use domain::{IncarnationNumber, ReplicaId, WholenessEvidence};
+use domain::{HealthEvidence, IncarnationNumber, ReplicaId};
 use quickcheck::{Gen, QuickCheck};
 
 fn replica() -> ReplicaId {
     "r1".parse().expect("an id")
 }
 
-fn evidence(incarnation: u64, whole: bool, age: Duration) -> WholenessEvidence {
+fn evidence(incarnation: u64, whole: bool, age: Duration) -> HealthEvidence {
     let hosts = ["h0", "h1"];
     let seen = if whole { &hosts[..] } else { &hosts[..1] };
-    WholenessEvidence {
+    HealthEvidence {
         replica: replica(),
         incarnation: IncarnationNumber(incarnation),
         hosts: seen
--- a/crates/control/tests/rules/lease_fencing.rs
+++ b/crates/control/tests/rules/lease_fencing.rs
@@ -7,7 +7,7 @@
 use control::lease::{
     EpochRow, LeaseGrant, LeasePlace, LeaseSettings, LeaseStep, LeaseTracker, start_keeper,
 };
-use domain::{LeaseName, LeaseTerm, NodeId, RowVersion};
+use domain::{LeaseName, LeaseRecord, NodeId, RowVersion};
 use events::EventRecorder;
 use platform::{CommitOutcome, RowExpectation, RowRead, TableStore, WriteBatch, keys};
 use quickcheck::{Gen, QuickCheck};
@@ -42,7 +42,7 @@
 
 /// An answer that is on its way to a process.
 struct ComingAnswer {
-    term: LeaseTerm,
+    term: LeaseRecord,
     takes: bool,
     version: RowVersion,
     started: Instant,
@@ -111,7 +111,7 @@
             RowRead::Unchanged => {}
             RowRead::Absent => process
                 .tracker
-                .observe(LeaseTerm::default(), None, self.now),
+                .observe(LeaseRecord::default(), None, self.now),
             RowRead::Found(row) => {
                 let term = serde_json::from_value(row.value).expect("a term");
                 process.tracker.observe(term, Some(row.version), self.now);
--- a/crates/domain/src/claim.rs
+++ b/crates/domain/src/claim.rs
@@ -44,7 +44,7 @@
     /// Only a call that the claimant itself proved unsent is free again; a mere claim never is,
     /// however old, because a paused claimant could still send it.
     #[must_use]
-    pub fn is_free(&self) -> bool {
+    pub fn is_replaceable(&self) -> bool {
         matches!(self.state, ClaimState::NotRun)
     }
 }
--- a/crates/domain/src/evidence.rs
+++ b/crates/domain/src/evidence.rs
@@ -9,7 +9,7 @@
 
 /// One observation of a replica's hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WholenessEvidence {
+pub struct HealthEvidence {
     /// The replica.
     pub replica: ReplicaId,
     /// The incarnation that the hosts reported.
@@ -22,13 +22,13 @@
     pub age: Duration,
 }
 
-impl WholenessEvidence {
+impl HealthEvidence {
     /// Whether it allows dispatch to the replica as planned.
     ///
     /// It fails closed: another incarnation, a missing host, a leaving host or an old report each
     /// deny, because a replica with a host missing would take the request and never answer it.
     #[must_use]
-    pub fn allows(&self, plan: &ReplicaPlan, limit: Duration) -> bool {
+    pub fn allows_dispatch(&self, plan: &ReplicaPlan, limit: Duration) -> bool {
         self.replica == plan.id
             && self.incarnation == plan.incarnation
             && self.hosts == plan.hosts
--- a/crates/domain/src/fleet.rs
+++ b/crates/domain/src/fleet.rs
@@ -31,13 +31,13 @@
     },
     /// The replica exists already.
     #[error("replica {0} exists already")]
-    Exists(ReplicaId),
+    AlreadyExists(ReplicaId),
     /// There is no such replica.
     #[error("there is no replica {0}")]
     Unknown(ReplicaId),
     /// Hosts, model or version changed without a higher incarnation.
     #[error("replica {0} changed without a higher incarnation")]
-    SameIncarnation(ReplicaId),
+    IncarnationNotRaised(ReplicaId),
 }
 
 impl FabricFleet {
@@ -75,10 +75,10 @@
     /// # Errors
     ///
     /// [`FleetError`] when the id is in use or a host belongs to another replica.
-    pub fn formed(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
+    pub fn with_replica(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
         self.check_hosts(&plan)?;
         if self.plan(&plan.id).is_some() {
-            return Err(FleetError::Exists(plan.id));
+            return Err(FleetError::AlreadyExists(plan.id));
         }
         let mut fleet = self.clone();
         fleet.next_number += 1;
@@ -92,7 +92,7 @@
     ///
     /// [`FleetError`]; a change of hosts, model, version, adapters or role needs a higher
     /// incarnation, because evidence and streams of the old one would pass for the new one.
-    pub fn changed(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
+    pub fn with_changed(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
         self.check_hosts(&plan)?;
         let Some(index) = self.plans.iter().position(|other| other.id == plan.id) else {
             return Err(FleetError::Unknown(plan.id));
@@ -103,7 +103,7 @@
             ..old.clone()
         } == plan;
         if !same && plan.incarnation <= old.incarnation {
-            return Err(FleetError::SameIncarnation(plan.id));
+            return Err(FleetError::IncarnationNotRaised(plan.id));
         }
         let mut fleet = self.clone();
         fleet.plans[index] = plan;
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// [`FleetError::Unknown`].
-    pub fn dissolved(&self, id: &ReplicaId) -> Result<Self, FleetError> {
+    pub fn without_replica(&self, id: &ReplicaId) -> Result<Self, FleetError> {
         if self.plan(id).is_none() {
             return Err(FleetError::Unknown(id.clone()));
         }
--- a/crates/domain/src/host.rs
+++ b/crates/domain/src/host.rs
@@ -48,7 +48,7 @@
     },
     /// The host still runs the old assignment.
     #[error("the host has not reported that it is empty")]
-    NotEmpty,
+    HostNotEmpty,
 }
 
 impl HostSlot {
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// [`SlotError::NotEmpty`] without such a proof, [`SlotError::StaleEpoch`] as above.
+    /// [`SlotError::HostNotEmpty`] without such a proof, [`SlotError::StaleEpoch`] as above.
     pub fn release(&self, proof: EmptyProof, epoch: LeaseEpoch) -> Result<Self, SlotError> {
         self.admit_epoch(epoch)?;
         let Some(current) = &self.assignment else {
@@ -109,7 +109,7 @@
             EmptyProof::Rebooted(boot) => boot > current.boot,
         };
         if !empty {
-            return Err(SlotError::NotEmpty);
+            return Err(SlotError::HostNotEmpty);
         }
         Ok(Self {
             assignment: None,
--- a/crates/domain/src/lease.rs
+++ b/crates/domain/src/lease.rs
@@ -8,21 +8,22 @@
 
 /// A lease as it is kept in the table.
 ///
-/// It holds no wall time. An observer takes it over only after it has seen the same `beat` for a
+/// It holds no wall time. An observer takes it over only after it has seen the same `renewals` for a
 /// whole `ttl` on its own monotonic clock, so that clocks of two hosts are never compared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseTerm {
+pub struct LeaseRecord {
     /// The holder; none after a release.
     pub holder: Option<NodeId>,
     /// Raised at every change of holder.
     pub epoch: LeaseEpoch,
     /// Raised at every renewal.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub renewals: u64,
     /// Time that a holder may act after the start of its last renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
-impl LeaseTerm {
+impl LeaseRecord {
     /// Time that a holder may act after the start of its last renewal.
     #[must_use]
     pub fn ttl(&self) -> Duration {
@@ -36,7 +37,7 @@
             return None;
         }
         Some(Self {
-            beat: self.beat + 1,
+            renewals: self.renewals + 1,
             ..self.clone()
         })
     }
@@ -45,7 +46,7 @@
     ///
     /// `unchanged_for` is the observer's monotonic time since it first saw this holder and beat.
     #[must_use]
-    pub fn taken(&self, node: &NodeId, unchanged_for: Duration, ttl: Duration) -> Option<Self> {
+    pub fn acquired(&self, node: &NodeId, unchanged_for: Duration, ttl: Duration) -> Option<Self> {
         let free = self.holder.is_none() || unchanged_for >= self.ttl();
         if !free {
             return None;
@@ -53,7 +54,7 @@
         Some(Self {
             holder: Some(node.clone()),
             epoch: self.epoch.next(),
-            beat: 0,
+            renewals: 0,
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX),
         })
     }
@@ -66,7 +67,7 @@
         }
         Some(Self {
             holder: None,
-            beat: self.beat + 1,
+            renewals: self.renewals + 1,
             ..self.clone()
         })
     }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -19,12 +19,12 @@
 
 pub use arena::{CustomerKey, HostKey, TargetKey};
 pub use claim::{CallClaim, ClaimState};
-pub use evidence::WholenessEvidence;
+pub use evidence::HealthEvidence;
 pub use finding::{FindingList, RecordFinding};
 pub use fleet::FabricFleet;
 pub use host::HostSlot;
 pub use ids::*;
-pub use lease::LeaseTerm;
+pub use lease::LeaseRecord;
 pub use maps::{FastMap, FastSet};
 pub use record::RecordSpec;
 pub use replica::ReplicaPlan;
--- a/crates/domain/src/replica.rs
+++ b/crates/domain/src/replica.rs
@@ -55,7 +55,7 @@
     NoHost(ReplicaId),
     /// One host twice.
     #[error("replica {0} names host {1} twice")]
-    HostTwice(ReplicaId, HostId),
+    DuplicateHost(ReplicaId, HostId),
 }
 
 impl ReplicaPlan {
@@ -73,7 +73,7 @@
             if seen.insert(host) {
                 continue;
             }
-            return Err(ReplicaError::HostTwice(self.id.clone(), host.clone()));
+            return Err(ReplicaError::DuplicateHost(self.id.clone(), host.clone()));
         }
         Ok(())
     }
--- a/crates/domain/tests/slot_rules.rs
+++ b/crates/domain/tests/slot_rules.rs
@@ -6,8 +6,8 @@
 use domain::host::{EmptyProof, SlotAssignment};
 use domain::replica::ReplicaRole;
 use domain::{
-    BootNumber, FabricFleet, HostId, HostSlot, IncarnationNumber, LeaseEpoch, ReplicaId,
-    ReplicaPlan, RetentionLog, RowVersion, WholenessEvidence,
+    BootNumber, FabricFleet, HealthEvidence, HostId, HostSlot, IncarnationNumber, LeaseEpoch,
+    ReplicaId, ReplicaPlan, RetentionLog, RowVersion,
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -102,9 +102,9 @@
         for (kind, id, incarnation, hosts) in steps {
             let asked = plan(id, incarnation, &hosts);
             let next = match kind % 3 {
-                0 => fleet.formed(asked),
-                1 => fleet.changed(asked),
-                _ => fleet.dissolved(&replica(id)),
+                0 => fleet.with_replica(asked),
+                1 => fleet.with_changed(asked),
+                _ => fleet.without_replica(&replica(id)),
             };
             let Ok(next) = next else { continue };
             for plan in &next.plans {
@@ -140,7 +140,7 @@
     fn holds(hosts: (Vec<u8>, Vec<u8>), numbers: (u8, u8, u8, u8), leaving: bool) -> bool {
         let (planned, seen) = hosts;
         let plan = plan(numbers.0, numbers.1, &planned);
-        let evidence = WholenessEvidence {
+        let evidence = HealthEvidence {
             replica: replica(numbers.2),
             incarnation: IncarnationNumber(u64::from(numbers.3 % 8)),
             hosts: seen.iter().map(|number| host(*number)).collect(),
@@ -151,18 +151,18 @@
         let missing = plan.hosts.iter().any(|host| !evidence.hosts.contains(host));
         let wrong = evidence.replica != plan.id || evidence.incarnation != plan.incarnation;
         let closed = missing || wrong || leaving || evidence.age > limit;
-        !(closed && evidence.allows(&plan, limit))
+        !(closed && evidence.allows_dispatch(&plan, limit))
     }
     check(holds as fn((Vec<u8>, Vec<u8>), (u8, u8, u8, u8), bool) -> bool);
     let whole = plan(1, 2, &[0, 1]);
-    let evidence = WholenessEvidence {
+    let evidence = HealthEvidence {
         replica: whole.id.clone(),
         incarnation: whole.incarnation,
         hosts: whole.hosts.clone(),
         leaving: false,
         age: Duration::from_secs(1),
     };
-    assert!(evidence.allows(&whole, Duration::from_secs(3)));
+    assert!(evidence.allows_dispatch(&whole, Duration::from_secs(3)));
 }
 
 /// A row is never taken for older than it is, however the time is split among holders and however
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -9,7 +9,7 @@
     CustomerRecord, ModelGrant, ModelRecord, ServiceCall, ServiceRecord, VersionPlan,
 };
 use domain::{
-    ConfigRevision, IncarnationNumber, LeaseEpoch, RecordSpec, ReplicaPlan, WholenessEvidence,
+    ConfigRevision, HealthEvidence, IncarnationNumber, LeaseEpoch, RecordSpec, ReplicaPlan,
 };
 use entry::dispatch::state::DispatchSettings;
 use entry::{EntryParts, EntryServer, EntrySettings, NameSource, RequestDispatcher, TokenSealer};
@@ -149,7 +149,7 @@
         role: domain::replica::ReplicaRole::Both,
         draining: false,
     };
-    let evidence = WholenessEvidence {
+    let evidence = HealthEvidence {
         replica: plan.id.clone(),
         incarnation: plan.incarnation,
         hosts,
--- a/crates/peers/benches/link_traffic.rs
+++ b/crates/peers/benches/link_traffic.rs
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 use control::members::SilenceLimits;
-use domain::{FastMap, IncarnationNumber, ReplicaId, WholenessEvidence};
+use domain::{FastMap, HealthEvidence, IncarnationNumber, ReplicaId};
 use mesh::{KEY, MeshNode, MeshPlan};
-use peers::{EvidencePort, HeldEvidence, PeerSettings};
+use peers::{EvidencePort, PeerSettings, TimedEvidence};
 
 /// Watchers look at each replica so often.
 const LOOK_PERIOD: Duration = Duration::from_secs(1);
@@ -33,21 +33,21 @@
 
 #[derive(Debug, Clone, Default)]
 struct BenchBoard {
-    held: Arc<Mutex<FastMap<ReplicaId, HeldEvidence>>>,
+    held: Arc<Mutex<FastMap<ReplicaId, TimedEvidence>>>,
 }
 
 impl BenchBoard {
-    fn held(&self) -> MutexGuard<'_, FastMap<ReplicaId, HeldEvidence>> {
+    fn held(&self) -> MutexGuard<'_, FastMap<ReplicaId, TimedEvidence>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl EvidencePort for BenchBoard {
-    fn export(&self) -> Vec<HeldEvidence> {
+    fn export(&self) -> Vec<TimedEvidence> {
         self.held().values().cloned().collect()
     }
 
-    fn import(&self, evidence: HeldEvidence) {
+    fn import(&self, evidence: TimedEvidence) {
         let mut held = self.held();
         let newer = held
             .get(&evidence.evidence.replica)
@@ -58,14 +58,14 @@
     }
 }
 
-fn evidence(replica: usize) -> HeldEvidence {
+fn evidence(replica: usize) -> TimedEvidence {
     let hosts = (0..16)
         .map(|rank| format!("dakar-plateau-{}", replica * 16 + rank))
         .filter_map(|name| name.parse().ok())
         .collect();
     let id = format!("trader-help.{replica}").parse();
-    HeldEvidence {
-        evidence: WholenessEvidence {
+    TimedEvidence {
+        evidence: HealthEvidence {
             replica: id.unwrap_or_else(|_| unreachable!("an id")),
             incarnation: IncarnationNumber(1),
             hosts,
--- a/crates/peers/src/evidence.rs
+++ b/crates/peers/src/evidence.rs
@@ -2,14 +2,14 @@
 
 use std::time::Instant;
 
-use domain::WholenessEvidence;
+use domain::HealthEvidence;
 
 /// Evidence with the moment on this node's monotonic clock of the oldest report in it; the
 /// evidence's own `age` is of no account.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldEvidence {
+pub struct TimedEvidence {
     /// The evidence.
-    pub evidence: WholenessEvidence,
+    pub evidence: HealthEvidence,
     /// The moment of its oldest report, or an earlier one.
     pub as_of: Instant,
 }
@@ -17,10 +17,10 @@
 /// Where evidence comes from and goes to.
 pub trait EvidencePort: Clone + Send + Sync + 'static {
     /// The newest evidence on each replica.
-    fn export(&self) -> Vec<HeldEvidence>;
+    fn export(&self) -> Vec<TimedEvidence>;
 
     /// Takes in evidence of a peer.
-    fn import(&self, evidence: HeldEvidence);
+    fn import(&self, evidence: TimedEvidence);
 }
 
 /// Passes on no evidence.
@@ -28,9 +28,9 @@
 pub struct NoEvidence;
 
 impl EvidencePort for NoEvidence {
-    fn export(&self) -> Vec<HeldEvidence> {
+    fn export(&self) -> Vec<TimedEvidence> {
         Vec::new()
     }
 
-    fn import(&self, _: HeldEvidence) {}
+    fn import(&self, _: TimedEvidence) {}
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod traffic;
 
 pub use auth::SharedKey;
-pub use evidence::{EvidencePort, HeldEvidence, NoEvidence};
+pub use evidence::{EvidencePort, NoEvidence, TimedEvidence};
 pub use hub::PeerHub;
 pub use link::LinkParts;
 pub use listen::accept_links;
--- a/crates/peers/src/memory.rs
+++ b/crates/peers/src/memory.rs
@@ -7,10 +7,10 @@
 
 use control::Member;
 use control::members::MemberRow;
-use domain::{ConfigRevision, FastMap, FastSet, NodeId, ReplicaId, WholenessEvidence};
+use domain::{ConfigRevision, FastMap, FastSet, HealthEvidence, NodeId, ReplicaId};
 use wire::peer::{LookAge, PeerBeat, PeerDigest, PeerEvidence, PeerLook, PeerRow};
 
-use crate::evidence::HeldEvidence;
+use crate::evidence::TimedEvidence;
 
 /// Member rows of one digest; the rest follows with the next.
 const MAX_ROWS: usize = 200;
@@ -40,14 +40,14 @@
     departed: FastSet<NodeId>,
     sent_evidence: FastMap<ReplicaId, SentEvidence>,
     evidence_count: u32,
-    received_evidence: Vec<WholenessEvidence>,
-    peer_evidence: FastMap<ReplicaId, HeldEvidence>,
+    received_evidence: Vec<HealthEvidence>,
+    peer_evidence: FastMap<ReplicaId, TimedEvidence>,
 }
 
 #[derive(Debug)]
 struct SentEvidence {
     place: u32,
-    evidence: WholenessEvidence,
+    evidence: HealthEvidence,
     as_of: Instant,
 }
 
@@ -97,8 +97,13 @@
     }
 
     /// Adds the evidence that the peer lacks.
-    pub fn add_evidence(&mut self, digest: &mut PeerDigest, held: Vec<HeldEvidence>, now: Instant) {
-        for HeldEvidence { evidence, as_of } in held {
+    pub fn add_evidence(
+        &mut self,
+        digest: &mut PeerDigest,
+        held: Vec<TimedEvidence>,
+        now: Instant,
+    ) {
+        for TimedEvidence { evidence, as_of } in held {
             let age = now.saturating_duration_since(as_of);
             if age > EVIDENCE_LIMIT {
                 continue;
@@ -136,7 +141,7 @@
     }
 
     /// Whether the peer itself sent a look that is about as new: it must not get it back.
-    fn peer_has(&self, evidence: &WholenessEvidence, as_of: Instant) -> bool {
+    fn peer_has(&self, evidence: &HealthEvidence, as_of: Instant) -> bool {
         self.peer_evidence
             .get(&evidence.replica)
             .is_some_and(|known| {
@@ -182,10 +187,10 @@
     }
 
     /// Takes in the evidence of a digest that answers a question sent at `asked_at`.
-    pub fn take_evidence(&mut self, digest: &PeerDigest, asked_at: Instant) -> Vec<HeldEvidence> {
+    pub fn take_evidence(&mut self, digest: &PeerDigest, asked_at: Instant) -> Vec<TimedEvidence> {
         let mut taken = Vec::new();
         for wire in &digest.evidence {
-            let evidence = WholenessEvidence {
+            let evidence = HealthEvidence {
                 replica: wire.replica.clone(),
                 incarnation: wire.incarnation,
                 hosts: wire.hosts.clone(),
@@ -227,16 +232,16 @@
     pub beat: u64,
 }
 
-fn same_finding(left: &WholenessEvidence, right: &WholenessEvidence) -> bool {
+fn same_finding(left: &HealthEvidence, right: &HealthEvidence) -> bool {
     left.incarnation == right.incarnation
         && left.hosts == right.hosts
         && left.leaving == right.leaving
 }
 
 /// None when the age reaches back before the start of this host's clock.
-fn held(evidence: WholenessEvidence, age: LookAge, asked_at: Instant) -> Option<HeldEvidence> {
+fn held(evidence: HealthEvidence, age: LookAge, asked_at: Instant) -> Option<TimedEvidence> {
     let as_of = asked_at.checked_sub(Duration::from(age))?;
-    Some(HeldEvidence { evidence, as_of })
+    Some(TimedEvidence { evidence, as_of })
 }
 
 /// A duration in whole milliseconds, rounded up: an age may look older, never younger.
--- a/crates/peers/tests/link_memory.rs
+++ b/crates/peers/tests/link_memory.rs
@@ -4,8 +4,8 @@
 
 use control::Member;
 use control::members::MemberRow;
-use domain::{FastMap, IncarnationNumber, NodeId, WholenessEvidence};
-use peers::HeldEvidence;
+use domain::{FastMap, HealthEvidence, IncarnationNumber, NodeId};
+use peers::TimedEvidence;
 use peers::memory::LinkMemory;
 use quickcheck::{Gen, QuickCheck};
 use wire::peer::PeerDigest;
@@ -96,9 +96,9 @@
         .quickcheck(property as fn(Vec<(bool, u8, u64)>) -> bool);
 }
 
-fn finding(incarnation: u64, as_of: Instant) -> HeldEvidence {
-    HeldEvidence {
-        evidence: WholenessEvidence {
+fn finding(incarnation: u64, as_of: Instant) -> TimedEvidence {
+    TimedEvidence {
+        evidence: HealthEvidence {
             replica: "trader-help.1".parse().expect("a replica"),
             incarnation: IncarnationNumber(incarnation),
             hosts: vec!["h1".parse().expect("a host")],
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -9,7 +9,7 @@
 use control::members::{Member, MemberBook, MemberKeeper, MemberState, MemberView};
 use eyre::WrapErr;
 use peers::{
-    EvidencePort, HeldEvidence, LinkParts, PeerHub, PeerTraffic, SharedKey, accept_links,
+    EvidencePort, LinkParts, PeerHub, PeerTraffic, SharedKey, TimedEvidence, accept_links,
     keep_links,
 };
 use settings::NodeSettings;
@@ -88,7 +88,7 @@
 pub struct StoreEvidence(EvidenceStore);
 
 impl EvidencePort for StoreEvidence {
-    fn export(&self) -> Vec<HeldEvidence> {
+    fn export(&self) -> Vec<TimedEvidence> {
         let now = Instant::now();
         let mut held = Vec::new();
         for evidence in self.0.export(usize::MAX) {
@@ -96,12 +96,12 @@
             let Some(as_of) = now.checked_sub(evidence.age) else {
                 continue;
             };
-            held.push(HeldEvidence { evidence, as_of });
+            held.push(TimedEvidence { evidence, as_of });
         }
         held
     }
 
-    fn import(&self, held: HeldEvidence) {
+    fn import(&self, held: TimedEvidence) {
         let mut evidence = held.evidence;
         evidence.age = held.as_of.elapsed();
         self.0.record(evidence);
