--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -33,13 +33,13 @@
 
 /// Why a peer's message is not believed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SealError {
+pub enum AuthError {
     /// The shared key is too short.
     #[error("the peers' key has {0} bytes: write at least {MIN_KEY_BYTES}")]
-    ShortKey(usize),
+    KeyTooShort(usize),
     /// The sender does not have the shared key, or the frame was changed.
     #[error("the peer did not prove that it has the shared key")]
-    BadProof,
+    InvalidProof,
     /// The frame was sent before.
     #[error("the peer's message was sent before")]
     Replayed,
@@ -52,23 +52,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameSide {
     /// The side that made the connection.
-    Caller,
+    Initiator,
     /// The side that accepted it.
-    Answerer,
+    Responder,
 }
 
 impl FrameSide {
     fn label(self) -> &'static [u8] {
         match self {
-            Self::Caller => b"caller",
-            Self::Answerer => b"answerer",
+            Self::Initiator => b"caller",
+            Self::Responder => b"answerer",
         }
     }
 
-    fn other(self) -> Self {
+    fn opposite(self) -> Self {
         match self {
-            Self::Caller => Self::Answerer,
-            Self::Answerer => Self::Caller,
+            Self::Initiator => Self::Responder,
+            Self::Responder => Self::Initiator,
         }
     }
 }
@@ -78,17 +78,17 @@
     ///
     /// # Errors
     ///
-    /// [`SealError::ShortKey`].
-    pub fn new(text: &str) -> Result<Self, SealError> {
+    /// [`AuthError::KeyTooShort`].
+    pub fn new(text: &str) -> Result<Self, AuthError> {
         let bytes = text.trim().as_bytes();
         if bytes.len() < MIN_KEY_BYTES {
-            return Err(SealError::ShortKey(bytes.len()));
+            return Err(AuthError::KeyTooShort(bytes.len()));
         }
         Ok(Self(bytes.to_vec()))
     }
 
     fn hash(&self, label: &[u8], hello: &PeerHello, welcome: &PeerWelcome) -> [u8; 32] {
-        let mut mac = keyed(&self.0);
+        let mut mac = new_mac(&self.0);
         mac.update(label);
         mac.update(&[hello.newest, hello.oldest, welcome.version]);
         mac.update(&hello.nonce);
@@ -103,40 +103,45 @@
     /// two into an older version.
     #[must_use]
     pub fn proof(&self, hello: &PeerHello, welcome: &PeerWelcome) -> [u8; TAG_BYTES] {
-        shorten(self.hash(b"bramleyspring welcome", hello, welcome))
+        truncate_tag(self.hash(b"bramleyspring welcome", hello, welcome))
     }
 
     /// Checks the answerer's proof.
     ///
     /// # Errors
     ///
-    /// [`SealError::BadProof`].
-    pub fn check(&self, hello: &PeerHello, welcome: &PeerWelcome) -> Result<(), SealError> {
+    /// [`AuthError::InvalidProof`].
+    pub fn verify_proof(&self, hello: &PeerHello, welcome: &PeerWelcome) -> Result<(), AuthError> {
         let expected = self.proof(hello, welcome);
         if bool::from(expected.ct_eq(&welcome.proof)) {
             return Ok(());
         }
-        Err(SealError::BadProof)
+        Err(AuthError::InvalidProof)
     }
 
     /// The seal of one side of a connection.
     #[must_use]
-    pub fn seal(&self, hello: &PeerHello, welcome: &PeerWelcome, side: FrameSide) -> FrameSeal {
-        FrameSeal {
+    pub fn authenticator(
+        &self,
+        hello: &PeerHello,
+        welcome: &PeerWelcome,
+        side: FrameSide,
+    ) -> FrameAuthenticator {
+        FrameAuthenticator {
             key: self.hash(b"bramleyspring frames", hello, welcome),
             version: welcome.version,
             side,
-            sent: 0,
-            received: 0,
+            last_sent: 0,
+            last_received: 0,
         }
     }
 }
 
-fn keyed(key: &[u8]) -> Hmac<Sha256> {
+fn new_mac(key: &[u8]) -> Hmac<Sha256> {
     Hmac::new_from_slice(key).unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"))
 }
 
-fn shorten(hash: [u8; 32]) -> [u8; TAG_BYTES] {
+fn truncate_tag(hash: [u8; 32]) -> [u8; TAG_BYTES] {
     let mut tag = [0; TAG_BYTES];
     tag.copy_from_slice(&hash[..TAG_BYTES]);
     tag
@@ -144,56 +149,56 @@
 
 /// Seals and opens the frames of one side of one connection.
 #[derive(Debug)]
-pub struct FrameSeal {
+pub struct FrameAuthenticator {
     key: [u8; 32],
     version: u8,
     side: FrameSide,
-    sent: u64,
-    received: u64,
+    last_sent: u64,
+    last_received: u64,
 }
 
 /// An opened frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OpenedFrame {
+pub struct VerifiedFrame {
     /// Its sequence.
     pub sequence: u64,
     /// Its message.
     pub payload: Vec<u8>,
 }
 
-impl FrameSeal {
+impl FrameAuthenticator {
     fn tag(&self, side: FrameSide, version: u8, sequence: u64, payload: &[u8]) -> [u8; TAG_BYTES] {
-        let mut mac = keyed(&self.key);
+        let mut mac = new_mac(&self.key);
         mac.update(side.label());
         mac.update(&[version]);
         mac.update(&sequence.to_be_bytes());
         mac.update(payload);
-        shorten(mac.finalize().into_bytes().into())
+        truncate_tag(mac.finalize().into_bytes().into())
     }
 
     /// Sequence of the newest frame that was opened.
     #[must_use]
-    pub fn received(&self) -> u64 {
-        self.received
+    pub fn last_received(&self) -> u64 {
+        self.last_received
     }
 
     /// Sequence of the newest frame that was sealed.
     #[must_use]
-    pub fn sent(&self) -> u64 {
-        self.sent
+    pub fn last_sent(&self) -> u64 {
+        self.last_sent
     }
 
     /// Seals a message.
     ///
     /// # Errors
     ///
-    /// [`SealError::Body`] when the frame can't be written.
-    pub fn seal(&mut self, payload: Vec<u8>) -> Result<Vec<u8>, SealError> {
-        self.sent += 1;
-        let tag = self.tag(self.side, self.version, self.sent, &payload);
+    /// [`AuthError::Body`] when the frame can't be written.
+    pub fn sign(&mut self, payload: Vec<u8>) -> Result<Vec<u8>, AuthError> {
+        self.last_sent += 1;
+        let tag = self.tag(self.side, self.version, self.last_sent, &payload);
         let frame = SealedFrame {
             version: self.version,
-            sequence: self.sent,
+            sequence: self.last_sent,
             tag,
             payload,
         };
@@ -204,20 +209,20 @@
     ///
     /// # Errors
     ///
-    /// [`SealError`].
-    pub fn open<const LIMIT: usize>(&mut self, bytes: &[u8]) -> Result<OpenedFrame, SealError> {
+    /// [`AuthError`].
+    pub fn verify<const LIMIT: usize>(&mut self, bytes: &[u8]) -> Result<VerifiedFrame, AuthError> {
         let frame: SealedFrame = decode_body::<_, LIMIT>(bytes)?;
-        let side = self.side.other();
+        let side = self.side.opposite();
         let expected = self.tag(side, self.version, frame.sequence, &frame.payload);
-        let fine = frame.version == self.version && bool::from(expected.ct_eq(&frame.tag));
-        if !fine {
-            return Err(SealError::BadProof);
+        let valid = frame.version == self.version && bool::from(expected.ct_eq(&frame.tag));
+        if !valid {
+            return Err(AuthError::InvalidProof);
         }
-        if frame.sequence <= self.received {
-            return Err(SealError::Replayed);
+        if frame.sequence <= self.last_received {
+            return Err(AuthError::Replayed);
         }
-        self.received = frame.sequence;
-        Ok(OpenedFrame {
+        self.last_received = frame.sequence;
+        Ok(VerifiedFrame {
             sequence: frame.sequence,
             payload: frame.payload,
         })
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -2,7 +2,7 @@
 
 use domain::NodeId;
 
-use crate::auth::SealError;
+use crate::auth::AuthError;
 
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
@@ -21,7 +21,7 @@
     OtherNode(NodeId),
     /// The peer's message is not believed or can't be read.
     #[error(transparent)]
-    Seal(#[from] SealError),
+    Seal(#[from] AuthError),
     /// A message is larger than allowed.
     #[error("a message of more than {0} bytes")]
     TooLarge(usize),
--- a/crates/peers/src/hub.rs
+++ b/crates/peers/src/gossip.rs
@@ -12,7 +12,7 @@
 use wire::peer::{PeerChange, PeerConfirmation, PeerDigest, PeerStamp};
 
 use crate::evidence::EvidencePort;
-use crate::memory::{LinkMemory, millis};
+use crate::peer_view::{PeerView, millis};
 use crate::traffic::PeerTraffic;
 
 /// Changes of one digest; the rest follows with the next.
@@ -23,7 +23,7 @@
 
 /// What the links of a node share. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct PeerHub<E> {
+pub struct GossipState<E> {
     /// The configuration in force.
     pub config: ConfigHandle,
     /// The membership.
@@ -38,9 +38,9 @@
     pub wake: Arc<Notify>,
 }
 
-impl<E: EvidencePort> PeerHub<E> {
+impl<E: EvidencePort> GossipState<E> {
     /// Makes the digest for a peer of which `memory` knows what it has.
-    pub async fn outgoing(&self, memory: &mut LinkMemory, echo: u64) -> PeerDigest {
+    pub async fn build_digest(&self, peer_view: &mut PeerView, echo: u64) -> PeerDigest {
         let news = self.config.news();
         let now = Instant::now();
         let confirmation = news.confirmation.map(|known| PeerConfirmation {
@@ -58,23 +58,23 @@
             confirmation,
             ..PeerDigest::default()
         };
-        if memory.revision < news.revision {
-            self.add_changes(&mut digest, memory).await;
+        if peer_view.revision < news.revision {
+            self.add_changes(&mut digest, peer_view).await;
         }
         let (rows, departed) = {
             let state = self.book.state();
             (state.rows(), state.departed())
         };
-        memory.add_members(&mut digest, rows);
-        memory.add_departed(&mut digest, departed);
-        memory.add_evidence(&mut digest, self.evidence.export(), now);
+        peer_view.add_members(&mut digest, rows);
+        peer_view.add_departed(&mut digest, departed);
+        peer_view.add_evidence(&mut digest, self.evidence.export(), now);
         digest
     }
 
-    async fn add_changes(&self, digest: &mut PeerDigest, memory: &mut LinkMemory) {
+    async fn add_changes(&self, digest: &mut PeerDigest, peer_view: &mut PeerView) {
         let kept = self
             .config
-            .changes_after(memory.revision, MAX_CHANGES)
+            .changes_after(peer_view.revision, MAX_CHANGES)
             .await;
         let mut bytes = 0;
         for change in kept.unwrap_or_default() {
@@ -85,7 +85,7 @@
             if bytes > CHANGE_BYTES && !digest.changes.is_empty() {
                 return;
             }
-            memory.revision = change.revision;
+            peer_view.revision = change.revision;
             digest.changes.push(PeerChange {
                 revision: change.revision.0,
                 entry,
@@ -95,14 +95,19 @@
 
     /// Takes in a peer's digest. `asked_at` is a moment on this node's clock before which the
     /// digest was certainly not made; ages count from there.
-    pub async fn incoming(&self, memory: &mut LinkMemory, digest: PeerDigest, asked_at: Instant) {
+    pub async fn apply_digest(
+        &self,
+        peer_view: &mut PeerView,
+        digest: PeerDigest,
+        asked_at: Instant,
+    ) {
         let PeerStamp { millis, counter } = digest.stamp;
         self.recorder
             .clock()
             .observe(HybridStamp { millis, counter });
-        memory.revision = memory.revision.max(digest.revision());
-        self.take_members(memory, &digest);
-        for held in memory.take_evidence(&digest, asked_at) {
+        peer_view.revision = peer_view.revision.max(digest.revision());
+        self.apply_members(peer_view, &digest);
+        for held in peer_view.apply_evidence(&digest, asked_at) {
             self.evidence.import(held);
         }
         let confirmation = digest.confirmation.and_then(|known| {
@@ -128,9 +133,9 @@
         self.config.learn(lesson).await;
     }
 
-    fn take_members(&self, memory: &mut LinkMemory, digest: &PeerDigest) {
+    fn apply_members(&self, peer_view: &mut PeerView, digest: &PeerDigest) {
         let now = Instant::now();
-        let news = memory.take_members(digest);
+        let news = peer_view.apply_members(digest);
         let mut changed = !news.rows.is_empty() || !digest.departed.is_empty();
         {
             let mut state = self.book.state();
@@ -150,7 +155,7 @@
     }
 
     /// Takes in a peer's whole configuration.
-    pub async fn take_snapshot(&self, snapshot: ConfigSnapshot) {
+    pub async fn apply_snapshot(&self, snapshot: ConfigSnapshot) {
         let lesson = ConfigLesson {
             known: snapshot.revision,
             update: ConfigUpdate {
@@ -163,7 +168,7 @@
     }
 
     /// Tells the peers that this node goes, as far as they can be reached within `limit`.
-    pub async fn say_goodbye(&self, limit: Duration) {
+    pub async fn announce_leave(&self, limit: Duration) {
         self.book.state().leave();
         self.wake.notify_waiters();
         tokio::time::sleep(limit).await;
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -18,11 +18,11 @@
     OLDEST_VERSION, PeerDigest, PeerHello, PeerWelcome, decode_body, encode_body,
 };
 
-use crate::auth::{FrameSeal, FrameSide, SharedKey};
+use crate::auth::{FrameAuthenticator, FrameSide, SharedKey};
 use crate::error::LinkError;
 use crate::evidence::EvidencePort;
-use crate::hub::PeerHub;
-use crate::memory::LinkMemory;
+use crate::gossip::GossipState;
+use crate::peer_view::PeerView;
 use crate::settings::PeerSettings;
 
 /// Exchanges after which a node that is still behind its peer asks for everything. The table
@@ -34,9 +34,9 @@
 
 /// What a link needs beside its address.
 #[derive(Debug, Clone)]
-pub struct LinkParts<E> {
+pub struct LinkContext<E> {
     /// What the links share.
-    pub hub: PeerHub<E>,
+    pub gossip: GossipState<E>,
     /// The deployment's key.
     pub key: SharedKey,
     /// Settings.
@@ -47,8 +47,8 @@
 
 struct OpenLink {
     requests: SendRequest<Bytes>,
-    seal: FrameSeal,
-    memory: LinkMemory,
+    auth: FrameAuthenticator,
+    peer_view: PeerView,
     timeout: Duration,
     peer: NodeId,
 }
@@ -59,45 +59,45 @@
 ///
 /// [`LinkError`], always: a link ends only by failing.
 pub async fn run_link<E: EvidencePort>(
-    parts: &LinkParts<E>,
+    context: &LinkContext<E>,
     address: SocketAddr,
     expected: Option<&NodeId>,
 ) -> Result<std::convert::Infallible, LinkError> {
     let mut link = within(
-        parts.settings.timeout(),
-        open_link(parts, address, expected),
+        context.settings.exchange_timeout(),
+        open_link(context, address, expected),
     )
     .await?;
-    parts.recorder.note(
+    context.recorder.note(
         EventCode::PeerLinked,
         EventSubject::default(),
         format!("{} at {address}", link.peer),
     );
-    let mut news = parts.hub.config.watch();
+    let mut news = context.gossip.config.watch();
     let mut behind = 0;
     loop {
-        let revision = parts.hub.config.news().revision;
-        link.exchange(parts).await?;
-        if parts.hub.config.news().revision < link.memory.revision {
+        let revision = context.gossip.config.news().revision;
+        link.exchange(context).await?;
+        if context.gossip.config.news().revision < link.peer_view.revision {
             behind += 1;
         } else {
             behind = 0;
         }
-        if link.memory.is_worn() {
+        if link.peer_view.is_full() {
             link = within(
-                parts.settings.timeout(),
-                open_link(parts, address, expected),
+                context.settings.exchange_timeout(),
+                open_link(context, address, expected),
             )
             .await?;
         }
         if behind >= PATIENT_EXCHANGES {
-            link.fetch_snapshot(parts).await?;
+            link.fetch_snapshot(context).await?;
             behind = 0;
         }
-        let pause = tokio::time::sleep(jittered(parts.settings.exchange()));
+        let pause = tokio::time::sleep(jittered(context.settings.exchange_interval()));
         tokio::select! {
             () = pause => {}
-            () = parts.hub.wake.notified() => {}
+            () = context.gossip.wake.notified() => {}
             changed = newer_revision(&mut news, revision) => changed?,
         }
     }
@@ -129,13 +129,13 @@
 }
 
 async fn open_link<E: EvidencePort>(
-    parts: &LinkParts<E>,
+    context: &LinkContext<E>,
     address: SocketAddr,
     expected: Option<&NodeId>,
 ) -> Result<OpenLink, LinkError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let stream = parts.hub.traffic.watch(stream);
+    let stream = context.gossip.traffic.wrap(stream);
     let (mut requests, connection) = h2::client::handshake(stream).await?;
     tokio::spawn(async move {
         let _ = connection.await;
@@ -144,7 +144,7 @@
         newest: NEWEST_VERSION,
         oldest: OLDEST_VERSION,
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
-        node: parts.hub.book.node().clone(),
+        node: context.gossip.book.node().clone(),
     };
     let answer = post(
         &mut requests,
@@ -154,40 +154,48 @@
     )
     .await?;
     let welcome: PeerWelcome = decode_body::<_, MAX_HELLO_BYTES>(&answer)?;
-    parts.key.check(&hello, &welcome)?;
+    context.key.verify_proof(&hello, &welcome)?;
     if expected.is_some_and(|node| *node != welcome.node) {
         return Err(LinkError::OtherNode(welcome.node));
     }
     Ok(OpenLink {
         requests,
-        seal: parts.key.seal(&hello, &welcome, FrameSide::Caller),
-        memory: LinkMemory::default(),
-        timeout: parts.settings.timeout(),
+        auth: context
+            .key
+            .authenticator(&hello, &welcome, FrameSide::Initiator),
+        peer_view: PeerView::default(),
+        timeout: context.settings.exchange_timeout(),
         peer: welcome.node,
     })
 }
 
 impl OpenLink {
-    async fn exchange<E: EvidencePort>(&mut self, parts: &LinkParts<E>) -> Result<(), LinkError> {
+    async fn exchange<E: EvidencePort>(
+        &mut self,
+        context: &LinkContext<E>,
+    ) -> Result<(), LinkError> {
         let asked_at = Instant::now();
-        let echo = self.seal.received();
-        let digest = parts.hub.outgoing(&mut self.memory, echo).await;
+        let echo = self.auth.last_received();
+        let digest = context.gossip.build_digest(&mut self.peer_view, echo).await;
         let payload = encode_body(&digest)?;
         let answer = self.ask::<MAX_DIGEST_BYTES>("/digest", payload).await?;
-        parts.hub.traffic.count_exchange();
+        context.gossip.traffic.count_exchange();
         // A process that was frozen finds the answer before its own timeout: the answer may tell
         // of heartbeats that were heard long ago.
         if asked_at.elapsed() > self.timeout {
             return Err(LinkError::Late);
         }
         let answer: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&answer)?;
-        parts.hub.incoming(&mut self.memory, answer, asked_at).await;
+        context
+            .gossip
+            .apply_digest(&mut self.peer_view, answer, asked_at)
+            .await;
         Ok(())
     }
 
     async fn fetch_snapshot<E: EvidencePort>(
         &mut self,
-        parts: &LinkParts<E>,
+        context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
         let answer = self
             .ask::<MAX_SNAPSHOT_BYTES>("/snapshot", Vec::new())
@@ -195,7 +203,7 @@
         let Ok(snapshot) = serde_json::from_slice(&answer) else {
             return Err(LinkError::Connection("an unreadable snapshot".to_owned()));
         };
-        parts.hub.take_snapshot(snapshot).await;
+        context.gossip.apply_snapshot(snapshot).await;
         Ok(())
     }
 
@@ -204,10 +212,10 @@
         path: &str,
         payload: Vec<u8>,
     ) -> Result<Vec<u8>, LinkError> {
-        let frame = self.seal.seal(payload)?;
+        let frame = self.auth.sign(payload)?;
         let step = post(&mut self.requests, path, frame, LIMIT);
         let answer = within(self.timeout, step).await?;
-        Ok(self.seal.open::<LIMIT>(&answer)?.payload)
+        Ok(self.auth.verify::<LIMIT>(&answer)?.payload)
     }
 }
 
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -15,11 +15,11 @@
     common_version, decode_body, encode_body,
 };
 
-use crate::auth::{FrameSeal, FrameSide, SealError};
+use crate::auth::{AuthError, FrameAuthenticator, FrameSide};
 use crate::error::LinkError;
 use crate::evidence::EvidencePort;
-use crate::link::{LinkParts, read_stream};
-use crate::memory::LinkMemory;
+use crate::link::{LinkContext, read_stream};
+use crate::peer_view::PeerView;
 
 /// Connections at once. A node is linked to by about as many as it links to; 64 leave room for an
 /// unlucky hash and bound what strangers can hold open.
@@ -46,7 +46,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts links until the task is dropped.
-pub async fn accept_links<E: EvidencePort>(listener: TcpListener, parts: LinkParts<E>) {
+pub async fn accept_links<E: EvidencePort>(listener: TcpListener, context: LinkContext<E>) {
     let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
@@ -56,12 +56,12 @@
         let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
             continue;
         };
-        let parts = parts.clone();
+        let context = context.clone();
         tokio::spawn(async move {
-            let ended = serve_connection(&parts, stream).await;
-            if let Err(LinkError::Seal(error @ SealError::BadProof)) = ended {
+            let ended = serve_connection(&context, stream).await;
+            if let Err(LinkError::Seal(error @ AuthError::InvalidProof)) = ended {
                 let detail = format!("{address}: {error}");
-                parts
+                context
                     .recorder
                     .note(EventCode::PeerRefused, EventSubject::default(), detail);
             }
@@ -71,11 +71,11 @@
 }
 
 async fn serve_connection<E: EvidencePort>(
-    parts: &LinkParts<E>,
+    context: &LinkContext<E>,
     stream: TcpStream,
 ) -> Result<(), LinkError> {
     stream.set_nodelay(true)?;
-    let stream = parts.hub.traffic.watch(stream);
+    let stream = context.gossip.traffic.wrap(stream);
     let mut builder = h2::server::Builder::new();
     builder.max_concurrent_streams(MAX_STREAMS);
     let handshake = builder.handshake::<_, Bytes>(stream);
@@ -97,12 +97,12 @@
         };
         // The connection itself moves only while it is polled here, so a request must not be
         // answered in this loop.
-        let parts = parts.clone();
+        let context = context.clone();
         let session = Arc::clone(&session);
         let ended_sender = ended_sender.clone();
         tokio::spawn(async move {
             let mut session = session.lock().await;
-            if let Err(error) = answer_request(&parts, &mut session, request, respond).await {
+            if let Err(error) = answer_request(&context, &mut session, request, respond).await {
                 let _ = ended_sender.send(error).await;
             }
         });
@@ -111,8 +111,8 @@
 
 /// The answering side of one connection after the hello.
 struct AnswerSession {
-    seal: FrameSeal,
-    memory: LinkMemory,
+    auth: FrameAuthenticator,
+    peer_view: PeerView,
     answered: VecDeque<AnswerMoment>,
 }
 
@@ -136,14 +136,14 @@
             self.answered.pop_front();
         }
         self.answered.push_back(AnswerMoment {
-            sequence: self.seal.sent(),
+            sequence: self.auth.last_sent(),
             at: Instant::now(),
         });
     }
 }
 
 async fn answer_request<E: EvidencePort>(
-    parts: &LinkParts<E>,
+    context: &LinkContext<E>,
     session: &mut Option<AnswerSession>,
     request: Request<h2::RecvStream>,
     respond: SendResponse<Bytes>,
@@ -157,61 +157,63 @@
             let Some(version) = common_version(&hello) else {
                 return refuse(respond, StatusCode::UPGRADE_REQUIRED);
             };
-            let (opened, welcome) = welcome_peer(parts, &hello, version);
+            let (opened, welcome) = welcome_peer(context, &hello, version);
             *place = Some(opened);
             answer(respond, encode_body(&welcome)?)
         }
         ("/digest", Some(session)) => {
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
-            let frame = session.seal.open::<MAX_DIGEST_BYTES>(&bytes)?;
+            let frame = session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
             let digest: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
             let asked_at = session.asked_at(digest.echo).ok_or(LinkError::Late)?;
             if asked_at.elapsed() > LATE_LIMIT {
                 return Err(LinkError::Late);
             }
-            parts
-                .hub
-                .incoming(&mut session.memory, digest, asked_at)
+            context
+                .gossip
+                .apply_digest(&mut session.peer_view, digest, asked_at)
                 .await;
             tokio::time::sleep(ANSWER_PAUSE).await;
-            let digest = parts
-                .hub
-                .outgoing(&mut session.memory, frame.sequence)
+            let digest = context
+                .gossip
+                .build_digest(&mut session.peer_view, frame.sequence)
                 .await;
-            let sealed = session.seal.seal(encode_body(&digest)?)?;
+            let signed = session.auth.sign(encode_body(&digest)?)?;
             session.note_answer();
-            parts.hub.traffic.count_exchange();
-            answer(respond, sealed)
+            context.gossip.traffic.count_exchange();
+            answer(respond, signed)
         }
         ("/snapshot", Some(session)) => {
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
-            session.seal.open::<MAX_DIGEST_BYTES>(&bytes)?;
-            let snapshot = parts.hub.config.snapshot().await;
+            session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
+            let snapshot = context.gossip.config.snapshot().await;
             let json = serde_json::to_vec(&snapshot)
                 .map_err(|error| LinkError::Connection(error.to_string()))?;
-            let sealed = session.seal.seal(json)?;
+            let signed = session.auth.sign(json)?;
             session.note_answer();
-            answer(respond, sealed)
+            answer(respond, signed)
         }
         _ => refuse(respond, StatusCode::NOT_FOUND),
     }
 }
 
 fn welcome_peer<E: EvidencePort>(
-    parts: &LinkParts<E>,
+    context: &LinkContext<E>,
     hello: &PeerHello,
     version: u8,
 ) -> (AnswerSession, PeerWelcome) {
     let mut welcome = PeerWelcome {
         version,
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
-        node: parts.hub.book.node().clone(),
+        node: context.gossip.book.node().clone(),
         proof: Default::default(),
     };
-    welcome.proof = parts.key.proof(hello, &welcome);
+    welcome.proof = context.key.proof(hello, &welcome);
     let mut session = AnswerSession {
-        seal: parts.key.seal(hello, &welcome, FrameSide::Answerer),
-        memory: LinkMemory::default(),
+        auth: context
+            .key
+            .authenticator(hello, &welcome, FrameSide::Responder),
+        peer_view: PeerView::default(),
         answered: VecDeque::new(),
     };
     session.note_answer();
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -8,10 +8,10 @@
 use events::{EventCode, EventSubject};
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::choose::choose_peers;
 use crate::error::LinkError;
 use crate::evidence::EvidencePort;
-use crate::link::{LinkParts, run_link};
+use crate::link::{LinkContext, run_link};
+use crate::select::select_peers;
 
 /// The choice is made anew so often; a change of members is never urgent here.
 const CHOOSE_PERIOD: Duration = Duration::from_millis(500);
@@ -31,9 +31,9 @@
 }
 
 /// Keeps the node's links until the task is dropped.
-pub async fn keep_links<E: EvidencePort>(parts: LinkParts<E>) {
+pub async fn maintain_links<E: EvidencePort>(context: LinkContext<E>) {
     let mut keeper = LinkKeeper {
-        parts,
+        context,
         running: FastMap::default(),
         tasks: JoinSet::new(),
         avoided: FastMap::default(),
@@ -52,7 +52,7 @@
 }
 
 struct LinkKeeper<E> {
-    parts: LinkParts<E>,
+    context: LinkContext<E>,
     running: FastMap<LinkPlace, AbortHandle>,
     tasks: JoinSet<LinkEnd>,
     avoided: FastMap<LinkPlace, Instant>,
@@ -61,7 +61,7 @@
 impl<E: EvidencePort> LinkKeeper<E> {
     fn choose(&mut self, now: Instant) {
         self.avoided.retain(|_, until| *until > now);
-        let view = self.parts.hub.book.view(now);
+        let view = self.context.gossip.book.view(now);
         let avoided: FastSet<NodeId> = self
             .avoided
             .keys()
@@ -70,14 +70,14 @@
                 LinkPlace::Seed(_) => None,
             })
             .collect();
-        let own = self.parts.hub.book.own();
-        let degree = self.parts.settings.degree;
+        let own = self.context.gossip.book.own();
+        let degree = self.context.settings.degree;
         let mut wanted: FastMap<LinkPlace, SocketAddr> = FastMap::default();
-        for member in choose_peers(&own, &view, degree, &avoided) {
+        for member in select_peers(&own, &view, degree, &avoided) {
             wanted.insert(LinkPlace::Member(member.node), member.address);
         }
         if wanted.is_empty() {
-            for seed in &self.parts.settings.seeds {
+            for seed in &self.context.settings.seeds {
                 let place = LinkPlace::Seed(*seed);
                 if *seed == own.address || self.avoided.contains_key(&place) {
                     continue;
@@ -101,14 +101,14 @@
         if self.running.contains_key(&place) {
             return;
         }
-        let parts = self.parts.clone();
+        let context = self.context.clone();
         let target = place.clone();
         let task = self.tasks.spawn(async move {
             let expected = match &target {
                 LinkPlace::Member(node) => Some(node),
                 LinkPlace::Seed(_) => None,
             };
-            let ended = run_link(&parts, address, expected).await;
+            let ended = run_link(&context, address, expected).await;
             let error = match ended {
                 Ok(never) => match never {},
                 Err(error) => error,
@@ -124,10 +124,10 @@
     /// A peer whose link failed is avoided for a while, and another takes its place: retried at
     /// once, a frozen peer would hold the place and a returning one be run over.
     fn note_end(&mut self, ended: LinkEnd, now: Instant) {
-        let until = now + jittered(self.parts.settings.avoid());
+        let until = now + jittered(self.context.settings.avoid_duration());
         self.running.remove(&ended.place);
         let detail = format!("{:?}: {}", ended.place, ended.error);
-        self.parts
+        self.context
             .recorder
             .note(EventCode::PeerLost, EventSubject::default(), detail);
         self.avoided.insert(ended.place, until);
--- a/crates/peers/src/memory.rs
+++ b/crates/peers/src/peer_view.rs
@@ -30,7 +30,7 @@
 
 /// What a peer is known to have, on one connection.
 #[derive(Debug, Default)]
-pub struct LinkMemory {
+pub struct PeerView {
     /// The highest revision that the peer has or was sent.
     pub revision: ConfigRevision,
     sent_rows: Vec<NodeId>,
@@ -51,10 +51,10 @@
     as_of: Instant,
 }
 
-impl LinkMemory {
+impl PeerView {
     /// Whether so much went over the connection that it should be made anew.
     #[must_use]
-    pub fn is_worn(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         let rows = self.sent_rows.len().max(self.received_rows.len());
         let findings = self.received_evidence.len();
         rows.max(findings).max(self.evidence_count as usize) >= WORN_ENTRIES
@@ -150,8 +150,8 @@
     }
 
     /// Takes in the members of a digest: whole rows, and heartbeats with their node.
-    pub fn take_members(&mut self, digest: &PeerDigest) -> MemberNews {
-        let mut news = MemberNews::default();
+    pub fn apply_members(&mut self, digest: &PeerDigest) -> MemberUpdates {
+        let mut news = MemberUpdates::default();
         for row in &digest.rows {
             let place = u32::try_from(self.received_rows.len()).unwrap_or(u32::MAX);
             self.received_rows.push(row.node.clone());
@@ -170,7 +170,7 @@
                 continue;
             };
             self.raise_beat(&node, beat.beat);
-            news.beats.push(NodeBeat {
+            news.beats.push(NodeHeartbeat {
                 node,
                 beat: beat.beat,
             });
@@ -187,7 +187,7 @@
     }
 
     /// Takes in the evidence of a digest that answers a question sent at `asked_at`.
-    pub fn take_evidence(&mut self, digest: &PeerDigest, asked_at: Instant) -> Vec<TimedEvidence> {
+    pub fn apply_evidence(&mut self, digest: &PeerDigest, asked_at: Instant) -> Vec<TimedEvidence> {
         let mut taken = Vec::new();
         for wire in &digest.evidence {
             let evidence = HealthEvidence {
@@ -216,16 +216,16 @@
 
 /// Members that a digest brought.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct MemberNews {
+pub struct MemberUpdates {
     /// Whole rows.
     pub rows: Vec<MemberRow>,
     /// Heartbeats of members whose row came before.
-    pub beats: Vec<NodeBeat>,
+    pub beats: Vec<NodeHeartbeat>,
 }
 
 /// A member's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NodeBeat {
+pub struct NodeHeartbeat {
     /// The member.
     pub node: NodeId,
     /// Its heartbeat.
--- a/crates/peers/src/choose.rs
+++ b/crates/peers/src/select.rs
@@ -13,7 +13,7 @@
 /// island; the others stay in the own domain, where a message costs least and evidence matters
 /// most. `avoided` are peers whose link failed lately; their place goes to the next in rank.
 #[must_use]
-pub fn choose_peers(
+pub fn select_peers(
     own: &Member,
     view: &MemberView,
     degree: usize,
--- a/crates/peers/src/settings.rs
+++ b/crates/peers/src/settings.rs
@@ -44,19 +44,19 @@
 impl PeerSettings {
     /// Mean time between two exchanges on a link.
     #[must_use]
-    pub fn exchange(&self) -> Duration {
+    pub fn exchange_interval(&self) -> Duration {
         Duration::from_millis(self.exchange_ms)
     }
 
     /// Longest exchange.
     #[must_use]
-    pub fn timeout(&self) -> Duration {
+    pub fn exchange_timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
     /// How long a peer whose link failed is avoided.
     #[must_use]
-    pub fn avoid(&self) -> Duration {
+    pub fn avoid_duration(&self) -> Duration {
         Duration::from_millis(self.avoid_ms)
     }
 }
--- a/crates/peers/src/traffic.rs
+++ b/crates/peers/src/traffic.rs
@@ -51,7 +51,7 @@
 
     /// Counts the bytes of a connection.
     #[must_use]
-    pub fn watch(&self, stream: TcpStream) -> CountedStream {
+    pub fn wrap(&self, stream: TcpStream) -> CountedStream {
         CountedStream {
             stream,
             traffic: self.clone(),
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -15,8 +15,8 @@
 use domain::record::RecordKind;
 use events::EventRecorder;
 use peers::{
-    EvidencePort, LinkParts, NoEvidence, PeerHub, PeerSettings, PeerTraffic, SharedKey,
-    accept_links, keep_links,
+    EvidencePort, GossipState, LinkContext, NoEvidence, PeerSettings, PeerTraffic, SharedKey,
+    accept_links, maintain_links,
 };
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -102,7 +102,7 @@
         let recorder = EventRecorder::new(own.node.clone(), 1_000);
         let views = watch::Sender::new(Arc::new(ConfigView::default()));
         let config = ConfigKeeper::start(self.rule, book.clone(), views, recorder.clone());
-        let hub = PeerHub {
+        let gossip = GossipState {
             config: config.clone(),
             book: book.clone(),
             evidence,
@@ -112,21 +112,21 @@
         };
         let mut settings = self.settings.clone();
         settings.seeds = seeds.to_vec();
-        let parts = LinkParts {
-            hub: hub.clone(),
+        let context = LinkContext {
+            gossip: gossip.clone(),
             key: SharedKey::new(key).expect("a long key"),
             settings,
             recorder,
         };
         let tasks = vec![
-            tokio::spawn(accept_links(listener, parts.clone())),
-            tokio::spawn(keep_links(parts)),
+            tokio::spawn(accept_links(listener, context.clone())),
+            tokio::spawn(maintain_links(context)),
             tokio::spawn(beat_forever(book.clone(), self.beat)),
         ];
         MeshNode {
             config,
             book,
-            traffic: hub.traffic,
+            traffic: gossip.traffic,
             address,
             tasks,
         }
--- a/crates/peers/tests/peer_choice.rs
+++ b/crates/peers/tests/peer_selection.rs
@@ -6,7 +6,7 @@
 use control::members::MemberView;
 use domain::{FastMap, FastSet, NodeId};
 use peers::PeerSettings;
-use peers::choose::choose_peers;
+use peers::select::select_peers;
 
 /// Nodes in 13 failure domains of 4 regions, as in two years' time.
 fn members(count: usize) -> MemberView {
@@ -31,7 +31,7 @@
     let none = FastSet::default();
     let mut choices = FastMap::default();
     for member in &view.members {
-        let chosen = choose_peers(member, view, degree(), &none);
+        let chosen = select_peers(member, view, degree(), &none);
         choices.insert(member.node.clone(), chosen);
     }
     choices
--- a/crates/peers/tests/link_memory.rs
+++ b/crates/peers/tests/peer_view.rs
@@ -6,7 +6,7 @@
 use control::members::MemberRow;
 use domain::{FastMap, HealthEvidence, IncarnationNumber, NodeId};
 use peers::TimedEvidence;
-use peers::memory::LinkMemory;
+use peers::peer_view::PeerView;
 use quickcheck::{Gen, QuickCheck};
 use wire::peer::PeerDigest;
 
@@ -28,12 +28,12 @@
 
 /// One end of a connection with what its node knows.
 #[derive(Default)]
-struct LinkSide {
-    memory: LinkMemory,
+struct TestEndpoint {
+    peer_view: PeerView,
     beats: FastMap<NodeId, MemberRow>,
 }
 
-impl LinkSide {
+impl TestEndpoint {
     fn learn(&mut self, row: MemberRow) {
         let known = self.beats.get(&row.member.node);
         if known.is_none_or(|known| known.beat < row.beat) {
@@ -44,12 +44,12 @@
     fn send(&mut self) -> PeerDigest {
         let mut digest = PeerDigest::default();
         let rows = self.beats.values().cloned().collect();
-        self.memory.add_members(&mut digest, rows);
+        self.peer_view.add_members(&mut digest, rows);
         digest
     }
 
     fn take(&mut self, digest: &PeerDigest) {
-        let news = self.memory.take_members(digest);
+        let news = self.peer_view.apply_members(digest);
         for row in news.rows {
             self.learn(row);
         }
@@ -68,22 +68,22 @@
 #[test]
 fn sides_agree() {
     fn property(steps: Vec<(bool, u8, u64)>) -> bool {
-        let mut caller = LinkSide::default();
-        let mut answerer = LinkSide::default();
+        let mut initiator = TestEndpoint::default();
+        let mut responder = TestEndpoint::default();
         for (near, number, beat) in steps {
-            let side = if near { &mut caller } else { &mut answerer };
+            let side = if near { &mut initiator } else { &mut responder };
             side.learn(row(number % 8, beat % 50));
             if beat % 3 != 0 {
                 continue;
             }
-            let question = caller.send();
-            answerer.take(&question);
-            let answer = answerer.send();
-            caller.take(&answer);
-            if caller.beats != answerer.beats {
+            let question = initiator.send();
+            responder.take(&question);
+            let answer = responder.send();
+            initiator.take(&answer);
+            if initiator.beats != responder.beats {
                 return false;
             }
-            if caller.send() != PeerDigest::default() {
+            if initiator.send() != PeerDigest::default() {
                 return false;
             }
         }
@@ -116,13 +116,13 @@
     let seen = Instant::now();
     let mut held = finding(1, seen);
     for hop in 1..6_u64 {
-        let mut sender = LinkMemory::default();
-        let mut receiver = LinkMemory::default();
+        let mut sender = PeerView::default();
+        let mut receiver = PeerView::default();
         let asked_at = seen + Duration::from_millis(733 * hop);
         let answered_at = asked_at + Duration::from_millis(7);
         let mut digest = PeerDigest::default();
         sender.add_evidence(&mut digest, vec![held.clone()], answered_at);
-        let taken = receiver.take_evidence(&digest, asked_at);
+        let taken = receiver.apply_evidence(&digest, asked_at);
         assert_eq!(taken.len(), 1);
         assert!(taken[0].as_of <= seen, "it got younger");
         held = taken[0].clone();
@@ -132,11 +132,11 @@
 #[test]
 fn looks_not_returned() {
     let now = Instant::now();
-    let mut sender = LinkMemory::default();
-    let mut receiver = LinkMemory::default();
+    let mut sender = PeerView::default();
+    let mut receiver = PeerView::default();
     let mut digest = PeerDigest::default();
     sender.add_evidence(&mut digest, vec![finding(1, now)], now);
-    let taken = receiver.take_evidence(&digest, now);
+    let taken = receiver.apply_evidence(&digest, now);
     let mut back = PeerDigest::default();
     receiver.add_evidence(&mut back, taken, now);
     assert_eq!(back, PeerDigest::default());
@@ -144,7 +144,7 @@
     let mut again = PeerDigest::default();
     sender.add_evidence(&mut again, vec![finding(1, later)], later);
     assert_eq!((again.evidence.len(), again.looks.len()), (0, 1));
-    let taken = receiver.take_evidence(&again, later);
+    let taken = receiver.apply_evidence(&again, later);
     assert_eq!(taken, vec![finding(1, later)]);
 }
 
@@ -153,13 +153,13 @@
 #[test]
 fn memory_wears_out() {
     let now = Instant::now();
-    let mut memory = LinkMemory::default();
+    let mut peer_view = PeerView::default();
     for incarnation in 0..10_000 {
-        if memory.is_worn() {
+        if peer_view.is_full() {
             return;
         }
         let mut digest = PeerDigest::default();
-        memory.add_evidence(&mut digest, vec![finding(incarnation, now)], now);
+        peer_view.add_evidence(&mut digest, vec![finding(incarnation, now)], now);
     }
     panic!("it is never worn");
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -9,8 +9,8 @@
 use control::members::{Member, MemberBook, MemberKeeper, MemberState, MemberView};
 use eyre::WrapErr;
 use peers::{
-    EvidencePort, LinkParts, PeerHub, PeerTraffic, SharedKey, TimedEvidence, accept_links,
-    keep_links,
+    EvidencePort, GossipState, LinkContext, PeerTraffic, SharedKey, TimedEvidence, accept_links,
+    maintain_links,
 };
 use settings::NodeSettings;
 use settings::node::peer_key;
@@ -29,7 +29,7 @@
 
 /// The running links.
 pub struct PeerTasks {
-    hub: PeerHub<StoreEvidence>,
+    gossip: GossipState<StoreEvidence>,
     members: MemberKeeper<NodeTable>,
 }
 
@@ -134,7 +134,7 @@
         tokio::spawn(self.members.clone().write_forever());
         tokio::spawn(self.members.clone().beat_forever());
         tokio::spawn(self.members.clone().list_forever());
-        let hub = PeerHub {
+        let gossip = GossipState {
             config: self.config,
             book: self.book,
             evidence: StoreEvidence(context.evidence_store.clone()),
@@ -143,17 +143,17 @@
             wake: Arc::default(),
         };
         if let Some(key) = key {
-            let parts = LinkParts {
-                hub: hub.clone(),
+            let links = LinkContext {
+                gossip: gossip.clone(),
                 key,
                 settings: settings.peers.clone(),
                 recorder: context.recorder.clone(),
             };
-            tokio::spawn(accept_links(self.listener, parts.clone()));
-            tokio::spawn(keep_links(parts));
+            tokio::spawn(accept_links(self.listener, links.clone()));
+            tokio::spawn(maintain_links(links));
         }
         Ok(PeerTasks {
-            hub,
+            gossip,
             members: self.members,
         })
     }
@@ -162,21 +162,24 @@
 impl PeerTasks {
     /// The configuration in force, and how well it is known.
     pub fn config(&self) -> &ConfigHandle {
-        &self.hub.config
+        &self.gossip.config
     }
 
     /// What went over the links.
     pub fn traffic(&self) -> &PeerTraffic {
-        &self.hub.traffic
+        &self.gossip.traffic
     }
 
     /// The membership.
     pub fn book(&self) -> &MemberBook {
-        &self.hub.book
+        &self.gossip.book
     }
 
     /// Says goodbye to the other nodes.
     pub async fn leave(&self) {
-        tokio::join!(self.hub.say_goodbye(GOODBYE_LIMIT), self.members.leave());
+        tokio::join!(
+            self.gossip.announce_leave(GOODBYE_LIMIT),
+            self.members.leave()
+        );
     }
 }
