--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::RequestFacts;
+use adapter::RequestHeaders;
 use bytes::Bytes;
 use http::{Request, header};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -30,7 +30,7 @@
     node: &Rc<GatewayNode>,
     config: &GatewayConfig,
     request: Request<Incoming>,
-    facts: &RequestFacts,
+    facts: &RequestHeaders,
 ) -> Result<ForwardRequest, Refusal> {
     let arrived = node.now();
     let (head, body) = request.into_parts();
@@ -83,7 +83,7 @@
 fn find_key(
     config: &GatewayConfig,
     route: &CallerRoute,
-    facts: &RequestFacts,
+    facts: &RequestHeaders,
 ) -> Result<Option<KnownCaller>, Refusal> {
     let Some(keys) = &config.keys else {
         return Ok(None);
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -49,7 +49,7 @@
     pub fn response(self, id: Option<&RequestId>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() = self.status();
-        *response.headers_mut() = adapter::headers::own_headers(id);
+        *response.headers_mut() = adapter::headers::local_response_headers(id);
         if let Self::NotRun(wait) = self
             && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()))
         {
--- a/crates/gateway/src/ends.rs
+++ b/crates/gateway/src/ends.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::{RowsPage, StoreClient, StoreError, StoreRow};
+use adapter::{RowPage, StoreClient, StoreError, StoreRow};
 use domain::{BootNumber, HostId};
 use events::{EventCode, EventLine};
 use serde::{Deserialize, Serialize};
@@ -168,7 +168,7 @@
     }
 }
 
-async fn read_ends(node: &GatewayNode, client: &mut StoreClient) -> Result<RowsPage, StoreError> {
+async fn read_ends(node: &GatewayNode, client: &mut StoreClient) -> Result<RowPage, StoreError> {
     let page = client.read_table(ENDS_TABLE, CALL_LIMIT).await?;
     node.set_store_clock(page.clock);
     let now = node.now();
@@ -198,12 +198,12 @@
     serde_json::from_slice(row.value.as_ref()?).ok()
 }
 
-fn row_age(page: &RowsPage, row: &EndRow) -> Duration {
+fn row_age(page: &RowPage, row: &EndRow) -> Duration {
     page.clock
         .saturating_sub(Duration::from_millis(row.clock_ms))
 }
 
-async fn remove_old(node: &GatewayNode, client: &mut StoreClient, page: &RowsPage) {
+async fn remove_old(node: &GatewayNode, client: &mut StoreClient, page: &RowPage) {
     let is_old = |row: &&StoreRow| {
         let decoded = decode_row(row);
         decoded.is_none_or(|decoded| row_age(page, &decoded) >= BLAME_MEMORY)
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::RequestFacts;
+use adapter::RequestHeaders;
 use bytes::Bytes;
 use domain::{FastSet, HostId, RequestId};
 use events::{EventCode, EventLine};
@@ -59,7 +59,7 @@
     request: Request<Incoming>,
     running: RunningRequest,
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd> + use<>>> {
-    let facts = RequestFacts::from(request.headers());
+    let facts = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
         let answer = OwnAnswer::NotRun(ABSENT_WAIT);
         return own(node, &facts, None, answer, "no configuration yet").map(Either::Left);
@@ -102,7 +102,7 @@
 
 fn own(
     node: &GatewayNode,
-    facts: &RequestFacts,
+    facts: &RequestHeaders,
     forward: Option<&ForwardRequest>,
     answer: OwnAnswer,
     reason: &str,
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::OrderAnswer;
+use adapter::OrderResponse;
 use adapter::orders::HostOrder;
 use domain::{BootNumber, FastMap, FastSet, HostId, ReplicaId};
 use events::{EventCode, EventLine};
@@ -215,21 +215,21 @@
             return (OrderEnd::Stale, trial, "the engine is gone".to_owned());
         };
         let given = target
-            .give(&planned.order, accepted, fence, ORDER_LIMIT)
+            .send(&planned.order, accepted, fence, ORDER_LIMIT)
             .await;
         match given {
-            Ok(OrderAnswer::Begun) => {
+            Ok(OrderResponse::Begun) => {
                 desk.note_answer(&planned.host, boot, accepted + 1, node.now());
                 return (OrderEnd::Done, trial, format!("as order {}", accepted + 1));
             }
-            Ok(OrderAnswer::Holds) => {
+            Ok(OrderResponse::Holds) => {
                 // To leave takes effect before it is answered, and counts like an order that began.
                 if matches!(planned.order, HostOrder::Leave { .. }) {
                     desk.note_answer(&planned.host, boot, accepted + 1, node.now());
                 }
                 return (OrderEnd::Done, trial, "holds".to_owned());
             }
-            Ok(OrderAnswer::Conflict) => {
+            Ok(OrderResponse::Conflict) => {
                 desk.forget(&planned.host);
                 // The first of two equal orders may have been carried out unanswered.
                 let done = trial > 1 && is_done(node, planned).await;
@@ -276,9 +276,9 @@
         let Some(target) = order_target(node, &planned.host) else {
             return Err((OrderEnd::Stale, "the engine is gone".to_owned()));
         };
-        match target.report(ORDER_LIMIT).await {
+        match target.fetch_report(ORDER_LIMIT).await {
             Ok(report) => {
-                let found = report.holding.membership.as_ref().map(key);
+                let found = report.status.membership.as_ref().map(key);
                 if found != planned.expected {
                     let found = found.map_or("none".to_owned(), |(name, _)| name.to_string());
                     return Err((OrderEnd::Stale, format!("its replica is {found}")));
@@ -307,13 +307,13 @@
     let Some(target) = order_target(node, &planned.host) else {
         return false;
     };
-    let Ok(report) = target.report(ORDER_LIMIT).await else {
+    let Ok(report) = target.fetch_report(ORDER_LIMIT).await else {
         return false;
     };
     if let HostOrder::Stage { model } = &planned.order {
-        return report.holding.staged.contains(model);
+        return report.status.staged.contains(model);
     }
-    let found = report.holding.membership;
+    let found = report.status.membership;
     let (replica, epoch) = match &planned.order {
         HostOrder::Join { replica, epoch, .. }
         | HostOrder::Open { replica, epoch }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -79,7 +79,7 @@
     let mut sign = LossSign::Silent;
     for _ in 0..2 {
         let target = order_target(node, id)?;
-        match target.report(REPORT_LIMIT).await {
+        match target.fetch_report(REPORT_LIMIT).await {
             Ok(report) => return Some(report),
             Err(error) => {
                 let refused = error.is_refused();
@@ -148,14 +148,14 @@
         node.trust(&id);
         return;
     };
-    if target.report(REPORT_LIMIT).await.is_ok() {
+    if target.fetch_report(REPORT_LIMIT).await.is_ok() {
         node.trust(&id);
     }
 }
 
 /// Asks an engine about its replica, ahead of the registry; one that does not answer is suspected.
 pub async fn ask_host(node: &GatewayNode, target: OrderTarget) {
-    match target.report(REPORT_LIMIT).await {
+    match target.fetch_report(REPORT_LIMIT).await {
         Ok(report) => take_report(node, &target.id, report),
         Err(error) => node.suspect(&target.id, (&error).into(), &error.to_string()),
     }
@@ -164,10 +164,10 @@
 /// Takes what an engine says of itself, ahead of the registry.
 fn take_report(node: &GatewayNode, id: &HostId, report: HostReport) {
     node.foresee(id, |entry| {
-        entry.boot = report.holding.boot;
-        entry.loaded = report.holding.loaded;
-        entry.staged = report.holding.staged;
-        entry.membership = report.holding.membership;
+        entry.boot = report.status.boot;
+        entry.loaded = report.status.loaded;
+        entry.staged = report.status.staged;
+        entry.membership = report.status.membership;
     });
 }
 
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::{AnswerFacts, FaultyTarget, ForwardFacts};
+use adapter::{FaultyTarget, ForwardHeaders, ResponseHeaders};
 use domain::{BootNumber, CustomerId, HostId, ServiceName};
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::Full;
@@ -102,7 +102,7 @@
     /// Its headers, without those of the connection.
     pub headers: HeaderMap,
     /// What they say.
-    pub facts: AnswerFacts,
+    pub facts: ResponseHeaders,
     /// Body.
     pub body: Incoming,
     /// Its connection, to be kept after the body's end.
@@ -181,7 +181,7 @@
         Ok(link) => link,
         Err(error) => return Err(unreachable_target(node, target, &error)),
     };
-    let facts = ForwardFacts {
+    let facts = ForwardHeaders {
         time_left: request.time_left(node.now()),
         host: &target.id,
         customer: request.customer.as_ref(),
@@ -276,7 +276,7 @@
 ) -> AttemptEnd {
     let id = &target.id;
     let (head, body) = exchanged.answer.into_parts();
-    let facts = AnswerFacts::from(&head.headers);
+    let facts = ResponseHeaders::from(&head.headers);
     let own = request.id.as_ref().map(domain::RequestId::as_str);
     // An answer to another request: the target sent one too many on this connection.
     if facts.request.is_some() && facts.request.as_deref() != own {
@@ -293,9 +293,9 @@
             });
         }
     }
-    if facts.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if facts.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-        match &facts.faulty {
+        match &facts.faulty_target {
             Some(FaultyTarget::Id(faulty)) if faulty != id => {
                 node.suspect(faulty, LossSign::Closed, "its head misses it");
             }
@@ -314,7 +314,7 @@
         return AttemptEnd::NotRun(head.status);
     }
     let success = head.status.is_success();
-    if success && !facts.genuine {
+    if success && !facts.signed {
         let now = node.now();
         node.with_load(id, |load| load.fail(now));
         return AttemptEnd::Lost("the answer is not the target's".to_owned());
@@ -347,8 +347,9 @@
 
     /// Gives the connection back after the body's end.
     pub fn finish(self, node: &GatewayNode) {
-        if !self.facts.closes {
-            node.pool.keep(&self.host, self.link, self.facts.idle);
+        if !self.facts.connection_close {
+            node.pool
+                .keep(&self.host, self.link, self.facts.keep_alive_timeout);
         }
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -6,7 +6,7 @@
 
 use adapter::config::{CONFIG_KEY, CONFIG_TABLE};
 use adapter::registry::TARGETS_TABLE;
-use adapter::{RowsPage, StoreClient, StoreError, StoreRow, decode_config, decode_target};
+use adapter::{RowPage, StoreClient, StoreError, StoreRow, decode_config, decode_target};
 use domain::{HostId, RowVersion};
 use events::{EventCode, EventLine};
 
@@ -53,7 +53,7 @@
     /// Name of the table.
     fn table(&self) -> &'static str;
     /// Takes the whole table.
-    fn take_page(&mut self, page: RowsPage);
+    fn take_page(&mut self, page: RowPage);
     /// Takes one changed row.
     fn take_row(&mut self, row: StoreRow);
     /// Notes that the table is known as of a version.
@@ -136,7 +136,7 @@
         return Ok((version, true));
     };
     let answer = client
-        .follow_table(table, after, FOLLOW_WAIT, FOLLOW_SLACK)
+        .watch_table(table, after, FOLLOW_WAIT, FOLLOW_SLACK)
         .await?;
     let changed = !answer.rows.is_empty();
     for row in answer.rows {
@@ -169,7 +169,7 @@
         CONFIG_TABLE
     }
 
-    fn take_page(&mut self, page: RowsPage) {
+    fn take_page(&mut self, page: RowPage) {
         for row in page.rows {
             self.take_row(row);
         }
@@ -236,7 +236,7 @@
         TARGETS_TABLE
     }
 
-    fn take_page(&mut self, page: RowsPage) {
+    fn take_page(&mut self, page: RowPage) {
         let mut present: HashSet<String> = HashSet::new();
         let line = EventLine::new(EventCode::RegistryRead)
             .number("rows", u64::try_from(page.rows.len()).unwrap_or(u64::MAX))
