--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -10,7 +10,7 @@
 
 use domain::{BootNumber, FastMap, HostId};
 use events::{EventCode, EventLine};
-use serving::{EndedRun, TargetEnd};
+use serving::{CrashedRequest, TargetCrash};
 use web::{HttpLink, LinkError};
 
 use crate::ends::share_end;
@@ -29,18 +29,18 @@
 /// Runs that broke off at targets of which it is not known yet whether they ended.
 #[derive(Debug, Default)]
 pub struct BrokenRuns {
-    by_target: FastMap<(HostId, BootNumber), Vec<EndedRun>>,
+    by_target: FastMap<(HostId, BootNumber), Vec<CrashedRequest>>,
 }
 
 impl BrokenRuns {
     /// Adds a run; whether it is the first at its target.
-    fn add(&mut self, host: &HostId, boot: BootNumber, run: EndedRun) -> bool {
+    fn add(&mut self, host: &HostId, boot: BootNumber, run: CrashedRequest) -> bool {
         let runs = self.by_target.entry((host.clone(), boot)).or_default();
         runs.push(run);
         runs.len() == 1
     }
 
-    fn take(&mut self, host: &HostId, boot: BootNumber) -> Vec<EndedRun> {
+    fn take(&mut self, host: &HostId, boot: BootNumber) -> Vec<CrashedRequest> {
         let key = (host.clone(), boot);
         self.by_target.remove(&key).unwrap_or_default()
     }
@@ -55,7 +55,10 @@
     ran: Option<Duration>,
 ) {
     let mark = request.mark();
-    let run = EndedRun { mark, ran };
+    let run = CrashedRequest {
+        fingerprint: mark,
+        answer_age: ran,
+    };
     let is_first = node.with_broken_runs(|broken| broken.add(host, boot, run));
     if is_first {
         let node = Rc::clone(node);
@@ -71,9 +74,9 @@
         return;
     }
     log_end(&node, &host, boot, &runs);
-    let end = TargetEnd { host, boot };
+    let end = TargetCrash { host, boot };
     let now = node.now();
-    node.take_ends(|ledger| ledger.note(end.clone(), now, &runs));
+    node.take_ends(|ledger| ledger.record(end.clone(), now, &runs));
     share_end(&node, &end, &runs).await;
 }
 
@@ -93,10 +96,10 @@
     matches!(connected, Err(LinkError::Refused))
 }
 
-fn log_end(node: &GatewayNode, host: &HostId, boot: BootNumber, runs: &[EndedRun]) {
+fn log_end(node: &GatewayNode, host: &HostId, boot: BootNumber, runs: &[CrashedRequest]) {
     let named = runs.iter().take(LOGGED_MARKS).map(|run| {
-        let ran = run.ran.map(|ran| ran.as_millis().to_string());
-        let mark = run.mark.to_string();
+        let ran = run.answer_age.map(|ran| ran.as_millis().to_string());
+        let mark = run.fingerprint.to_string();
         format!("{}:{}", &mark[..8], ran.as_deref().unwrap_or("-"))
     });
     let named: Vec<String> = named.collect();
--- a/crates/gateway/src/ends.rs
+++ b/crates/gateway/src/ends.rs
@@ -13,8 +13,8 @@
 use domain::{BootNumber, HostId};
 use events::{EventCode, EventLine};
 use serde::{Deserialize, Serialize};
-use serving::blame::BLAME_MEMORY;
-use serving::{EndedRun, RequestMark, TargetEnd};
+use serving::poison::CRASH_RETENTION;
+use serving::{CrashedRequest, RequestFingerprint, TargetCrash};
 
 use crate::hints::LoadHint;
 use crate::node::GatewayNode;
@@ -68,30 +68,30 @@
     ran_ms: Option<u64>,
 }
 
-impl From<&EndedRun> for RunRow {
-    fn from(run: &EndedRun) -> Self {
+impl From<&CrashedRequest> for RunRow {
+    fn from(run: &CrashedRequest) -> Self {
         let millis = |ran: Duration| u64::try_from(ran.as_millis()).unwrap_or(u64::MAX);
         Self {
-            mark: run.mark.to_string(),
-            ran_ms: run.ran.map(millis),
+            mark: run.fingerprint.to_string(),
+            ran_ms: run.answer_age.map(millis),
         }
     }
 }
 
-impl TryFrom<&RunRow> for EndedRun {
+impl TryFrom<&RunRow> for CrashedRequest {
     type Error = std::num::ParseIntError;
 
     fn try_from(row: &RunRow) -> Result<Self, Self::Error> {
-        let mark: RequestMark = row.mark.parse()?;
+        let fingerprint: RequestFingerprint = row.mark.parse()?;
         Ok(Self {
-            mark,
-            ran: row.ran_ms.map(Duration::from_millis),
+            fingerprint,
+            answer_age: row.ran_ms.map(Duration::from_millis),
         })
     }
 }
 
 /// Tells the other nodes what this one had at a target that ended.
-pub async fn share_end(node: &Rc<GatewayNode>, end: &TargetEnd, runs: &[EndedRun]) {
+pub async fn share_end(node: &Rc<GatewayNode>, end: &TargetCrash, runs: &[CrashedRequest]) {
     let mut client = StoreClient::new(node.settings.store);
     // The first read tells the store's clock.
     if node.store_clock().is_none()
@@ -117,8 +117,8 @@
 async fn write_end(
     node: &GatewayNode,
     client: &mut StoreClient,
-    end: &TargetEnd,
-    runs: &[EndedRun],
+    end: &TargetCrash,
+    runs: &[CrashedRequest],
 ) -> Result<(), StoreError> {
     let clock = node.store_clock().unwrap_or_default();
     let row = EndRow {
@@ -175,19 +175,19 @@
     node.take_ends(|ledger| {
         for row in page.rows.iter().filter_map(decode_row) {
             let age = row_age(&page, &row);
-            if age >= BLAME_MEMORY {
+            if age >= CRASH_RETENTION {
                 continue;
             }
             let runs = row
                 .runs
                 .iter()
-                .filter_map(|run| EndedRun::try_from(run).ok());
-            let runs: Vec<EndedRun> = runs.collect();
-            let end = TargetEnd {
+                .filter_map(|run| CrashedRequest::try_from(run).ok());
+            let runs: Vec<CrashedRequest> = runs.collect();
+            let end = TargetCrash {
                 host: row.host,
                 boot: row.boot,
             };
-            ledger.note(end, now.saturating_sub(age), &runs);
+            ledger.record(end, now.saturating_sub(age), &runs);
         }
     });
     Ok(page)
@@ -206,7 +206,7 @@
 async fn remove_old(node: &GatewayNode, client: &mut StoreClient, page: &RowPage) {
     let is_old = |row: &&StoreRow| {
         let decoded = decode_row(row);
-        decoded.is_none_or(|decoded| row_age(page, &decoded) >= BLAME_MEMORY)
+        decoded.is_none_or(|decoded| row_age(page, &decoded) >= CRASH_RETENTION)
     };
     let old = page.rows.iter().filter(is_old).take(MOST_REMOVED);
     let old: Vec<String> = old.map(|row| row.key.clone()).collect();
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -10,7 +10,8 @@
 use serving::choose::{NoTarget, TargetChoice, choose_target};
 use serving::rank::stable_hash;
 use serving::{
-    ChoiceLimits, GatewayConfig, ReplicaPace, RequestMark, RouteKind, ServiceShape, TargetEntry,
+    ChoiceLimits, GatewayConfig, ReplicaPace, RequestFingerprint, RouteKind, ServiceShape,
+    TargetEntry,
 };
 use sha2::{Digest, Sha256};
 
@@ -242,7 +243,7 @@
 
     /// What stands for it when it comes again.
     #[must_use]
-    pub fn mark(&self) -> RequestMark {
+    pub fn mark(&self) -> RequestFingerprint {
         let customer = self.customer.as_ref().map_or("", CustomerId::as_str);
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
         let mut hash = Sha256::new();
@@ -252,7 +253,7 @@
         }
         let mut half = [0; 16];
         half.copy_from_slice(&hash.finalize()[..16]);
-        RequestMark(u128::from_be_bytes(half))
+        RequestFingerprint(u128::from_be_bytes(half))
     }
 
     /// Whether it may be sent again after it may have run.
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Either, Full, Limited};
 use hyper::body::{Body, Incoming};
 use serving::choose::NoTarget;
-use serving::{BlameStanding, GatewayConfig, RouteKind};
+use serving::{GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::admit::admit;
 use crate::answer::OwnAnswer;
@@ -71,9 +71,9 @@
         }
     };
     let forward = match node.blame_standing(&forward) {
-        BlameStanding::Clear => Rc::new(forward),
-        BlameStanding::Suspect => Rc::new(forward.with_one_target()),
-        BlameStanding::Barred => {
+        PoisonVerdict::Clear => Rc::new(forward),
+        PoisonVerdict::Suspect => Rc::new(forward.with_one_target()),
+        PoisonVerdict::Barred => {
             let answer = OwnAnswer::EndsTargets;
             let reason = "targets end under it";
             return own(node, &facts, Some(&forward), answer, reason).map(Either::Left);
@@ -215,7 +215,7 @@
                 return tally.give_up(wait, false);
             }
         };
-        if tally.sent > 0 && node.blame_standing(forward) != BlameStanding::Clear {
+        if tally.sent > 0 && node.blame_standing(forward) != PoisonVerdict::Clear {
             tally.last.push_str("; targets may end under it");
             return tally.give_up(FULL_WAIT, false);
         }
--- a/crates/gateway/src/node/blame.rs
+++ b/crates/gateway/src/node/blame.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use events::{EventCode, EventLine};
-use serving::{BlameLedger, BlameStanding, EndedRun, RequestMark};
+use serving::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint};
 
 use super::GatewayNode;
 use crate::crash::BrokenRuns;
@@ -17,21 +17,21 @@
 
     /// What is held against a request.
     #[must_use]
-    pub fn blame_standing(&self, request: &ForwardRequest) -> BlameStanding {
+    pub fn blame_standing(&self, request: &ForwardRequest) -> PoisonVerdict {
         let blame = self.blame.borrow();
         // Bodies are hashed only while some request is suspected.
         if blame.is_clear() {
-            return BlameStanding::Clear;
+            return PoisonVerdict::Clear;
         }
-        blame.standing(request.mark())
+        blame.verdict(request.mark())
     }
 
     /// Whether a request among those at an ended target is barred or suspected.
     #[must_use]
-    pub fn suspects_any(&self, runs: &[EndedRun]) -> bool {
+    pub fn suspects_any(&self, runs: &[CrashedRequest]) -> bool {
         let blame = self.blame.borrow();
         let mut runs = runs.iter();
-        runs.any(|run| blame.standing(run.mark) != BlameStanding::Clear)
+        runs.any(|run| blame.verdict(run.fingerprint) != PoisonVerdict::Clear)
     }
 
     /// Whether no request is barred or suspected.
@@ -41,18 +41,23 @@
     }
 
     /// Adds to what is known of ended targets, and judges anew.
-    pub fn take_ends(&self, add: impl FnOnce(&mut BlameLedger)) {
+    pub fn take_ends(&self, add: impl FnOnce(&mut PoisonDetector)) {
         let mut blame = self.blame.borrow_mut();
         let before = blame.barred();
         add(&mut blame);
-        blame.judge(self.now());
+        blame.evaluate(self.now());
         let after = blame.barred();
         drop(blame);
         self.log_barred(&before, &after, "barred");
         self.log_barred(&after, &before, "cleared");
     }
 
-    fn log_barred(&self, known: &[RequestMark], marks: &[RequestMark], outcome: &str) {
+    fn log_barred(
+        &self,
+        known: &[RequestFingerprint],
+        marks: &[RequestFingerprint],
+        outcome: &str,
+    ) {
         for mark in marks {
             if known.contains(mark) {
                 continue;
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -15,7 +15,8 @@
 use policy::admission::CustomerShares;
 use serving::silence::ReplicaPulse;
 use serving::{
-    BlameLedger, GatewayConfig, RepeatBudget, StopPlan, TargetLoad, TargetRegistry, UnreadPrompts,
+    GatewayConfig, PoisonDetector, RepeatBudget, StopPlan, TargetLoad, TargetRegistry,
+    UnreadPrompts,
 };
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
@@ -78,7 +79,7 @@
     /// Runs that broke off, until it is known whether their targets ended.
     broken_runs: RefCell<BrokenRuns>,
     /// What ran at targets that ended.
-    blame: RefCell<BlameLedger>,
+    blame: RefCell<PoisonDetector>,
     /// The store's clock at a moment of this process.
     store_clock: Cell<Option<(Duration, Duration)>>,
     /// Targets that leave and take no connections any more, with the time since when.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Body, Frame};
-use serving::{BlameStanding, EventSplitter, GatewayConfig, RouteKind};
+use serving::{EventSplitter, GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::forward::ForwardRequest;
 use crate::node::{GatewayNode, LossSignal, RunningRequest};
@@ -232,7 +232,7 @@
             if trial > 0 {
                 tokio::time::sleep(MOVE_PAUSE).await;
             }
-            if self.node.blame_standing(&self.forward) != BlameStanding::Clear {
+            if self.node.blame_standing(&self.forward) != PoisonVerdict::Clear {
                 return Err("targets may end under it".to_owned());
             }
             let patience = self.patience();
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -3,12 +3,12 @@
 //! Everything here is plain data with rules: no input, output, clocks or hidden randomness. A
 //! time is a [`std::time::Duration`] since the start of the process, on its own monotonic clock.
 
-pub mod blame;
 pub mod budget;
 pub mod choose;
 pub mod events;
 pub mod pace;
 pub mod plan;
+pub mod poison;
 pub mod rank;
 pub mod registry;
 pub mod route;
@@ -17,11 +17,11 @@
 pub mod target;
 pub mod unread;
 
-pub use blame::{BlameLedger, BlameStanding, EndedRun, RequestMark, TargetEnd};
 pub use budget::RepeatBudget;
 pub use choose::{ChoiceLimits, TargetLoad, choose_target};
 pub use events::EventSplitter;
 pub use pace::ReplicaPace;
+pub use poison::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint, TargetCrash};
 pub use registry::{ReplicaView, TargetRegistry};
 pub use route::{
     CallerRoute, CustomerKey, GatewayConfig, ModelShape, RequestLimits, RouteKind, ServiceShape,
