--- a/crates/control/src/config/keeper.rs
+++ b/crates/control/src/config/actor.rs
@@ -14,14 +14,14 @@
 use crate::view::ConfigView;
 
 use super::load::ConfigUpdate;
-use super::standing::{NodeStanding, StandingFacts, StandingRule};
+use super::readiness::{NodeReadiness, ReadinessFacts, ReadinessPolicy};
 use super::state::{ApplyOutcome, ConfigSnapshot, ConfigState};
 
-/// Messages that may wait for the keeper; senders wait beyond that.
+/// Messages that may wait for the actor; senders wait beyond that.
 const MAILBOX: usize = 256;
 
-/// The standing is judged anew so often.
-const JUDGE_PERIOD: Duration = Duration::from_millis(250);
+/// The readiness is judged anew so often.
+const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
 
 /// While the store is down the gate is opened for this long at each judgement: long enough for a
 /// slow scheduler, short enough that a node that was frozen closes at once.
@@ -38,7 +38,7 @@
 
 /// What is in force and how well it is known: for peers, `status` and tests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ConfigNews {
+pub struct ConfigStatus {
     /// The revision in force on this node.
     pub revision: ConfigRevision,
     /// The highest revision of which this node has heard.
@@ -46,35 +46,35 @@
     /// The newest confirmation whose revision is in force here.
     pub confirmation: Option<HeadConfirmation>,
     /// Whether the node serves.
-    pub standing: NodeStanding,
+    pub readiness: NodeReadiness,
 }
 
 /// Owns the configuration; every change of it goes through this task's mailbox.
 #[derive(Debug, xtra::Actor)]
-pub struct ConfigKeeper {
+pub struct ConfigActor {
     state: ConfigState,
-    rule: StandingRule,
-    news: ConfigNews,
+    policy: ReadinessPolicy,
+    status: ConfigStatus,
     pending: Option<HeadConfirmation>,
     served: bool,
     majority_since: Option<Instant>,
     members: MemberBook,
     gate: ServiceGate,
     views: watch::Sender<Arc<ConfigView>>,
-    news_sender: watch::Sender<ConfigNews>,
+    status_sender: watch::Sender<ConfigStatus>,
     recorder: EventRecorder,
 }
 
-/// Sends to the keeper. Cheap to clone.
+/// Sends to the actor. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ConfigHandle {
-    address: Address<ConfigKeeper>,
-    news: watch::Receiver<ConfigNews>,
+    address: Address<ConfigActor>,
+    status: watch::Receiver<ConfigStatus>,
 }
 
 /// What was learned of the configuration, from the table or from a peer.
 #[derive(Debug, Clone, Default)]
-pub struct ConfigLesson {
+pub struct ConfigObservation {
     /// What is new.
     pub update: ConfigUpdate,
     /// How well the head is known.
@@ -83,49 +83,49 @@
     pub known: ConfigRevision,
 }
 
-struct Learn(ConfigLesson);
-struct TakeSnapshot;
-struct TakeChanges {
+struct Observe(ConfigObservation);
+struct GetSnapshot;
+struct GetChanges {
     after: ConfigRevision,
     limit: usize,
 }
-struct Judge;
+struct Evaluate;
 
-impl ConfigKeeper {
-    /// Starts the keeper's task.
+impl ConfigActor {
+    /// Starts the actor's task.
     #[must_use]
     pub fn start(
-        rule: StandingRule,
+        policy: ReadinessPolicy,
         members: MemberBook,
         views: watch::Sender<Arc<ConfigView>>,
         recorder: EventRecorder,
     ) -> ConfigHandle {
-        let (news_sender, news) = watch::channel(ConfigNews::default());
-        let keeper = Self {
+        let (status_sender, status) = watch::channel(ConfigStatus::default());
+        let actor = Self {
             state: ConfigState::default(),
-            rule,
-            news: ConfigNews::default(),
+            policy,
+            status: ConfigStatus::default(),
             pending: None,
             served: false,
             majority_since: None,
             members,
             gate: ServiceGate::closed(),
             views,
-            news_sender,
+            status_sender,
             recorder,
         };
-        let address = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX));
-        tokio::spawn(judge_forever(address.clone()));
-        ConfigHandle { address, news }
+        let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX));
+        tokio::spawn(evaluate_forever(address.clone()));
+        ConfigHandle { address, status }
     }
 
     /// Counts a confirmation, now or once its revision is in force here.
     ///
     /// The head only rises, so "at most r at that moment" is met by any revision from r on.
     fn confirm(&mut self, confirmation: HeadConfirmation) {
-        self.news.known = self.news.known.max(confirmation.revision);
+        self.status.known = self.status.known.max(confirmation.revision);
         let place = if confirmation.revision <= self.state.revision() {
-            &mut self.news.confirmation
+            &mut self.status.confirmation
         } else {
             &mut self.pending
         };
@@ -141,7 +141,7 @@
             self.state.apply_snapshot(snapshot);
         }
         for change in update.changes {
-            self.news.known = self.news.known.max(change.revision);
+            self.status.known = self.status.known.max(change.revision);
             if self.state.apply_change(change) == ApplyOutcome::Gap {
                 break;
             }
@@ -150,8 +150,8 @@
         if revision == before {
             return;
         }
-        self.news.revision = revision;
-        self.news.known = self.news.known.max(revision);
+        self.status.revision = revision;
+        self.status.known = self.status.known.max(revision);
         let mut view = self.state.view();
         view.gate = self.gate.clone();
         let subject = EventSubject::default();
@@ -170,7 +170,7 @@
         }
     }
 
-    fn judge(&mut self, now: Instant) {
+    fn evaluate(&mut self, now: Instant) {
         let reach = self.members.reach(now);
         if reach.is_majority() {
             self.majority_since.get_or_insert(now);
@@ -178,115 +178,115 @@
             self.majority_since = None;
         }
         let as_of = self
-            .news
+            .status
             .confirmation
             .map(|confirmation| confirmation.as_of);
-        let facts = StandingFacts {
-            applied: self.news.revision > ConfigRevision(0),
+        let facts = ReadinessFacts {
+            applied: self.status.revision > ConfigRevision(0),
             confirmed_age: as_of.map(|moment| now.saturating_duration_since(moment)),
             served: self.served,
-            behind: self.news.known > self.news.revision,
+            behind: self.status.known > self.status.revision,
             reach,
             reach_held: self
                 .majority_since
                 .map_or(Duration::ZERO, |since| now.saturating_duration_since(since)),
         };
-        let standing = self.rule.judge(&facts);
-        let until = match (standing, as_of) {
-            (NodeStanding::Confirmed, Some(moment)) => moment + self.rule.confirm_limit,
-            (NodeStanding::StoreDown, _) => now + STORE_DOWN_LEASE,
+        let readiness = self.policy.evaluate(&facts);
+        let until = match (readiness, as_of) {
+            (NodeReadiness::Confirmed, Some(moment)) => moment + self.policy.confirm_limit,
+            (NodeReadiness::StoreDown, _) => now + STORE_DOWN_LEASE,
             _ => now,
         };
         self.gate.open_until(until);
-        self.served |= standing.serves();
-        if standing != self.news.standing {
-            self.news.standing = standing;
-            self.note_standing(standing);
+        self.served |= readiness.serves();
+        if readiness != self.status.readiness {
+            self.status.readiness = readiness;
+            self.record_readiness(readiness);
         }
-        self.news_sender.send_if_modified(|current| {
-            let changed = *current != self.news;
-            *current = self.news;
+        self.status_sender.send_if_modified(|current| {
+            let changed = *current != self.status;
+            *current = self.status;
             changed
         });
     }
 
-    fn note_standing(&self, standing: NodeStanding) {
-        let code = match standing {
-            NodeStanding::Starting => EventCode::ConfigUnlearned,
-            NodeStanding::Confirmed => EventCode::ConfigConfirmed,
-            NodeStanding::StoreDown => EventCode::StoreDown,
-            NodeStanding::CutOff => EventCode::NodeCutOff,
+    fn record_readiness(&self, readiness: NodeReadiness) {
+        let code = match readiness {
+            NodeReadiness::Starting => EventCode::ConfigUnlearned,
+            NodeReadiness::Confirmed => EventCode::ConfigConfirmed,
+            NodeReadiness::StoreDown => EventCode::StoreDown,
+            NodeReadiness::CutOff => EventCode::NodeCutOff,
         };
         self.recorder
-            .note(code, EventSubject::default(), standing.as_str());
+            .note(code, EventSubject::default(), readiness.as_str());
     }
 }
 
-async fn judge_forever(address: Address<ConfigKeeper>) {
-    let mut ticks = tokio::time::interval(JUDGE_PERIOD);
+async fn evaluate_forever(address: Address<ConfigActor>) {
+    let mut ticks = tokio::time::interval(EVALUATION_PERIOD);
     loop {
         ticks.tick().await;
-        if address.send(Judge).await.is_err() {
+        if address.send(Evaluate).await.is_err() {
             return;
         }
     }
 }
 
-impl Handler<Learn> for ConfigKeeper {
+impl Handler<Observe> for ConfigActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Learn, _: &mut Context<Self>) {
-        let Learn(lesson) = message;
-        self.news.known = self.news.known.max(lesson.known);
-        self.apply(lesson.update);
-        if let Some(confirmation) = lesson.confirmation {
+    async fn handle(&mut self, message: Observe, _: &mut Context<Self>) {
+        let Observe(observation) = message;
+        self.status.known = self.status.known.max(observation.known);
+        self.apply(observation.update);
+        if let Some(confirmation) = observation.confirmation {
             self.confirm(confirmation);
         }
-        self.judge(Instant::now());
+        self.evaluate(Instant::now());
     }
 }
 
-impl Handler<TakeSnapshot> for ConfigKeeper {
+impl Handler<GetSnapshot> for ConfigActor {
     type Return = ConfigSnapshot;
 
-    async fn handle(&mut self, _: TakeSnapshot, _: &mut Context<Self>) -> ConfigSnapshot {
+    async fn handle(&mut self, _: GetSnapshot, _: &mut Context<Self>) -> ConfigSnapshot {
         self.state.snapshot()
     }
 }
 
-impl Handler<TakeChanges> for ConfigKeeper {
+impl Handler<GetChanges> for ConfigActor {
     type Return = Option<Vec<ChangeEntry>>;
 
     async fn handle(
         &mut self,
-        message: TakeChanges,
+        message: GetChanges,
         _: &mut Context<Self>,
     ) -> Option<Vec<ChangeEntry>> {
         self.state.changes_after(message.after, message.limit)
     }
 }
 
-impl Handler<Judge> for ConfigKeeper {
+impl Handler<Evaluate> for ConfigActor {
     type Return = ();
 
-    async fn handle(&mut self, _: Judge, _: &mut Context<Self>) {
-        self.judge(Instant::now());
+    async fn handle(&mut self, _: Evaluate, _: &mut Context<Self>) {
+        self.evaluate(Instant::now());
     }
 }
 
 impl ConfigHandle {
     /// Hands over what was learned and waits until it is in force.
-    pub async fn learn(&self, lesson: ConfigLesson) {
+    pub async fn observe(&self, observation: ConfigObservation) {
         // Nobody keeps the configuration any more only while the node stops.
         log_skipped(
-            "learn configuration",
-            self.address.send(Learn(lesson)).await,
+            "observe configuration",
+            self.address.send(Observe(observation)).await,
         );
     }
 
     /// Everything in force.
     pub async fn snapshot(&self) -> ConfigSnapshot {
-        self.address.send(TakeSnapshot).await.unwrap_or_default()
+        self.address.send(GetSnapshot).await.unwrap_or_default()
     }
 
     /// At most `limit` changes after a revision; none when they are not kept.
@@ -295,19 +295,19 @@
         after: ConfigRevision,
         limit: usize,
     ) -> Option<Vec<ChangeEntry>> {
-        let message = TakeChanges { after, limit };
+        let message = GetChanges { after, limit };
         self.address.send(message).await.unwrap_or_default()
     }
 
     /// What is in force and how well it is known.
     #[must_use]
-    pub fn news(&self) -> ConfigNews {
-        *self.news.borrow()
+    pub fn status(&self) -> ConfigStatus {
+        *self.status.borrow()
     }
 
-    /// A receiver that is told of every change of [`ConfigNews`].
+    /// A receiver that is told of every change of [`ConfigStatus`].
     #[must_use]
-    pub fn watch(&self) -> watch::Receiver<ConfigNews> {
-        self.news.clone()
+    pub fn watch(&self) -> watch::Receiver<ConfigStatus> {
+        self.status.clone()
     }
 }
--- a/crates/control/src/config/mod.rs
+++ b/crates/control/src/config/mod.rs
@@ -1,23 +1,23 @@
 //! The configuration in force on this node: followed in the table and over peers.
 //!
-//! [`state`] and [`standing`] decide and do no input or output; [`keeper`] owns them in one task;
+//! [`state`] and [`readiness`] decide and do no input or output; [`actor`] owns them in one task;
 //! [`poll`] polls the table; [`load`] reads what is missing; [`snapshot`] writes snapshots and
 //! compacts the change log.
 
-pub mod keeper;
+pub mod actor;
 pub mod load;
 pub mod poll;
+pub mod readiness;
 pub mod snapshot;
-pub mod standing;
 pub mod state;
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-pub use keeper::{ConfigHandle, ConfigKeeper, ConfigLesson, ConfigNews, HeadConfirmation};
+pub use actor::{ConfigActor, ConfigHandle, ConfigObservation, ConfigStatus, HeadConfirmation};
 pub use poll::{ConfigPoller, poll_config};
-pub use standing::{NodeStanding, StandingFacts, StandingRule};
+pub use readiness::{NodeReadiness, ReadinessFacts, ReadinessPolicy};
 pub use state::{ConfigSnapshot, ConfigState};
 
 /// Settings of the configuration. Times are milliseconds.
@@ -62,8 +62,8 @@
 
     /// The rule for stepping out of service.
     #[must_use]
-    pub fn rule(&self) -> StandingRule {
-        StandingRule {
+    pub fn readiness_policy(&self) -> ReadinessPolicy {
+        ReadinessPolicy {
             confirm_limit: Duration::from_millis(self.confirm_ms),
             settle: Duration::from_millis(self.settle_ms),
         }
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -11,7 +11,7 @@
 use crate::members::MemberBook;
 
 use super::ConfigSettings;
-use super::keeper::{ConfigHandle, ConfigLesson, HeadConfirmation};
+use super::actor::{ConfigHandle, ConfigObservation, HeadConfirmation};
 use super::load::{ConfigUpdate, load_update};
 use super::snapshot::publish_snapshot;
 
@@ -20,7 +20,7 @@
 pub struct ConfigPoller<T, O> {
     table: T,
     objects: O,
-    keeper: ConfigHandle,
+    config: ConfigHandle,
     members: MemberBook,
     recorder: EventRecorder,
     settings: ConfigSettings,
@@ -73,7 +73,7 @@
                 }
             }
         };
-        let applied = self.keeper.news().revision;
+        let applied = self.config.status().revision;
         if head.revision < applied {
             self.note_regress(head.revision, applied);
         }
@@ -87,8 +87,8 @@
             revision: head.revision,
             as_of,
         });
-        self.keeper
-            .learn(ConfigLesson {
+        self.config
+            .observe(ConfigObservation {
                 update,
                 confirmation,
                 known: head.revision,
@@ -107,7 +107,7 @@
     /// so that an amendment does not make 410 nodes write the same object.
     async fn tend_snapshots(&self, published: &mut ConfigRevision) {
         let every = self.settings.snapshot_every.max(1);
-        let revision = self.keeper.news().revision;
+        let revision = self.config.status().revision;
         let turn = revision.0 / every;
         if turn == published.0 / every {
             return;
@@ -118,7 +118,7 @@
             *published = revision;
             return;
         }
-        let snapshot = self.keeper.snapshot().await;
+        let snapshot = self.config.snapshot().await;
         let keep = self.settings.keep_changes;
         let seed = self.members.node().as_str();
         let written = publish_snapshot(&self.table, &self.objects, &snapshot, keep, seed).await;
--- a/crates/control/src/config/standing.rs
+++ b/crates/control/src/config/readiness.rs
@@ -30,7 +30,7 @@
 
 /// Whether and why a node serves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum NodeStanding {
+pub enum NodeReadiness {
     /// It has not learned what is in force since its start.
     #[default]
     Starting,
@@ -42,7 +42,7 @@
     CutOff,
 }
 
-impl NodeStanding {
+impl NodeReadiness {
     /// Whether the node may serve.
     #[must_use]
     pub fn serves(self) -> bool {
@@ -63,7 +63,7 @@
 
 /// What a node's standing follows from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StandingFacts {
+pub struct ReadinessFacts {
     /// Whether any configuration is applied.
     pub applied: bool,
     /// Age of the newest confirmation that counts.
@@ -81,29 +81,29 @@
 
 /// The rule's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StandingRule {
+pub struct ReadinessPolicy {
     /// Greatest age of a confirmation.
     pub confirm_limit: Duration,
     /// How long a starting node has to hear the majority.
     pub settle: Duration,
 }
 
-impl StandingRule {
+impl ReadinessPolicy {
     /// A node's standing.
     #[must_use]
-    pub fn judge(&self, facts: &StandingFacts) -> NodeStanding {
+    pub fn evaluate(&self, facts: &ReadinessFacts) -> NodeReadiness {
         if facts
             .confirmed_age
             .is_some_and(|age| age <= self.confirm_limit)
         {
-            return NodeStanding::Confirmed;
+            return NodeReadiness::Confirmed;
         }
         let settled = facts.served || facts.reach_held >= self.settle;
         let majority = facts.applied && facts.reach.is_majority() && !facts.behind;
         match (facts.served, majority && settled) {
-            (_, true) => NodeStanding::StoreDown,
-            (true, false) => NodeStanding::CutOff,
-            (false, false) => NodeStanding::Starting,
+            (_, true) => NodeReadiness::StoreDown,
+            (true, false) => NodeReadiness::CutOff,
+            (false, false) => NodeReadiness::Starting,
         }
     }
 }
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -8,7 +8,9 @@
 
 use control::amend::ChangeEntry;
 use control::config::state::ApplyOutcome;
-use control::config::{ConfigSnapshot, ConfigState, NodeStanding, StandingFacts, StandingRule};
+use control::config::{
+    ConfigSnapshot, ConfigState, NodeReadiness, ReadinessFacts, ReadinessPolicy,
+};
 use control::members::MemberReach;
 use domain::ConfigRevision;
 use domain::record::RecordKind;
@@ -170,13 +172,13 @@
 
 /// Steps of one node's knowledge, in tenths of a second.
 #[derive(Debug, Clone)]
-struct StandingStep(StandingFacts);
+struct ReadinessStep(ReadinessFacts);
 
-impl Arbitrary for StandingStep {
+impl Arbitrary for ReadinessStep {
     fn arbitrary(source: &mut Gen) -> Self {
         let tenths = |source: &mut Gen| Duration::from_millis(u64::arbitrary(source) % 300 * 100);
         let rostered = usize::arbitrary(source) % 20 + 1;
-        Self(StandingFacts {
+        Self(ReadinessFacts {
             applied: bool::arbitrary(source),
             confirmed_age: bool::arbitrary(source).then(|| tenths(source)),
             served: bool::arbitrary(source),
@@ -190,7 +192,7 @@
     }
 }
 
-const RULE: StandingRule = StandingRule {
+const POLICY: ReadinessPolicy = ReadinessPolicy {
     confirm_limit: Duration::from_secs(8),
     settle: Duration::from_secs(12),
 };
@@ -199,33 +201,33 @@
 // so does a node that knows of a newer revision and can't get it.
 #[test]
 fn minority_never_serves() {
-    fn property(step: StandingStep) -> bool {
+    fn property(step: ReadinessStep) -> bool {
         let facts = step.0;
         let confirmed = facts
             .confirmed_age
-            .is_some_and(|age| age <= RULE.confirm_limit);
+            .is_some_and(|age| age <= POLICY.confirm_limit);
         let minority = facts.reach.heard * 2 <= facts.reach.rostered;
-        let standing = RULE.judge(&facts);
+        let readiness = POLICY.evaluate(&facts);
         if confirmed {
-            return standing == NodeStanding::Confirmed;
+            return readiness == NodeReadiness::Confirmed;
         }
-        !(standing.serves() && (minority || facts.behind || !facts.applied))
+        !(readiness.serves() && (minority || facts.behind || !facts.applied))
     }
-    check(property as fn(StandingStep) -> bool);
+    check(property as fn(ReadinessStep) -> bool);
 }
 
 #[test]
 fn starter_settles() {
-    fn property(step: StandingStep) -> bool {
-        let facts = StandingFacts {
+    fn property(step: ReadinessStep) -> bool {
+        let facts = ReadinessFacts {
             served: false,
             ..step.0
         };
         let confirmed = facts
             .confirmed_age
-            .is_some_and(|age| age <= RULE.confirm_limit);
-        let early = facts.reach_held < RULE.settle;
-        confirmed || !early || !RULE.judge(&facts).serves()
+            .is_some_and(|age| age <= POLICY.confirm_limit);
+        let early = facts.reach_held < POLICY.settle;
+        confirmed || !early || !POLICY.evaluate(&facts).serves()
     }
-    check(property as fn(StandingStep) -> bool);
+    check(property as fn(ReadinessStep) -> bool);
 }
--- a/crates/peers/benches/link_traffic.rs
+++ b/crates/peers/benches/link_traffic.rs
@@ -101,7 +101,7 @@
             dead: Duration::from_secs(20),
             unheard: Duration::from_secs(10),
         },
-        rule: control::config::ConfigSettings::default().rule(),
+        rule: control::config::ConfigSettings::default().readiness_policy(),
         settings: PeerSettings::default(),
     }
 }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use control::config::load::ConfigUpdate;
-use control::config::{ConfigHandle, ConfigLesson, ConfigSnapshot, HeadConfirmation};
+use control::config::{ConfigHandle, ConfigObservation, ConfigSnapshot, HeadConfirmation};
 use control::members::{MemberBook, SignSource};
 use domain::ConfigRevision;
 use events::{EventRecorder, HybridStamp};
@@ -41,7 +41,7 @@
 impl<E: EvidencePort> GossipState<E> {
     /// Makes the digest for a peer of which `memory` knows what it has.
     pub async fn build_digest(&self, peer_view: &mut PeerView, echo: u64) -> PeerDigest {
-        let news = self.config.news();
+        let news = self.config.status();
         let now = Instant::now();
         let confirmation = news.confirmation.map(|known| PeerConfirmation {
             revision: known.revision.0,
@@ -122,7 +122,7 @@
             };
             changes.push(entry);
         }
-        let lesson = ConfigLesson {
+        let observation = ConfigObservation {
             update: ConfigUpdate {
                 snapshot: None,
                 changes,
@@ -130,7 +130,7 @@
             confirmation,
             known: digest.revision(),
         };
-        self.config.learn(lesson).await;
+        self.config.observe(observation).await;
     }
 
     fn apply_members(&self, peer_view: &mut PeerView, digest: &PeerDigest) {
@@ -156,7 +156,7 @@
 
     /// Takes in a peer's whole configuration.
     pub async fn apply_snapshot(&self, snapshot: ConfigSnapshot) {
-        let lesson = ConfigLesson {
+        let observation = ConfigObservation {
             known: snapshot.revision,
             update: ConfigUpdate {
                 snapshot: Some(snapshot),
@@ -164,7 +164,7 @@
             },
             confirmation: None,
         };
-        self.config.learn(lesson).await;
+        self.config.observe(observation).await;
     }
 
     /// Tells the peers that this node goes, as far as they can be reached within `limit`.
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use control::config::ConfigNews;
+use control::config::ConfigStatus;
 use control::config::poll::jittered;
 use domain::{ConfigRevision, NodeId};
 use events::{EventCode, EventRecorder, EventSubject};
@@ -76,9 +76,9 @@
     let mut news = context.gossip.config.watch();
     let mut behind = 0;
     loop {
-        let revision = context.gossip.config.news().revision;
+        let revision = context.gossip.config.status().revision;
         link.exchange(context).await?;
-        if context.gossip.config.news().revision < link.peer_view.revision {
+        if context.gossip.config.status().revision < link.peer_view.revision {
             behind += 1;
         } else {
             behind = 0;
@@ -104,7 +104,7 @@
 }
 
 async fn newer_revision(
-    news: &mut watch::Receiver<ConfigNews>,
+    news: &mut watch::Receiver<ConfigStatus>,
     revision: ConfigRevision,
 ) -> Result<(), LinkError> {
     if news
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -8,7 +8,7 @@
 use control::amend::ChangeEntry;
 use control::config::load::ConfigUpdate;
 use control::config::{
-    ConfigHandle, ConfigKeeper, ConfigLesson, HeadConfirmation, NodeStanding, StandingRule,
+    ConfigActor, ConfigHandle, ConfigObservation, HeadConfirmation, NodeReadiness, ReadinessPolicy,
 };
 use control::members::{Member, MemberBook, MemberState, SilenceLimits};
 use domain::ConfigRevision;
@@ -49,7 +49,7 @@
 pub struct MeshPlan {
     pub beat: Duration,
     pub limits: SilenceLimits,
-    pub rule: StandingRule,
+    pub rule: ReadinessPolicy,
     pub settings: PeerSettings,
 }
 
@@ -62,7 +62,7 @@
                 dead: Duration::from_secs(4),
                 unheard: Duration::from_secs(2),
             },
-            rule: StandingRule {
+            rule: ReadinessPolicy {
                 confirm_limit: Duration::from_millis(1_500),
                 settle: Duration::from_millis(2_500),
             },
@@ -101,7 +101,7 @@
         let book = MemberBook::new(MemberState::new(own.clone(), self.limits));
         let recorder = EventRecorder::new(own.node.clone(), 1_000);
         let views = watch::Sender::new(Arc::new(ConfigView::default()));
-        let config = ConfigKeeper::start(self.rule, book.clone(), views, recorder.clone());
+        let config = ConfigActor::start(self.rule, book.clone(), views, recorder.clone());
         let gossip = GossipState {
             config: config.clone(),
             book: book.clone(),
@@ -176,7 +176,7 @@
     /// Learns the head as if from the table, now.
     #[allow(dead_code, reason = "the measurement needs it")]
     pub async fn confirm(&self, revision: u64) {
-        let lesson = ConfigLesson {
+        let observation = ConfigObservation {
             update: ConfigUpdate::default(),
             confirmation: Some(HeadConfirmation {
                 revision: ConfigRevision(revision),
@@ -184,7 +184,7 @@
             }),
             known: ConfigRevision(revision),
         };
-        self.config.learn(lesson).await;
+        self.config.observe(observation).await;
     }
 
     /// Learns a change and the head as if from the table, now.
@@ -194,7 +194,7 @@
             changes: vec![change(revision)],
         };
         self.config
-            .learn(ConfigLesson {
+            .observe(ConfigObservation {
                 update,
                 confirmation: Some(HeadConfirmation {
                     revision: ConfigRevision(revision),
@@ -206,11 +206,11 @@
     }
 
     pub fn revision(&self) -> u64 {
-        self.config.news().revision.0
+        self.config.status().revision.0
     }
 
-    pub fn standing(&self) -> NodeStanding {
-        self.config.news().standing
+    pub fn standing(&self) -> NodeReadiness {
+        self.config.status().readiness
     }
 
     pub fn alive(&self) -> usize {
--- a/crates/peers/tests/peer_links.rs
+++ b/crates/peers/tests/peer_links.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use control::config::NodeStanding;
+use control::config::NodeReadiness;
 use mesh::{KEY, MeshPlan, wait_until};
 
 #[tokio::test(flavor = "multi_thread")]
@@ -29,7 +29,7 @@
     }
     for node in &nodes {
         assert_eq!(node.revision(), 5);
-        assert_eq!(node.standing(), NodeStanding::Confirmed);
+        assert_eq!(node.standing(), NodeReadiness::Confirmed);
     }
 }
 
@@ -76,11 +76,11 @@
         wait_until("in force", || node.revision() == 1).await;
     }
     for node in &nodes {
-        wait_until("goes on", || node.standing() == NodeStanding::StoreDown).await;
+        wait_until("goes on", || node.standing() == NodeReadiness::StoreDown).await;
     }
     let gone = nodes.split_off(1);
     drop(gone);
-    wait_until("steps out", || nodes[0].standing() == NodeStanding::CutOff).await;
+    wait_until("steps out", || nodes[0].standing() == NodeReadiness::CutOff).await;
 }
 
 /// The store is down for all while a node starts. Its peers have the configuration; it takes over
@@ -95,11 +95,11 @@
         wait_until("all know all", || node.alive() == 3).await;
     }
     for node in &nodes {
-        wait_until("goes on", || node.standing() == NodeStanding::StoreDown).await;
+        wait_until("goes on", || node.standing() == NodeReadiness::StoreDown).await;
     }
     let started = Instant::now();
     let late = plan.start("late", KEY, &[nodes[0].address]).await;
-    wait_until("serves", || late.standing() == NodeStanding::StoreDown).await;
+    wait_until("serves", || late.standing() == NodeReadiness::StoreDown).await;
     assert_eq!(late.revision(), 1);
     assert!(started.elapsed() >= plan.rule.settle, "it did not wait");
 }
@@ -117,7 +117,7 @@
     }
     nodes.truncate(2);
     for node in &nodes {
-        wait_until("steps out", || node.standing() == NodeStanding::CutOff).await;
+        wait_until("steps out", || node.standing() == NodeReadiness::CutOff).await;
     }
     let late = plan.start("late", KEY, &[nodes[0].address]).await;
     wait_until("has the old head", || late.revision() == 1).await;
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -3,7 +3,7 @@
 //! Four nodes follow the head. A partition puts some of them on the far side, where they reach
 //! each other and not the table; the store may also be down for all. A node learns the head from
 //! the table, or hears of it from a node on its side and then fetches it. It serves by the rules
-//! of `control::config::standing`.
+//! of `control::config::readiness`.
 //!
 //! One case is left out of the promise, and said so there: more than half of the nodes are cut
 //! off from the table and none of them ever heard of the newer revision.
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use control::EvidenceStore;
-use control::config::{ConfigHandle, ConfigKeeper, ConfigPoller, poll_config};
+use control::config::{ConfigActor, ConfigHandle, ConfigPoller, poll_config};
 use control::members::{Member, MemberBook, MemberKeeper, MemberState, MemberView};
 use eyre::WrapErr;
 use peers::{
@@ -62,8 +62,8 @@
         .recorder(context.recorder.clone())
         .settings(settings.members)
         .build();
-    let config = ConfigKeeper::start(
-        settings.config.rule(),
+    let config = ConfigActor::start(
+        settings.config.readiness_policy(),
         book.clone(),
         context.config_sender.clone(),
         context.recorder.clone(),
@@ -125,7 +125,7 @@
         let follower = ConfigPoller::builder()
             .table(context.table.clone())
             .objects(context.objects.clone())
-            .keeper(self.config.clone())
+            .config(self.config.clone())
             .members(self.book.clone())
             .recorder(context.recorder.clone())
             .settings(settings.config)
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -133,7 +133,7 @@
             NodeGauge::Members,
             count_f64(self.book.view(now).members.len()),
         );
-        if let Some(known) = self.follower.news().confirmation {
+        if let Some(known) = self.follower.status().confirmation {
             let age = now.saturating_duration_since(known.as_of);
             metrics.set_gauge(NodeGauge::ConfigAge, age.as_secs_f64());
         }
@@ -200,7 +200,7 @@
         NodeStatus {
             node: self.node.clone(),
             ready: config.revision.0 > 0 && config.gate.is_open(now),
-            standing: self.follower.news().standing.as_str().to_owned(),
+            standing: self.follower.status().readiness.as_str().to_owned(),
             revision: config.revision,
             unknown_records: config.unknown.clone(),
             replicas,
