--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -82,7 +82,7 @@
                 prompt_rate: load.prompt_rate,
                 age,
             };
-            self.pool.note_load(key, now, load);
+            self.pool.record_load(key, now, load);
             if replica.dispatchable(instant, self.evidence_limit) {
                 add_report(&mut targets.report, replica, load);
             }
@@ -146,7 +146,7 @@
             .choose(candidates, &request, now, fresh, &mut self.rng)
             .or_else(|| pool.choose(candidates, &request, now, fits, &mut self.rng))?;
         let view = Arc::clone(views.get(&choice.target)?);
-        pool.note_sent(&choice, &request, now);
+        pool.record_sent(&choice, &request, now);
         Some((choice, view))
     }
 }
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -97,7 +97,7 @@
             self.parked.push(waiting);
             return;
         }
-        self.share.note_offered(at.now);
+        self.share.record_offered(at.now);
         if self.is_absent(at.now) {
             let failure = waiting.absent();
             waiting.fail(failure);
@@ -205,7 +205,7 @@
             self.parked.push(waiting);
             return;
         };
-        self.share.note_sent(at.now);
+        self.share.record_sent(at.now);
         let facts = SlotFacts {
             model: waiting.ask.model.clone(),
             customer: waiting.customer,
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -99,7 +99,7 @@
             let targets = targets.remove(name).unwrap_or_default();
             dispatcher.candidates = self.index.pool.candidates(targets.keys);
             if let Some(report) = targets.report {
-                dispatcher.share.note_report(at.now, report);
+                dispatcher.share.record_report(at.now, report);
             }
         }
         self.tick(at);
@@ -154,7 +154,7 @@
             DispatchNote::FirstToken { facts, elapsed } => {
                 self.index
                     .pool
-                    .note_first_token(&facts.choice, at.now, elapsed);
+                    .record_first_token(&facts.choice, at.now, elapsed);
             }
             DispatchNote::Left { model, number } => {
                 if let Some(dispatcher) = self.models.get_mut(&model) {
@@ -179,19 +179,19 @@
         first_token: Option<Duration>,
     ) {
         let pool = &mut self.index.pool;
-        pool.note_ended(facts.choice.target, at.now, stay, outcome.outcome);
+        pool.record_ended(facts.choice.target, at.now, stay, outcome.outcome);
         if let Some(cached) = outcome.cached_tokens {
-            pool.note_cached(&facts.choice, cached);
+            pool.record_cached(&facts.choice, cached);
         }
         if outcome.outcome == TargetOutcome::Finished {
-            self.budget.note_success();
+            self.budget.record_success();
         }
         let Some(dispatcher) = self.models.get_mut(&facts.model) else {
             return;
         };
-        dispatcher.share.note_finished(at.now, stay);
+        dispatcher.share.record_finished(at.now, stay);
         if outcome.outcome == TargetOutcome::Full {
-            dispatcher.share.note_full(at.now);
+            dispatcher.share.record_full(at.now);
         }
         let work = FinishedWork::builder()
             .customer(facts.customer)
@@ -199,7 +199,7 @@
             .actual(outcome.actual)
             .maybe_first_token(first_token)
             .build();
-        dispatcher.queue.note_finished(at.now, work);
+        dispatcher.queue.record_finished(at.now, work);
         dispatcher.pump(&mut self.index, at, &self.notes);
     }
 
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -57,7 +57,7 @@
         let usable = |index: usize| !tried.contains(&addresses[index]);
         let index = choose_instance(&known, now, usable, &mut rand::rng())?;
         let address = addresses[index];
-        state.instances.entry(address).or_default().note_sent();
+        state.instances.entry(address).or_default().record_sent();
         Some(address)
     }
 
@@ -66,10 +66,10 @@
         let now = self.now();
         let mut state = self.state();
         if outcome == CallOutcome::Answered {
-            state.budget.note_success();
+            state.budget.record_success();
         }
         let instance = state.instances.entry(address).or_default();
-        instance.note_ended(now, elapsed, outcome);
+        instance.record_ended(now, elapsed, outcome);
     }
 
     /// Whether a failed idempotent call is made again, and after which wait.
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -115,7 +115,7 @@
         let Some(customer) = &request.customer else {
             return;
         };
-        self.with_shares(service, |shares| shares.note_arrival(customer, now));
+        self.with_shares(service, |shares| shares.record_arrival(customer, now));
     }
 
     /// Whether a request's customer uses more than its share of the service.
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -36,7 +36,7 @@
     fn new(node: &Rc<GatewayNode>, request: &ForwardRequest, target: &TargetEntry) -> Self {
         let now = node.now();
         if let Some(customer) = &request.customer {
-            node.with_shares(&request.service, |shares| shares.note_sent(customer));
+            node.with_shares(&request.service, |shares| shares.record_sent(customer));
         }
         let is_head = target.membership.is_some();
         node.with_load(&target.id, serving::TargetLoad::start);
@@ -67,7 +67,7 @@
         self.node.with_load(&self.host, serving::TargetLoad::end);
         if let Some(customer) = &self.customer {
             self.node
-                .with_shares(&self.service, |shares| shares.note_ended(customer));
+                .with_shares(&self.service, |shares| shares.record_ended(customer));
         }
         if self.is_head {
             self.node
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -61,7 +61,7 @@
             ..TargetLoad::default()
         };
         for target in &targets {
-            pool.note_load(*target, Duration::ZERO, load);
+            pool.record_load(*target, Duration::ZERO, load);
         }
         let list = pool.candidates(targets);
         let mut rng = SmallRng::seed_from_u64(1);
@@ -80,7 +80,7 @@
                     .build();
                 let choice = pool.choose(&list, &request, now, |_| true, &mut rng);
                 let choice = choice.expect("there are targets");
-                pool.note_sent(&choice, &request, now);
+                pool.record_sent(&choice, &request, now);
                 black_box(choice)
             });
         });
@@ -101,8 +101,8 @@
     criterion.bench_function("capacity/round", |bencher| {
         bencher.iter(|| {
             now += Duration::from_millis(500);
-            share.note_offered(now);
-            share.note_report(now, report);
+            share.record_offered(now);
+            share.record_report(now, report);
             black_box(share.free())
         });
     });
--- a/crates/policy/src/admission/drain.rs
+++ b/crates/policy/src/admission/drain.rs
@@ -59,7 +59,7 @@
     }
 
     /// Work left the queue while others waited for capacity.
-    pub fn note_dispatched(&mut self, cost: f64) {
+    pub fn record_dispatched(&mut self, cost: f64) {
         if self.blocked_since.is_some() {
             self.blocked.work += cost;
         }
@@ -70,7 +70,7 @@
     /// Work that is finished while more could have been sent tells only how much was asked for. A
     /// few short requests in a quiet minute would make a burst of long ones look hopeless, and it
     /// would be refused beside idle targets.
-    pub fn note_finished(&mut self, cost: f64) {
+    pub fn record_finished(&mut self, cost: f64) {
         if self.full_since.is_some() {
             self.finished.work += cost;
         }
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -262,7 +262,7 @@
         }?;
         let entry = self.entries.remove(ticket.key)?;
         self.due.remove(&(entry.send_by, ticket.key));
-        self.drain.note_dispatched(ticket.cost);
+        self.drain.record_dispatched(ticket.cost);
         self.free -= 1;
         self.pass(now);
         Some(ticket.key)
@@ -309,9 +309,9 @@
     }
 
     /// A target finished a request that [`Self::next`] had named.
-    pub fn note_finished(&mut self, now: Duration, work: FinishedWork) {
+    pub fn record_finished(&mut self, now: Duration, work: FinishedWork) {
         self.pass(now);
-        self.drain.note_finished(f64::from(work.actual));
+        self.drain.record_finished(f64::from(work.actual));
         let difference = f64::from(work.actual) - f64::from(work.predicted);
         self.normal.correct(work.customer, difference);
         if let Some(first_token) = work.first_token {
--- a/crates/policy/src/admission/shares.rs
+++ b/crates/policy/src/admission/shares.rs
@@ -38,7 +38,7 @@
 
 impl CustomerShares {
     /// A customer's request arrived, whatever becomes of it.
-    pub fn note_arrival(&mut self, customer: &CustomerId, now: Duration) {
+    pub fn record_arrival(&mut self, customer: &CustomerId, now: Duration) {
         if self.lines.len() >= MAX_LINES {
             self.lines.retain(|_, line| is_present(line, now));
         }
@@ -47,13 +47,13 @@
     }
 
     /// A customer's request was sent.
-    pub fn note_sent(&mut self, customer: &CustomerId) {
+    pub fn record_sent(&mut self, customer: &CustomerId) {
         self.lines.entry(customer.clone()).or_default().running += 1;
         self.running += 1;
     }
 
     /// A request that was sent has ended.
-    pub fn note_ended(&mut self, customer: &CustomerId) {
+    pub fn record_ended(&mut self, customer: &CustomerId) {
         let Some(line) = self.lines.get_mut(customer) else {
             return;
         };
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -168,19 +168,19 @@
     }
 
     /// A request was offered, admitted or not.
-    pub fn note_offered(&mut self, now: Duration) {
+    pub fn record_offered(&mut self, now: Duration) {
         self.demand.pass(now);
         self.demand.arrivals += 1.0;
     }
 
     /// A stream was sent to a target.
-    pub fn note_sent(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         self.in_use += 1;
         self.snapshot(now);
     }
 
     /// A stream ended after `stay` at the target.
-    pub fn note_finished(&mut self, now: Duration, stay: Duration) {
+    pub fn record_finished(&mut self, now: Duration, stay: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
         let stay = stay.as_secs_f64();
         let weight = if self.demand.stay == 0.0 { 1.0 } else { 0.1 };
@@ -192,7 +192,7 @@
     ///
     /// Made for a partition of the reports: the window is then old, and only answers tell that
     /// others have taken the slots.
-    pub fn note_full(&mut self, now: Duration) {
+    pub fn record_full(&mut self, now: Duration) {
         let recent = self.cut_at.is_some_and(|at| now < at + FULL_PERIOD);
         if recent {
             return;
@@ -202,7 +202,7 @@
     }
 
     /// New reports came in; call it once a round.
-    pub fn note_report(&mut self, now: Duration, report: PoolReport) {
+    pub fn record_report(&mut self, now: Duration, report: PoolReport) {
         self.demand.pass(now);
         self.phase = (self.phase + 0.618_034).fract();
         if report.slots == 0 {
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -96,7 +96,7 @@
     }
 
     /// A first token came after `ratio` times the predicted time.
-    pub(super) fn note_answer(&mut self, now: Duration, ratio: f64, settings: &HealthSettings) {
+    pub(super) fn record_answer(&mut self, now: Duration, ratio: f64, settings: &HealthSettings) {
         let ratio = ratio.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         let current = self.slowness(now);
         let weight = if self.samples == 0 || self.trial {
@@ -121,7 +121,7 @@
     }
 
     /// An attempt failed; true when the target should now be left out.
-    pub(super) fn note_failure(&mut self) -> bool {
+    pub(super) fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         std::mem::take(&mut self.trial) || self.ejected_until.is_some()
     }
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -109,14 +109,14 @@
     }
 
     /// A target reported its load.
-    pub fn note_load(&mut self, target: TargetKey, now: Duration, load: TargetLoad) {
+    pub fn record_load(&mut self, target: TargetKey, now: Duration, load: TargetLoad) {
         if let Some(state) = self.targets.get_mut(target) {
-            state.note_load(now, load);
+            state.record_load(now, load);
         }
     }
 
     /// An attempt was sent.
-    pub fn note_sent(
+    pub fn record_sent(
         &mut self,
         choice: &PlacementChoice,
         request: &PlacementRequest<'_>,
@@ -126,32 +126,37 @@
             return;
         };
         let unread = request.prompt_tokens.saturating_sub(choice.cached_tokens);
-        state.note_sent(now, unread);
+        state.record_sent(now, unread);
         self.prefixes.insert_prompt(request.prefixes, choice.target);
     }
 
     /// The first token of an attempt came after `elapsed`.
-    pub fn note_first_token(&mut self, choice: &PlacementChoice, now: Duration, elapsed: Duration) {
+    pub fn record_first_token(
+        &mut self,
+        choice: &PlacementChoice,
+        now: Duration,
+        elapsed: Duration,
+    ) {
         let settings = self.settings.health;
         let Some(state) = self.targets.get_mut(choice.target) else {
             return;
         };
         let expected = choice.unslowed.as_secs_f64().max(LEAST_EXPECTED);
         let ratio = elapsed.as_secs_f64().max(LEAST_EXPECTED) / expected;
-        state.health.note_answer(now, ratio, &settings);
+        state.health.record_answer(now, ratio, &settings);
     }
 
     /// An attempt was cancelled, or a second target is asked, after `elapsed` without a token.
     ///
     /// The attempt that is cancelled tells no time to its first token. Without this a target that
     /// stalls loses every hedge and is never seen to be slow.
-    pub fn note_late(&mut self, choice: &PlacementChoice, now: Duration, elapsed: Duration) {
+    pub fn record_late(&mut self, choice: &PlacementChoice, now: Duration, elapsed: Duration) {
         let Some(state) = self.targets.get(choice.target) else {
             return;
         };
         let expected = choice.unslowed.as_secs_f64().max(LEAST_EXPECTED);
         if elapsed.as_secs_f64() > expected * state.health.slowness(now) {
-            self.note_first_token(choice, now, elapsed);
+            self.record_first_token(choice, now, elapsed);
         }
     }
 
@@ -159,7 +164,7 @@
     ///
     /// A target that fails at once has no load and would look like the best one for every
     /// request; seen as a large share of attempts that end there. So failures in a row eject it.
-    pub fn note_ended(
+    pub fn record_ended(
         &mut self,
         target: TargetKey,
         now: Duration,
@@ -169,7 +174,7 @@
         let Some(state) = self.targets.get_mut(target) else {
             return;
         };
-        state.note_ended(now);
+        state.record_ended(now);
         match outcome {
             TargetOutcome::Finished => {
                 self.freed.push_back(target);
@@ -178,26 +183,26 @@
                 }
                 self.stay += (stay.as_secs_f64() - self.stay) * MEAN_WEIGHT;
             }
-            TargetOutcome::Full => state.note_full(now),
-            TargetOutcome::Failed => self.note_failure(target, now),
+            TargetOutcome::Full => state.record_full(now),
+            TargetOutcome::Failed => self.record_failure(target, now),
             TargetOutcome::Cancelled => {}
         }
     }
 
-    fn note_failure(&mut self, target: TargetKey, now: Duration) {
+    fn record_failure(&mut self, target: TargetKey, now: Duration) {
         let settings = self.settings.health;
         let room = self.ejection_room(now);
         let Some(state) = self.targets.get_mut(target) else {
             return;
         };
-        let again = state.health.note_failure();
+        let again = state.health.record_failure();
         if again || state.health.is_failing(&settings) && room > 0 {
             state.health.eject(now, &settings);
         }
     }
 
     /// An engine published that a prefix entered or left its cache.
-    pub fn note_cache(&mut self, target: TargetKey, prefix: u64, stored: bool) {
+    pub fn record_cache(&mut self, target: TargetKey, prefix: u64, stored: bool) {
         if stored {
             self.prefixes.insert(prefix, target);
         } else {
@@ -209,7 +214,7 @@
     ///
     /// Where events of evictions are lost, the index promises too much; the target's trust then
     /// falls, and affinity stops drawing requests to a queue for nothing.
-    pub fn note_cached(&mut self, choice: &PlacementChoice, cached_tokens: u32) {
+    pub fn record_cached(&mut self, choice: &PlacementChoice, cached_tokens: u32) {
         if choice.cached_tokens == 0 {
             return;
         }
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -60,7 +60,7 @@
 pub struct PlacementChoice {
     /// The target.
     pub target: TargetKey,
-    /// Predicted time to the first token; hand it back to [`TargetPool::note_first_token`].
+    /// Predicted time to the first token; hand it back to [`TargetPool::record_first_token`].
     pub predicted: Duration,
     /// The same, had the target been as fast as its load allows.
     pub unslowed: Duration,
--- a/crates/policy/src/placement/state.rs
+++ b/crates/policy/src/placement/state.rs
@@ -102,7 +102,7 @@
     }
 
     /// Takes a report in and forgets the own changes that it already shows.
-    pub fn note_load(&mut self, now: Duration, load: TargetLoad) {
+    pub fn record_load(&mut self, now: Duration, load: TargetLoad) {
         let at = now.saturating_sub(load.age);
         if at < self.reported_at {
             return;
@@ -150,7 +150,7 @@
         self.changes.push_back(change);
     }
 
-    pub fn note_sent(&mut self, now: Duration, prompt_tokens: u32) {
+    pub fn record_sent(&mut self, now: Duration, prompt_tokens: u32) {
         self.in_flight += 1;
         self.change(LoadChange {
             at: now,
@@ -159,7 +159,7 @@
         });
     }
 
-    pub fn note_ended(&mut self, now: Duration) {
+    pub fn record_ended(&mut self, now: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.change(LoadChange {
             at: now,
@@ -169,7 +169,7 @@
     }
 
     /// A target that refuses for want of room is full, whatever its last report says.
-    pub fn note_full(&mut self, now: Duration) {
+    pub fn record_full(&mut self, now: Duration) {
         self.load.running = self.load.running.max(self.facts.slots);
         self.load.waiting += 1;
         self.reported_at = now;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -61,7 +61,7 @@
     }
 
     /// A request succeeded.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.deposit(self.settings.per_success);
     }
 
--- a/crates/policy/src/service.rs
+++ b/crates/policy/src/service.rs
@@ -36,12 +36,12 @@
 
 impl ServiceInstance {
     /// A call was sent.
-    pub fn note_sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// A call ended after `elapsed`.
-    pub fn note_ended(&mut self, now: Duration, elapsed: Duration, outcome: CallOutcome) {
+    pub fn record_ended(&mut self, now: Duration, elapsed: Duration, outcome: CallOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome == CallOutcome::Answered {
             self.failures = 0;
--- a/crates/policy/tests/arrival_standing.rs
+++ b/crates/policy/tests/arrival_standing.rs
@@ -59,7 +59,7 @@
         running.retain(|(end, index)| {
             let runs = *end > step;
             if !runs {
-                shares.note_ended(&senders[*index].customer);
+                shares.record_ended(&senders[*index].customer);
             }
             runs
         });
@@ -67,7 +67,7 @@
             let due = (step + 1) * sender.rate / 10 - step * sender.rate / 10;
             for _ in 0..due {
                 sender.sent += 1;
-                shares.note_arrival(&sender.customer, now);
+                shares.record_arrival(&sender.customer, now);
                 let standing = ArrivalStanding {
                     ranks_before: sender.ranks_before,
                     over_share: shares.is_over_share(&sender.customer, now),
@@ -77,7 +77,7 @@
                     continue;
                 }
                 sender.served += 1;
-                shares.note_sent(&sender.customer);
+                shares.record_sent(&sender.customer);
                 waiting.push((sender.ranks_before, index));
             }
         }
@@ -126,9 +126,9 @@
     let mut shares = CustomerShares::default();
     let only = customer("only");
     for _ in 0..100 {
-        shares.note_arrival(&only, Duration::ZERO);
+        shares.record_arrival(&only, Duration::ZERO);
         assert!(!shares.is_over_share(&only, Duration::ZERO));
-        shares.note_sent(&only);
+        shares.record_sent(&only);
     }
 }
 
@@ -138,12 +138,12 @@
 fn absent_customer_forgotten() {
     let mut shares = CustomerShares::default();
     let (here, gone) = (customer("here"), customer("gone"));
-    shares.note_arrival(&gone, Duration::ZERO);
-    shares.note_arrival(&here, Duration::ZERO);
-    shares.note_sent(&here);
+    shares.record_arrival(&gone, Duration::ZERO);
+    shares.record_arrival(&here, Duration::ZERO);
+    shares.record_sent(&here);
     assert!(!shares.is_over_share(&here, Duration::ZERO), "one request");
-    shares.note_sent(&here);
-    shares.note_sent(&here);
+    shares.record_sent(&here);
+    shares.record_sent(&here);
     assert!(shares.is_over_share(&here, Duration::ZERO));
     assert!(!shares.is_over_share(&here, Duration::from_secs(11)));
 }
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -69,11 +69,11 @@
         slots: 300,
         ..PoolReport::default()
     };
-    share.note_report(Duration::from_secs(1), report);
+    share.record_report(Duration::from_secs(1), report);
     let window = share.window();
     assert!((window - 100.0).abs() < 1.0, "a third of the idle slots");
     for _ in 0..50 {
-        share.note_full(Duration::from_secs(2));
+        share.record_full(Duration::from_secs(2));
     }
     assert!(share.window() > window * 0.9);
     assert!(share.window() < window);
@@ -93,7 +93,7 @@
         for entry in 0..410 {
             let mut share = CapacityShare::new(settings, entry * 37);
             for second in 0..round {
-                share.note_report(Duration::from_secs(second), report);
+                share.record_report(Duration::from_secs(second), report);
             }
             free += share.free();
         }
--- a/crates/policy/tests/load/driver/mod.rs
+++ b/crates/policy/tests/load/driver/mod.rs
@@ -169,10 +169,10 @@
             age: seconds(self.setup.reports.1),
         };
         for entry in &mut self.entries {
-            entry.share.note_report(now, total);
+            entry.share.record_report(now, total);
             entry.since.fill(0);
             for (target, load) in self.targets.iter().zip(&loads) {
-                entry.pool.note_load(*target, now, *load);
+                entry.pool.record_load(*target, now, *load);
             }
             entry.reported.clone_from(&loads);
         }
@@ -184,7 +184,7 @@
         let customer = self.customers[job.call.customer];
         let number = job.call.entry;
         let entry = &mut self.entries[number];
-        entry.share.note_offered(now);
+        entry.share.record_offered(now);
         match self.setup.queue {
             QueueKind::Fair => {
                 let request = WaitingRequest::builder()
@@ -267,11 +267,11 @@
         job.engine = engine.unwrap_or(0);
         job.choice = Some(choice);
         job.sent = now;
-        entry.share.note_sent(now);
+        entry.share.record_sent(now);
         entry.since[job.engine] += 1;
         entry
             .pool
-            .note_sent(&choice, &job.request(self.setup.affinity), now);
+            .record_sent(&choice, &job.request(self.setup.affinity), now);
         let spec = &self.setup.engines[job.engine];
         let ticket = (index, job.attempts);
         let failing = now >= seconds(spec.fails.0) && now < seconds(spec.fails.1);
@@ -314,7 +314,7 @@
                 0
             };
             if let Some(choice) = self.jobs[index].choice {
-                self.entries[call.entry].pool.note_cached(&choice, cached);
+                self.entries[call.entry].pool.record_cached(&choice, cached);
             }
             let reading = f64::from(call.prompt - cached) / spec.prompt_rate * factor;
             let first = engine.reads_until.max(now) + seconds(reading + 0.01);
@@ -334,7 +334,7 @@
         }
         if let Some(choice) = &job.choice {
             let pool = &mut self.entries[job.call.entry].pool;
-            pool.note_first_token(choice, now, now.saturating_sub(job.sent));
+            pool.record_first_token(choice, now, now.saturating_sub(job.sent));
         }
         job.refused = false;
         job.first = Some(now.saturating_sub(job.sent));
@@ -351,8 +351,8 @@
         let stay = now.saturating_sub(job.sent);
         entry
             .pool
-            .note_ended(self.targets[engine], now, stay, outcome);
-        entry.share.note_finished(now, stay);
+            .record_ended(self.targets[engine], now, stay, outcome);
+        entry.share.record_finished(now, stay);
         entry.since[engine] -= 1;
         if outcome == TargetOutcome::Finished {
             self.engines[engine].running -= 1;
@@ -363,11 +363,11 @@
                 .actual(cost)
                 .maybe_first_token(job.first)
                 .build();
-            entry.queue.note_finished(now, work);
+            entry.queue.record_finished(now, work);
             self.fill(now, engine);
         } else {
             if outcome == TargetOutcome::Full {
-                entry.share.note_full(now);
+                entry.share.record_full(now);
             }
             job.failures += 1;
             if attempt < MAX_ATTEMPTS {
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -122,15 +122,15 @@
             .pool
             .choose(&list, &request, now, |_| true, &mut self.rng);
         let choice = choice.expect("there are targets");
-        self.pool.note_sent(&choice, &request, now);
+        self.pool.record_sent(&choice, &request, now);
         let outcome = outcome(choice.target);
         let later = now + Duration::from_millis(10);
         if outcome == TargetOutcome::Finished {
             self.pool
-                .note_first_token(&choice, later, Duration::from_millis(10));
+                .record_first_token(&choice, later, Duration::from_millis(10));
         }
         self.pool
-            .note_ended(choice.target, later, Duration::from_millis(10), outcome);
+            .record_ended(choice.target, later, Duration::from_millis(10), outcome);
         choice.target
     }
 }
@@ -229,10 +229,10 @@
         running: 2,
         ..TargetLoad::default()
     };
-    fixture.pool.note_load(fixture.targets[0], now, load);
+    fixture.pool.record_load(fixture.targets[0], now, load);
     fixture
         .pool
-        .note_load(fixture.targets[1], now, TargetLoad::default());
+        .record_load(fixture.targets[1], now, TargetLoad::default());
     let list = fixture.pool.candidates(fixture.targets.iter().copied());
     let request = PlacementRequest::builder().prompt_tokens(100).build();
     let mut counts = [0, 0];
@@ -241,7 +241,7 @@
             .pool
             .choose(&list, &request, now, |_| true, &mut fixture.rng)
             .expect("there are targets");
-        fixture.pool.note_sent(&choice, &request, now);
+        fixture.pool.record_sent(&choice, &request, now);
         counts[usize::from(choice.target == fixture.targets[1])] += 1;
     }
     assert!(counts[0] >= 16 && counts[1] >= 16, "{counts:?}");
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -45,7 +45,7 @@
     for call in 0..2_000_u64 {
         let now = Duration::from_millis(call);
         if call % 20 != 0 {
-            budget.note_success();
+            budget.record_success();
             continue;
         }
         let decision = budget.decide(now, &attempt(1), &mut rng);
--- a/crates/policy/tests/service_choice.rs
+++ b/crates/policy/tests/service_choice.rs
@@ -23,12 +23,12 @@
         let now = Duration::from_millis(call * 10);
         open.retain(|(end, index, elapsed, outcome)| {
             if *end <= now {
-                instances[*index].note_ended(*end, *elapsed, *outcome);
+                instances[*index].record_ended(*end, *elapsed, *outcome);
             }
             *end > now
         });
         let index = choose_instance(instances, now, |_| true, &mut rng).expect("there are three");
-        instances[index].note_sent();
+        instances[index].record_sent();
         counts[index] += 1;
         let (elapsed, outcome) = answer(index);
         open.push((now + elapsed, index, elapsed, outcome));
@@ -71,8 +71,8 @@
     let mut instances = instances();
     for instance in &mut instances {
         for _ in 0..4 {
-            instance.note_sent();
-            instance.note_ended(Duration::ZERO, Duration::ZERO, CallOutcome::Failed);
+            instance.record_sent();
+            instance.record_ended(Duration::ZERO, Duration::ZERO, CallOutcome::Failed);
         }
     }
     let mut rng = SmallRng::seed_from_u64(1);
