--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -91,7 +91,7 @@
     /// attempts.
     pub async fn decide_retry(&self, number: u32, deadline: Instant) -> RetryDecision {
         let decided = self.address.send(DecideRetry { number, deadline }).await;
-        decided.unwrap_or(RetryDecision::GiveUp(GiveUpReason::AttemptsSpent))
+        decided.unwrap_or(RetryDecision::GiveUp(GiveUpReason::AttemptsExhausted))
     }
 
     /// Tells how many entries share the replicas.
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -213,7 +213,7 @@
         let failed = FailedAttempt::builder()
             .number(number)
             .idempotent(true)
-            .begun(true)
+            .possibly_sent(true)
             .deadline(deadline.saturating_duration_since(self.started))
             .build();
         self.budget.decide(at.now, &failed, &mut self.index.rng)
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -78,7 +78,7 @@
         let failed = FailedAttempt::builder()
             .number(number)
             .idempotent(true)
-            .begun(true)
+            .possibly_sent(true)
             .deadline(deadline.saturating_duration_since(self.started))
             .build();
         self.state().budget.decide(now, &failed, &mut rand::rng())
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -12,14 +12,14 @@
     ///
     /// With a tenth, retries add at most 10% to the load however much fails.
     #[builder(default = 0.1)]
-    pub per_success: f64,
+    pub retries_per_success: f64,
     /// Retries that may be saved up, for a failure after a quiet time.
     #[builder(default = 10.0)]
-    pub reserve: f64,
+    pub max_balance: f64,
     /// Retries allowed a second even without successes, so that a node that has just started, or
     /// whose targets have just come back, finds out.
     #[builder(default = 0.5)]
-    pub trickle: f64,
+    pub min_per_second: f64,
     /// Attempts of one request, the first included.
     #[builder(default = 4)]
     pub max_attempts: u32,
@@ -55,18 +55,18 @@
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
-            balance: settings.reserve,
+            balance: settings.max_balance,
             at: Duration::ZERO,
         }
     }
 
     /// A request succeeded.
     pub fn record_success(&mut self) {
-        self.deposit(self.settings.per_success);
+        self.deposit(self.settings.retries_per_success);
     }
 
     fn deposit(&mut self, amount: f64) {
-        self.balance = (self.balance + amount).min(self.settings.reserve);
+        self.balance = (self.balance + amount).min(self.settings.max_balance);
     }
 
     /// Decides what follows a failed attempt, and pays for a retry.
@@ -78,19 +78,19 @@
     ) -> RetryDecision {
         let elapsed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        self.deposit(elapsed * self.settings.trickle);
-        if !attempt.idempotent && attempt.begun {
+        self.deposit(elapsed * self.settings.min_per_second);
+        if !attempt.idempotent && attempt.possibly_sent {
             return RetryDecision::GiveUp(GiveUpReason::MayHaveRun);
         }
         if attempt.number >= self.settings.max_attempts {
-            return RetryDecision::GiveUp(GiveUpReason::AttemptsSpent);
+            return RetryDecision::GiveUp(GiveUpReason::AttemptsExhausted);
         }
         let wait = backoff(&self.settings, attempt.number, rng);
         if now + wait >= attempt.deadline {
-            return RetryDecision::GiveUp(GiveUpReason::TooLate);
+            return RetryDecision::GiveUp(GiveUpReason::DeadlineExceeded);
         }
         if self.balance < 1.0 {
-            return RetryDecision::GiveUp(GiveUpReason::BudgetSpent);
+            return RetryDecision::GiveUp(GiveUpReason::BudgetExhausted);
         }
         self.balance -= 1.0;
         RetryDecision::Retry { wait }
@@ -105,7 +105,7 @@
     /// Whether running it twice does no harm.
     pub idempotent: bool,
     /// Whether a byte of it could have reached a target.
-    pub begun: bool,
+    pub possibly_sent: bool,
     /// When an answer is no longer of use, since the node's start.
     pub deadline: Duration,
 }
@@ -130,13 +130,13 @@
     MayHaveRun,
     /// Every attempt was used.
     #[error("every attempt failed")]
-    AttemptsSpent,
+    AttemptsExhausted,
     /// The next attempt would start after the deadline.
     #[error("no time is left for another attempt")]
-    TooLate,
+    DeadlineExceeded,
     /// Too much fails for more retries.
     #[error("too many requests fail for another attempt")]
-    BudgetSpent,
+    BudgetExhausted,
 }
 
 /// Wait before the attempt that follows number `number`: anything up to twice the doubled mean.
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -10,7 +10,7 @@
     FailedAttempt::builder()
         .number(number)
         .idempotent(true)
-        .begun(true)
+        .possibly_sent(true)
         .deadline(Duration::from_hours(1))
         .build()
 }
@@ -69,7 +69,7 @@
     let decision = budget.decide(Duration::ZERO, &payment, &mut rng);
     assert_eq!(decision, RetryDecision::GiveUp(GiveUpReason::MayHaveRun));
     let unsent = FailedAttempt {
-        begun: false,
+        possibly_sent: false,
         ..payment
     };
     let decision = budget.decide(Duration::ZERO, &unsent, &mut rng);
@@ -86,9 +86,15 @@
         ..attempt(1)
     };
     let decision = budget.decide(Duration::from_secs(1), &late, &mut rng);
-    assert_eq!(decision, RetryDecision::GiveUp(GiveUpReason::TooLate));
+    assert_eq!(
+        decision,
+        RetryDecision::GiveUp(GiveUpReason::DeadlineExceeded)
+    );
     let decision = budget.decide(Duration::from_secs(1), &attempt(4), &mut rng);
-    assert_eq!(decision, RetryDecision::GiveUp(GiveUpReason::AttemptsSpent));
+    assert_eq!(
+        decision,
+        RetryDecision::GiveUp(GiveUpReason::AttemptsExhausted)
+    );
     let mut waits = Vec::new();
     for _ in 0..5 {
         if let RetryDecision::Retry { wait } =
