--- a/crates/control/src/assembly/serving.rs
+++ b/crates/control/src/assembly/serving.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use domain::{FastMap, FastSet, ModelName, ReplicaId};
-use policy::rollout::drain_room;
+use policy::rollout::allowed_drains;
 
 use super::rows::FabricRows;
 use crate::view::TargetView;
@@ -37,7 +37,7 @@
         if wanted > 0 && (formable || self.standing > wanted) {
             return self.serving.saturating_sub(wanted);
         }
-        drain_room(wanted, self.serving, ROLLOUT_STEPS)
+        allowed_drains(wanted, self.serving, ROLLOUT_STEPS)
     }
 }
 
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -6,7 +6,7 @@
 
 use domain::{FastMap, FastSet};
 use policy::retry::{FailedAttempt, RetryBudget, RetryDecision, RetrySettings};
-use policy::service::{CallOutcome, ServiceInstance, choose_instance};
+use policy::service::{CallOutcome, InstanceStats, choose_instance};
 
 /// What this process knows of the instances that it calls.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct PoolState {
-    instances: FastMap<SocketAddr, ServiceInstance>,
+    instances: FastMap<SocketAddr, InstanceStats>,
     budget: RetryBudget,
 }
 
@@ -50,7 +50,7 @@
     ) -> Option<SocketAddr> {
         let now = self.now();
         let mut state = self.state();
-        let known: Vec<ServiceInstance> = addresses
+        let known: Vec<InstanceStats> = addresses
             .iter()
             .map(|address| state.instances.get(address).cloned().unwrap_or_default())
             .collect();
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -10,7 +10,7 @@
 /// `wanted` counts the model's wanted replicas and `serving` those that serve and do not drain,
 /// both over all its versions. A model that no record wants goes at once.
 #[must_use]
-pub fn drain_room(wanted: usize, serving: usize, steps: usize) -> usize {
+pub fn allowed_drains(wanted: usize, serving: usize, steps: usize) -> usize {
     let missing = wanted.div_ceil(steps.max(1));
     (serving + missing).saturating_sub(wanted)
 }
--- a/crates/policy/src/service.rs
+++ b/crates/policy/src/service.rs
@@ -18,7 +18,7 @@
 
 /// What an entry knows of one instance of a plain service.
 #[derive(Debug, Clone, Default)]
-pub struct ServiceInstance {
+pub struct InstanceStats {
     in_flight: u32,
     failures: u32,
     left_out_until: Option<Duration>,
@@ -34,7 +34,7 @@
     Failed,
 }
 
-impl ServiceInstance {
+impl InstanceStats {
     /// A call was sent.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
@@ -75,7 +75,7 @@
 /// fast failures would make it look idle; when all are left out the least bad is tried, because
 /// an instance that is back is found only so.
 pub fn choose_instance<R: Rng>(
-    instances: &[ServiceInstance],
+    instances: &[InstanceStats],
     now: Duration,
     usable: impl Fn(usize) -> bool,
     rng: &mut R,
--- a/crates/policy/tests/service_choice.rs
+++ b/crates/policy/tests/service_choice.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use policy::service::{CallOutcome, ServiceInstance, choose_instance};
+use policy::service::{CallOutcome, InstanceStats, choose_instance};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn instances() -> Vec<ServiceInstance> {
-    vec![ServiceInstance::default(); 3]
+fn instances() -> Vec<InstanceStats> {
+    vec![InstanceStats::default(); 3]
 }
 
 /// Sends a call each 10 ms; `answer` gives each instance's time and outcome.
 fn send_calls(
-    instances: &mut [ServiceInstance],
+    instances: &mut [InstanceStats],
     calls: u64,
     answer: impl Fn(usize) -> (Duration, CallOutcome),
 ) -> [usize; 3] {
