--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use domain::{CustomerKey, FastMap};
-use policy::admission::{AdmissionQueue, OfferOutcome, WaitKey, WaitingRequest};
+use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome, RequestKey};
 use policy::capacity::{CapacityShare, ShareSettings};
 use policy::placement::CandidateList;
 use wire::caller::ErrorCode;
@@ -50,7 +50,7 @@
     pub queue: AdmissionQueue,
     pub share: CapacityShare,
     pub candidates: CandidateList,
-    queued: FastMap<WaitKey, WaitingAsk>,
+    queued: FastMap<RequestKey, WaitingAsk>,
     /// Admitted asks that found no replica that fits them.
     parked: Vec<WaitingAsk>,
     usable: bool,
@@ -81,7 +81,7 @@
         self.usable = index.any_usable(&self.candidates, at.instant);
         if self.usable {
             if !was_usable {
-                self.queue.forget_rate();
+                self.queue.reset_drain_rate();
             }
             self.absent_since = at.now;
         }
@@ -103,7 +103,7 @@
             waiting.fail(failure);
             return;
         }
-        let request = WaitingRequest::builder()
+        let request = AdmissionRequest::builder()
             .customer(waiting.customer)
             .share(waiting.ask.share)
             .deadline(waiting.deadline)
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -4,7 +4,7 @@
 
 use control::TargetView;
 use domain::{CustomerId, CustomerKey, DomainId, FastMap, ModelName};
-use policy::admission::FinishedWork;
+use policy::admission::FinishedRequest;
 use policy::placement::TargetOutcome;
 use policy::retry::{FailedAttempt, RetryBudget, RetryDecision, RetrySettings};
 use rand::SeedableRng;
@@ -193,10 +193,10 @@
         if outcome.outcome == TargetOutcome::Full {
             dispatcher.share.record_full(at.now);
         }
-        let work = FinishedWork::builder()
+        let work = FinishedRequest::builder()
             .customer(facts.customer)
-            .predicted(facts.predicted)
-            .actual(outcome.actual)
+            .predicted_cost(facts.predicted)
+            .actual_cost(outcome.actual)
             .maybe_first_token(first_token)
             .build();
         dispatcher.queue.record_finished(at.now, work);
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use domain::CustomerKey;
-use policy::admission::{AdmissionQueue, OfferOutcome, WaitingRequest};
+use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome};
 use policy::capacity::{CapacityShare, PoolReport, ShareSettings};
 use policy::placement::{PlacementRequest, PlacementSettings, TargetFacts, TargetLoad, TargetPool};
 use rand::SeedableRng;
@@ -24,7 +24,7 @@
         let mut queue = AdmissionQueue::builder().seed(1).max_waiting(4_096).build();
         let mut now = Duration::ZERO;
         let offer = |queue: &mut AdmissionQueue, now: Duration, number: usize| {
-            let request = WaitingRequest::builder()
+            let request = AdmissionRequest::builder()
                 .customer(keys[number % customers])
                 .deadline(now + Duration::from_hours(1))
                 .cost(100)
--- a/crates/policy/examples/compare/baseline/mod.rs
+++ b/crates/policy/examples/compare/baseline/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use domain::FastMap;
-use policy::admission::{AdmissionQueue, WaitKey};
+use policy::admission::{AdmissionQueue, RequestKey};
 use policy::capacity::{CapacityShare, ShareSettings};
 use policy::placement::{
     CandidateList, PlacementChoice, PlacementSettings, TargetFacts, TargetLoad, TargetPool,
@@ -42,7 +42,7 @@
 pub struct Entry {
     pub queue: AdmissionQueue,
     pub line: VecDeque<usize>,
-    pub keys: FastMap<WaitKey, usize>,
+    pub keys: FastMap<RequestKey, usize>,
     pub pool: TargetPool,
     pub list: CandidateList,
     pub share: CapacityShare,
--- a/crates/policy/src/admission/lane.rs
+++ b/crates/policy/src/admission/lane.rs
@@ -6,7 +6,7 @@
 
 use domain::{CustomerKey, FastMap};
 
-use super::request::WaitKey;
+use super::request::RequestKey;
 
 /// Customers that are remembered before idle ones are forgotten.
 const MAX_LINES: usize = 1_024;
@@ -22,7 +22,7 @@
 /// What a lane knows of a waiting request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LaneTicket {
-    pub key: WaitKey,
+    pub key: RequestKey,
     pub customer: CustomerKey,
     pub rank: LineRank,
     pub cost: f64,
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -15,5 +15,5 @@
 
 pub use arrival::ArrivalStanding;
 pub use queue::AdmissionQueue;
-pub use request::{FinishedWork, OfferOutcome, RefusalReason, WaitKey, WaitingRequest};
+pub use request::{AdmissionRequest, FinishedRequest, OfferOutcome, RefusalReason, RequestKey};
 pub use shares::CustomerShares;
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -12,7 +12,7 @@
 use super::drain::DrainRate;
 use super::first_token::FirstTokenTime;
 use super::lane::{FairLane, LaneTicket, LineRank};
-use super::request::{FinishedWork, OfferOutcome, RefusalReason, WaitKey, WaitingRequest};
+use super::request::{AdmissionRequest, FinishedRequest, OfferOutcome, RefusalReason, RequestKey};
 use super::spread::ReturnSpread;
 
 /// Turns after which a background request goes even though others wait.
@@ -49,10 +49,10 @@
 #[derive(Debug)]
 pub struct AdmissionQueue {
     max_waiting: usize,
-    entries: SlotMap<WaitKey, WaitEntry>,
+    entries: SlotMap<RequestKey, WaitEntry>,
     normal: FairLane,
     background: FairLane,
-    due: BTreeSet<(Duration, WaitKey)>,
+    due: BTreeSet<(Duration, RequestKey)>,
     drain: DrainRate,
     spread: ReturnSpread,
     free: usize,
@@ -109,7 +109,7 @@
     /// anyway has cost its caller the wait and the target the work; seen as targets that are busy
     /// while hardly an answer is on time. So it is refused while its caller can still do
     /// something else, with a time to return at which there will be room.
-    pub fn offer(&mut self, now: Duration, request: WaitingRequest) -> OfferOutcome {
+    pub fn offer(&mut self, now: Duration, request: AdmissionRequest) -> OfferOutcome {
         self.pass(now);
         let cost = f64::from(request.cost.max(1));
         let rank = self.next_rank(&request);
@@ -141,7 +141,7 @@
     ///
     /// While no target is there the queue stands still, and a rate taken from that time would
     /// refuse everyone once the targets are back, as if they were still gone.
-    pub fn forget_rate(&mut self) {
+    pub fn reset_drain_rate(&mut self) {
         self.drain = DrainRate::default();
     }
 
@@ -153,7 +153,7 @@
         self.free == 0 && !self.entries.is_empty()
     }
 
-    fn next_rank(&mut self, request: &WaitingRequest) -> LineRank {
+    fn next_rank(&mut self, request: &AdmissionRequest) -> LineRank {
         self.arrivals += 1;
         LineRank {
             priority: Reverse(request.priority),
@@ -170,7 +170,7 @@
 
     /// How long a request would wait now; zero while the drain rate is unknown, because then
     /// nothing has waited yet.
-    fn predict_wait(&self, request: &WaitingRequest) -> Duration {
+    fn predict_wait(&self, request: &AdmissionRequest) -> Duration {
         if self.free > self.entries.len() {
             return Duration::ZERO;
         }
@@ -211,11 +211,11 @@
 
     fn insert(
         &mut self,
-        request: WaitingRequest,
+        request: AdmissionRequest,
         rank: LineRank,
         send_by: Duration,
         cost: f64,
-    ) -> WaitKey {
+    ) -> RequestKey {
         let customer = request.customer;
         let background = request.priority < 0;
         let key = self.entries.insert_with_key(|key| WaitEntry {
@@ -246,7 +246,7 @@
     ///
     /// It gives one whenever one waits and `free` is not zero: a slot is never held back for a
     /// customer that has nothing to run.
-    pub fn next(&mut self, now: Duration, free: usize) -> Option<WaitKey> {
+    pub fn next(&mut self, now: Duration, free: usize) -> Option<RequestKey> {
         self.pass(now);
         self.free = free;
         if free == 0 {
@@ -272,7 +272,7 @@
     ///
     /// They get their final answer at once: a caller that learns of it early can still act, and
     /// a request that is sent although it is late takes the place of one that is not.
-    pub fn expire(&mut self, now: Duration) -> Vec<WaitKey> {
+    pub fn expire(&mut self, now: Duration) -> Vec<RequestKey> {
         let mut expired = Vec::new();
         while let Some((send_by, key)) = self.due.first().copied() {
             if send_by > now {
@@ -297,7 +297,7 @@
     }
 
     /// Takes a request out whose caller has gone; false when it does not wait.
-    pub fn cancel(&mut self, key: WaitKey) -> bool {
+    pub fn cancel(&mut self, key: RequestKey) -> bool {
         let Some(entry) = self.entries.remove(key) else {
             return false;
         };
@@ -309,12 +309,12 @@
     }
 
     /// A target finished a request that [`Self::next`] had named.
-    pub fn record_finished(&mut self, now: Duration, work: FinishedWork) {
+    pub fn record_finished(&mut self, now: Duration, request: FinishedRequest) {
         self.pass(now);
-        self.drain.record_finished(f64::from(work.actual));
-        let difference = f64::from(work.actual) - f64::from(work.predicted);
-        self.normal.correct(work.customer, difference);
-        if let Some(first_token) = work.first_token {
+        self.drain.record_finished(f64::from(request.actual_cost));
+        let difference = f64::from(request.actual_cost) - f64::from(request.predicted_cost);
+        self.normal.correct(request.customer, difference);
+        if let Some(first_token) = request.first_token {
             self.first_token.note(first_token);
         }
     }
--- a/crates/policy/src/admission/request.rs
+++ b/crates/policy/src/admission/request.rs
@@ -7,12 +7,12 @@
 
 slotmap::new_key_type! {
     /// Key of a waiting request.
-    pub struct WaitKey;
+    pub struct RequestKey;
 }
 
 /// A request that asks to be let in.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
-pub struct WaitingRequest {
+pub struct AdmissionRequest {
     /// The customer.
     pub customer: CustomerKey,
     /// The customer's weight against others, at least 1.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
     /// It waits for its turn; [`AdmissionQueue::next`](super::AdmissionQueue::next) will name it.
-    Admitted(WaitKey),
+    Admitted(RequestKey),
     /// It gets its final answer now; nothing of it was run.
     Refused {
         /// Why.
@@ -55,13 +55,13 @@
 
 /// A request that a target has finished, or given up.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
-pub struct FinishedWork {
+pub struct FinishedRequest {
     /// The customer.
     pub customer: CustomerKey,
     /// Tokens that were predicted.
-    pub predicted: u32,
+    pub predicted_cost: u32,
     /// Tokens that it took.
-    pub actual: u32,
+    pub actual_cost: u32,
     /// Time from sending to the first token; none when none came.
     pub first_token: Option<Duration>,
 }
--- a/crates/policy/tests/load/driver/mod.rs
+++ b/crates/policy/tests/load/driver/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use domain::{CustomerKey, TargetKey};
-use policy::admission::{FinishedWork, OfferOutcome, WaitingRequest};
+use policy::admission::{AdmissionRequest, FinishedRequest, OfferOutcome};
 use policy::capacity::PoolReport;
 use policy::placement::{TargetLoad, TargetOutcome};
 use rand::SeedableRng;
@@ -187,7 +187,7 @@
         entry.share.record_offered(now);
         match self.setup.queue {
             QueueKind::Fair => {
-                let request = WaitingRequest::builder()
+                let request = AdmissionRequest::builder()
                     .customer(customer)
                     .deadline(now + PATIENCE)
                     .cost(job.cost())
@@ -357,10 +357,10 @@
         if outcome == TargetOutcome::Finished {
             self.engines[engine].running -= 1;
             let cost = job.cost();
-            let work = FinishedWork::builder()
+            let work = FinishedRequest::builder()
                 .customer(self.customers[job.call.customer])
-                .predicted(cost)
-                .actual(cost)
+                .predicted_cost(cost)
+                .actual_cost(cost)
                 .maybe_first_token(job.first)
                 .build();
             entry.queue.record_finished(now, work);
--- a/crates/policy/tests/load/early_refusal.rs
+++ b/crates/policy/tests/load/early_refusal.rs
@@ -6,7 +6,7 @@
 use crate::driver::callers::{merged, steady};
 use crate::driver::{Driver, RunResult, Setup};
 use domain::CustomerKey;
-use policy::admission::{AdmissionQueue, OfferOutcome, WaitingRequest};
+use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome};
 use quickcheck::{Arbitrary, Gen};
 use rand::Rng;
 use slotmap::SlotMap;
@@ -96,8 +96,8 @@
     SlotMap::<CustomerKey, ()>::with_key().insert(())
 }
 
-fn request(patience: u64, now: Duration) -> WaitingRequest {
-    WaitingRequest::builder()
+fn request(patience: u64, now: Duration) -> AdmissionRequest {
+    AdmissionRequest::builder()
         .customer(customer())
         .deadline(now + Duration::from_millis(patience))
         .cost(100)
@@ -194,7 +194,7 @@
     let mut arena: SlotMap<CustomerKey, ()> = SlotMap::with_key();
     let (large, small) = (arena.insert(()), arena.insert(()));
     let mut queue = AdmissionQueue::builder().max_waiting(100).seed(3).build();
-    let of = |customer| WaitingRequest {
+    let of = |customer| AdmissionRequest {
         customer,
         ..request(1_700, Duration::ZERO)
     };
--- a/crates/policy/tests/load/fair_admission.rs
+++ b/crates/policy/tests/load/fair_admission.rs
@@ -6,7 +6,7 @@
 use crate::driver::callers::{merged, steady};
 use crate::driver::{Call, Driver, Job, Setup};
 use domain::CustomerKey;
-use policy::admission::{AdmissionQueue, OfferOutcome, WaitKey, WaitingRequest};
+use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome, RequestKey};
 use quickcheck::{Arbitrary, Gen};
 use rand::Rng;
 use slotmap::SlotMap;
@@ -18,15 +18,19 @@
     (0..count).map(|_| arena.insert(())).collect()
 }
 
-fn request(customer: CustomerKey, deadline: u64) -> WaitingRequest {
-    WaitingRequest::builder()
+fn request(customer: CustomerKey, deadline: u64) -> AdmissionRequest {
+    AdmissionRequest::builder()
         .customer(customer)
         .deadline(Duration::from_secs(deadline))
         .cost(10)
         .build()
 }
 
-fn admit(queue: &mut AdmissionQueue, now: Duration, request: WaitingRequest) -> Option<WaitKey> {
+fn admit(
+    queue: &mut AdmissionQueue,
+    now: Duration,
+    request: AdmissionRequest,
+) -> Option<RequestKey> {
     match queue.offer(now, request) {
         OfferOutcome::Admitted(key) => Some(key),
         OfferOutcome::Refused { .. } => None,
@@ -74,7 +78,7 @@
     let mut owners = slotmap::SecondaryMap::new();
     for _ in 0..100 {
         for (customer, share) in [(keys[0], 3), (keys[1], 1)] {
-            let request = WaitingRequest {
+            let request = AdmissionRequest {
                 share,
                 ..request(customer, 1_000)
             };
@@ -82,7 +86,7 @@
             owners.insert(key, customer);
         }
     }
-    let sent: Vec<WaitKey> = (0..80)
+    let sent: Vec<RequestKey> = (0..80)
         .filter_map(|_| queue.next(Duration::from_secs(1), 1))
         .collect();
     let first = sent.iter().filter(|key| owners[**key] == keys[0]).count();
@@ -94,7 +98,7 @@
 fn background_work_is_not_starved() {
     let keys = customers(2);
     let mut queue = AdmissionQueue::builder().seed(1).build();
-    let background = WaitingRequest {
+    let background = AdmissionRequest {
         priority: -1,
         ..request(keys[0], 1_000)
     };
@@ -142,7 +146,7 @@
         for step in steps {
             match step {
                 Step::Offer(customer, cost) => {
-                    let request = WaitingRequest {
+                    let request = AdmissionRequest {
                         cost,
                         deadline: now + Duration::from_secs(2),
                         ..request(keys[customer], 0)
