--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use domain::{CustomerId, FastSet, HostId, ModelName, RequestId, ServiceName};
 use http::{HeaderMap, Method, Uri};
-use policy::admission::ArrivalStanding;
+use policy::admission::AdmissionClass;
 use serving::choose::{NoTarget, TargetChoice, choose_target};
 use serving::rank::stable_hash;
 use serving::{
@@ -136,13 +136,13 @@
         &self,
         service: &ServiceShape,
         slots: u32,
-        standing: ArrivalStanding,
+        class: AdmissionClass,
         patience: Duration,
     ) -> f64 {
         let pace = self.replica_pace(service);
         let places = pace.and_then(|pace| pace.queue_places(patience));
         // Without a step model, and at a plain service, a short queue empties in time.
-        places.unwrap_or(f64::from(slots) * PLAIN_QUEUE) * standing.part()
+        places.unwrap_or(f64::from(slots) * PLAIN_QUEUE) * class.queue_fraction()
     }
 
     /// Times of a replica of its model; nothing for a plain service.
@@ -160,17 +160,17 @@
 
     /// What it is among those that compete with it. One that goes on elsewhere was let in before,
     /// and what it has cost would be lost.
-    fn standing(
+    fn admission_class(
         &self,
         node: &GatewayNode,
         service: &ServiceShape,
         tried: &FastSet<HostId>,
-    ) -> ArrivalStanding {
+    ) -> AdmissionClass {
         if !tried.is_empty() {
-            return ArrivalStanding::default();
+            return AdmissionClass::default();
         }
-        ArrivalStanding {
-            ranks_before: service.ranks_before(self.priority),
+        AdmissionClass {
+            higher_ranks: service.ranks_before(self.priority),
             over_share: node.is_over_share(self),
         }
     }
@@ -223,9 +223,9 @@
             })
             .collect();
         let most = entries.first().map_or(0, slots);
-        let standing = self.standing(node, service, tried);
+        let class = self.admission_class(node, service, tried);
         let limits = ChoiceLimits {
-            queue: self.queue_limit(service, most, standing, patience),
+            queue: self.queue_limit(service, most, class, patience),
             nodes: node.node_count(),
         };
         let index = choose_target(&choices, limits, now)
--- a/crates/policy/src/admission/arrival.rs
+++ b/crates/policy/src/admission/class.rs
@@ -20,18 +20,18 @@
 /// What a request is among those that compete with it. Its size is no part of it: at the same
 /// queue a large prompt is refused no sooner than a small one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ArrivalStanding {
+pub struct AdmissionClass {
     /// How many ranks in use at its service go before its own.
-    pub ranks_before: usize,
+    pub higher_ranks: usize,
     /// Whether its customer uses more than its share.
     pub over_share: bool,
 }
 
-impl ArrivalStanding {
+impl AdmissionClass {
     /// Part of the longest queue that it accepts, above 0 and at most 1.
     #[must_use]
-    pub fn part(&self) -> f64 {
-        let ranks = i32::try_from(self.ranks_before).unwrap_or(i32::MAX);
+    pub fn queue_fraction(&self) -> f64 {
+        let ranks = i32::try_from(self.higher_ranks).unwrap_or(i32::MAX);
         let share = if self.over_share { SHARE_FACTOR } else { 1.0 };
         RANK_FACTOR.powi(ranks) * share
     }
--- a/crates/policy/tests/arrival_standing.rs
+++ b/crates/policy/tests/admission_class.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use domain::CustomerId;
-use policy::admission::{ArrivalStanding, CustomerShares};
+use policy::admission::{AdmissionClass, CustomerShares};
 
 /// Places of the target, and the longest queue that anybody accepts there: a replica of today.
 const PLACES: usize = 26;
@@ -23,17 +23,17 @@
     customer: CustomerId,
     /// Requests in 10 steps.
     rate: usize,
-    ranks_before: usize,
+    higher_ranks: usize,
     sent: usize,
     served: usize,
 }
 
 impl Sender {
-    fn new(name: &str, rate: usize, ranks_before: usize) -> Self {
+    fn new(name: &str, rate: usize, higher_ranks: usize) -> Self {
         Self {
             customer: customer(name),
             rate,
-            ranks_before,
+            higher_ranks,
             sent: 0,
             served: 0,
         }
@@ -68,17 +68,17 @@
             for _ in 0..due {
                 sender.sent += 1;
                 shares.record_arrival(&sender.customer, now);
-                let standing = ArrivalStanding {
-                    ranks_before: sender.ranks_before,
+                let class = AdmissionClass {
+                    higher_ranks: sender.higher_ranks,
                     over_share: shares.is_over_share(&sender.customer, now),
                 };
                 let there = count(running.len() + waiting.len());
-                if there >= count(PLACES) + QUEUE * standing.part() {
+                if there >= count(PLACES) + QUEUE * class.queue_fraction() {
                     continue;
                 }
                 sender.served += 1;
                 shares.record_sent(&sender.customer);
-                waiting.push((sender.ranks_before, index));
+                waiting.push((sender.higher_ranks, index));
             }
         }
         waiting.sort_by_key(|(rank, _)| *rank);
@@ -152,12 +152,12 @@
 /// all that competes is the rank and the share, and a request alone of its kind loses nothing.
 #[test]
 fn parts_fall_with_rank() {
-    let part = |ranks_before, over_share| {
-        let standing = ArrivalStanding {
-            ranks_before,
+    let part = |higher_ranks, over_share| {
+        let class = AdmissionClass {
+            higher_ranks,
             over_share,
         };
-        standing.part()
+        class.queue_fraction()
     };
     assert!((part(0, false) - 1.0).abs() < 1e-9);
     for rank in 0..9 {
