--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -4,7 +4,7 @@
 
 use domain::ReplicaId;
 use events::{EventCode, EventSubject};
-use policy::placement::TargetOutcome;
+use policy::placement::AttemptOutcome;
 use policy::retry::RetryDecision;
 use target::EnginePort;
 use wire::caller::ErrorCode;
@@ -147,10 +147,10 @@
     fn slot_outcome(&self, followed: &Result<CompletionEnd, AttemptFault>) -> SlotOutcome {
         let delivered = self.progress.offset().count;
         let (outcome, cached_tokens) = match followed {
-            Ok(CompletionEnd::Finished(end)) => (TargetOutcome::Finished, Some(end.cached_tokens)),
-            Ok(_) => (TargetOutcome::Cancelled, None),
-            Err(AttemptFault::Refused { moved: false, .. }) => (TargetOutcome::Full, None),
-            Err(_) => (TargetOutcome::Failed, None),
+            Ok(CompletionEnd::Finished(end)) => (AttemptOutcome::Finished, Some(end.cached_tokens)),
+            Ok(_) => (AttemptOutcome::Cancelled, None),
+            Err(AttemptFault::Refused { moved: false, .. }) => (AttemptOutcome::Full, None),
+            Err(_) => (AttemptOutcome::Failed, None),
         };
         SlotOutcome {
             outcome,
--- a/crates/entry/src/dispatch/ask.rs
+++ b/crates/entry/src/dispatch/ask.rs
@@ -7,7 +7,7 @@
 use domain::{
     AdapterName, CustomerId, CustomerKey, FastSet, ModelName, ReplicaId, ReplicaPlan, VersionName,
 };
-use policy::placement::{PlacementChoice, TargetOutcome};
+use policy::placement::{AttemptOutcome, PlacementChoice};
 use tokio::sync::mpsc;
 use wire::engine::prefix_hashes;
 
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SlotOutcome {
     /// How it ended for the target.
-    pub outcome: TargetOutcome,
+    pub outcome: AttemptOutcome,
     /// Tokens of prompt and answer that it took.
     pub actual: u32,
     /// Prompt tokens that were cached, when the target told.
@@ -152,7 +152,7 @@
             given: Instant::now(),
             first_token: None,
             outcome: SlotOutcome {
-                outcome: TargetOutcome::Cancelled,
+                outcome: AttemptOutcome::Cancelled,
                 actual: 0,
                 cached_tokens: None,
             },
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -7,8 +7,8 @@
 use domain::{DomainId, FastMap, ModelName, ReplicaId, TargetKey};
 use policy::capacity::PoolReport;
 use policy::placement::{
-    CandidateList, PlacementChoice, PlacementRequest, PlacementSettings, TargetFacts, TargetLoad,
-    TargetPool,
+    CandidateList, PlacementChoice, PlacementRequest, PlacementSettings, TargetLoad, TargetPool,
+    TargetProperties,
 };
 use rand::rngs::SmallRng;
 
@@ -58,13 +58,13 @@
         let mut keys = FastMap::default();
         let mut views = FastMap::default();
         for replica in &view.replicas {
-            let facts = self.facts(replica);
+            let properties = self.properties(replica);
             let key = match self.keys.remove(&replica.plan.id) {
                 Some(key) => {
-                    self.pool.set_facts(key, facts);
+                    self.pool.set_properties(key, properties);
                     key
                 }
-                None => self.pool.insert(facts),
+                None => self.pool.insert(properties),
             };
             keys.insert(replica.plan.id.clone(), key);
             views.insert(key, Arc::clone(replica));
@@ -95,11 +95,11 @@
         models
     }
 
-    fn facts(&self, replica: &ReplicaView) -> TargetFacts {
+    fn properties(&self, replica: &ReplicaView) -> TargetProperties {
         let near = self.home.is_none() || replica.domain == self.home;
-        TargetFacts {
+        TargetProperties {
             slots: replica.load.map_or(0, |(load, _)| load.slots),
-            distance: if near { Duration::ZERO } else { OTHER_DOMAIN },
+            round_trip: if near { Duration::ZERO } else { OTHER_DOMAIN },
             adapters: replica.plan.adapters.clone(),
         }
     }
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -5,7 +5,7 @@
 use control::TargetView;
 use domain::{CustomerId, CustomerKey, DomainId, FastMap, ModelName};
 use policy::admission::FinishedRequest;
-use policy::placement::TargetOutcome;
+use policy::placement::AttemptOutcome;
 use policy::retry::{FailedAttempt, RetryBudget, RetryDecision, RetrySettings};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -181,16 +181,16 @@
         let pool = &mut self.index.pool;
         pool.record_ended(facts.choice.target, at.now, stay, outcome.outcome);
         if let Some(cached) = outcome.cached_tokens {
-            pool.record_cached(&facts.choice, cached);
+            pool.record_cached_tokens(&facts.choice, cached);
         }
-        if outcome.outcome == TargetOutcome::Finished {
+        if outcome.outcome == AttemptOutcome::Finished {
             self.budget.record_success();
         }
         let Some(dispatcher) = self.models.get_mut(&facts.model) else {
             return;
         };
         dispatcher.share.record_finished(at.now, stay);
-        if outcome.outcome == TargetOutcome::Full {
+        if outcome.outcome == AttemptOutcome::Full {
             dispatcher.share.record_full(at.now);
         }
         let work = FinishedRequest::builder()
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -7,7 +7,9 @@
 use domain::CustomerKey;
 use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome};
 use policy::capacity::{CapacityShare, PoolReport, ShareSettings};
-use policy::placement::{PlacementRequest, PlacementSettings, TargetFacts, TargetLoad, TargetPool};
+use policy::placement::{
+    PlacementRequest, PlacementSettings, TargetLoad, TargetPool, TargetProperties,
+};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
@@ -53,8 +55,10 @@
     let mut group = criterion.benchmark_group("placement");
     for engines in SIZES {
         let mut pool = TargetPool::new(PlacementSettings::builder().build());
-        let facts = TargetFacts::builder().slots(64).build();
-        let targets: Vec<_> = (0..engines).map(|_| pool.insert(facts.clone())).collect();
+        let properties = TargetProperties::builder().slots(64).build();
+        let targets: Vec<_> = (0..engines)
+            .map(|_| pool.insert(properties.clone()))
+            .collect();
         let load = TargetLoad {
             running: 30,
             prompt_rate: 8_000.0,
--- a/crates/policy/examples/compare/baseline/mod.rs
+++ b/crates/policy/examples/compare/baseline/mod.rs
@@ -7,7 +7,7 @@
 use policy::admission::{AdmissionQueue, RequestKey};
 use policy::capacity::{CapacityShare, ShareSettings};
 use policy::placement::{
-    CandidateList, PlacementChoice, PlacementSettings, TargetFacts, TargetLoad, TargetPool,
+    CandidateList, PlacementChoice, PlacementSettings, TargetLoad, TargetPool, TargetProperties,
 };
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -56,7 +56,7 @@
         let mut pool = TargetPool::new(PlacementSettings::builder().draws(setup.draws).build());
         let mut targets = Vec::new();
         for engine in &setup.engines {
-            targets.push(pool.insert(TargetFacts::builder().slots(engine.slots).build()));
+            targets.push(pool.insert(TargetProperties::builder().slots(engine.slots).build()));
         }
         let seed = setup.seed * 1_000 + index as u64 * 37;
         let entries = u32::try_from(setup.entries).unwrap_or(u32::MAX);
@@ -105,7 +105,7 @@
         PlacementChoice {
             target: entry.list.as_slice()[index],
             predicted: Duration::from_millis(100),
-            unslowed: Duration::from_millis(100),
+            nominal: Duration::from_millis(100),
             cached_tokens: 0,
         }
     }
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -42,7 +42,7 @@
 /// Time to the first token, with and without the target's own slowness.
 struct TimeEstimate {
     predicted: Duration,
-    unslowed: Duration,
+    nominal: Duration,
 }
 
 impl TargetPool {
@@ -154,7 +154,7 @@
 
     fn is_full(&self, target: TargetKey, now: Duration) -> bool {
         self.targets.get(target).is_some_and(|state| {
-            let slots = state.facts.slots;
+            let slots = state.properties.slots;
             slots > 0 && state.estimate(now).streams >= f64::from(slots)
         })
     }
@@ -185,7 +185,7 @@
         *best = Some(PlacementChoice {
             target,
             predicted: estimate.predicted,
-            unslowed: estimate.unslowed,
+            nominal: estimate.nominal,
             cached_tokens,
         });
     }
@@ -218,9 +218,9 @@
         now: Duration,
     ) -> TimeEstimate {
         let load = state.estimate(now);
-        let slots = f64::from(state.facts.slots.max(1));
+        let slots = f64::from(state.properties.slots.max(1));
         let over = load.streams + 1.0 - slots;
-        let wait = if state.facts.slots > 0 && over > 0.0 {
+        let wait = if state.properties.slots > 0 && over > 0.0 {
             over * self.stay / slots
         } else {
             0.0
@@ -231,7 +231,7 @@
         let crowding = load.streams / slots * 0.05;
         let missing = request
             .adapter
-            .is_some_and(|adapter| !state.facts.adapters.contains(adapter));
+            .is_some_and(|adapter| !state.properties.adapters.contains(adapter));
         let loading = if missing {
             self.settings.adapter_load.as_secs_f64()
         } else {
@@ -245,11 +245,11 @@
         let wait = wait + reading + crowding;
         let at_pace = |slowness: f64| {
             let seconds = (wait * slowness + loading).min(LONGEST_PREDICTED);
-            state.facts.distance + Duration::from_secs_f64(seconds)
+            state.properties.round_trip + Duration::from_secs_f64(seconds)
         };
         TimeEstimate {
             predicted: at_pace(slowness),
-            unslowed: at_pace(1.0),
+            nominal: at_pace(1.0),
         }
     }
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -12,4 +12,4 @@
 pub use health::{HealthSettings, TargetHealth};
 pub use pool::TargetPool;
 pub use request::{CandidateList, PlacementChoice, PlacementRequest, PlacementSettings};
-pub use state::{TargetFacts, TargetLoad, TargetOutcome};
+pub use state::{AttemptOutcome, TargetLoad, TargetProperties};
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -8,7 +8,7 @@
 
 use super::affinity::PrefixIndex;
 use super::request::{CandidateList, PlacementChoice, PlacementRequest, PlacementSettings};
-use super::state::{TargetFacts, TargetLoad, TargetOutcome, TargetState};
+use super::state::{AttemptOutcome, TargetLoad, TargetProperties, TargetState};
 
 /// Weight of a new observation in the pool's means.
 const MEAN_WEIGHT: f64 = 0.05;
@@ -52,18 +52,18 @@
     }
 
     /// Adds a target.
-    pub fn insert(&mut self, facts: TargetFacts) -> TargetKey {
-        let state = TargetState::new(facts, self.settings.prompt_rate);
+    pub fn insert(&mut self, properties: TargetProperties) -> TargetKey {
+        let state = TargetState::new(properties, self.settings.prompt_rate);
         let target = self.targets.insert(state);
         self.list_adapters(target);
         target
     }
 
     /// Changes what is fixed about a target; its load and health stay.
-    pub fn set_facts(&mut self, target: TargetKey, facts: TargetFacts) {
+    pub fn set_properties(&mut self, target: TargetKey, properties: TargetProperties) {
         self.unlist_adapters(target);
         if let Some(state) = self.targets.get_mut(target) {
-            state.facts = facts;
+            state.properties = properties;
         }
         self.list_adapters(target);
     }
@@ -78,7 +78,7 @@
         let Some(state) = self.targets.get(target) else {
             return;
         };
-        for adapter in &state.facts.adapters {
+        for adapter in &state.properties.adapters {
             let holders = self.adapters.entry(adapter.clone()).or_default();
             holders.push(target);
         }
@@ -88,7 +88,7 @@
         let Some(state) = self.targets.get(target) else {
             return;
         };
-        for adapter in &state.facts.adapters {
+        for adapter in &state.properties.adapters {
             let Some(holders) = self.adapters.get_mut(adapter) else {
                 continue;
             };
@@ -104,7 +104,7 @@
     pub fn candidates(&self, targets: impl IntoIterator<Item = TargetKey>) -> CandidateList {
         CandidateList::new(targets.into_iter().collect(), |target| {
             let state = self.targets.get(target);
-            state.map_or(Duration::MAX, |state| state.facts.distance)
+            state.map_or(Duration::MAX, |state| state.properties.round_trip)
         })
     }
 
@@ -141,7 +141,7 @@
         let Some(state) = self.targets.get_mut(choice.target) else {
             return;
         };
-        let expected = choice.unslowed.as_secs_f64().max(LEAST_EXPECTED);
+        let expected = choice.nominal.as_secs_f64().max(LEAST_EXPECTED);
         let ratio = elapsed.as_secs_f64().max(LEAST_EXPECTED) / expected;
         state.health.record_answer(now, ratio, &settings);
     }
@@ -154,7 +154,7 @@
         let Some(state) = self.targets.get(choice.target) else {
             return;
         };
-        let expected = choice.unslowed.as_secs_f64().max(LEAST_EXPECTED);
+        let expected = choice.nominal.as_secs_f64().max(LEAST_EXPECTED);
         if elapsed.as_secs_f64() > expected * state.health.slowness(now) {
             self.record_first_token(choice, now, elapsed);
         }
@@ -169,23 +169,23 @@
         target: TargetKey,
         now: Duration,
         stay: Duration,
-        outcome: TargetOutcome,
+        outcome: AttemptOutcome,
     ) {
         let Some(state) = self.targets.get_mut(target) else {
             return;
         };
         state.record_ended(now);
         match outcome {
-            TargetOutcome::Finished => {
+            AttemptOutcome::Finished => {
                 self.freed.push_back(target);
                 if self.freed.len() > MAX_FREED {
                     self.freed.pop_front();
                 }
                 self.stay += (stay.as_secs_f64() - self.stay) * MEAN_WEIGHT;
             }
-            TargetOutcome::Full => state.record_full(now),
-            TargetOutcome::Failed => self.record_failure(target, now),
-            TargetOutcome::Cancelled => {}
+            AttemptOutcome::Full => state.record_full(now),
+            AttemptOutcome::Failed => self.record_failure(target, now),
+            AttemptOutcome::Cancelled => {}
         }
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// An engine published that a prefix entered or left its cache.
-    pub fn record_cache(&mut self, target: TargetKey, prefix: u64, stored: bool) {
+    pub fn record_cache_event(&mut self, target: TargetKey, prefix: u64, stored: bool) {
         if stored {
             self.prefixes.insert(prefix, target);
         } else {
@@ -214,7 +214,7 @@
     ///
     /// Where events of evictions are lost, the index promises too much; the target's trust then
     /// falls, and affinity stops drawing requests to a queue for nothing.
-    pub fn record_cached(&mut self, choice: &PlacementChoice, cached_tokens: u32) {
+    pub fn record_cached_tokens(&mut self, choice: &PlacementChoice, cached_tokens: u32) {
         if choice.cached_tokens == 0 {
             return;
         }
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -63,7 +63,7 @@
     /// Predicted time to the first token; hand it back to [`TargetPool::record_first_token`].
     pub predicted: Duration,
     /// The same, had the target been as fast as its load allows.
-    pub unslowed: Duration,
+    pub nominal: Duration,
     /// Prompt tokens that the target probably has cached.
     pub cached_tokens: u32,
 }
@@ -79,14 +79,14 @@
 impl CandidateList {
     pub(super) fn new(
         mut targets: Vec<TargetKey>,
-        distance: impl Fn(TargetKey) -> Duration,
+        round_trip: impl Fn(TargetKey) -> Duration,
     ) -> Self {
-        targets.sort_by_key(|target| distance(*target));
+        targets.sort_by_key(|target| round_trip(*target));
         let nearest = targets
             .first()
-            .map_or(Duration::ZERO, |target| distance(*target));
+            .map_or(Duration::ZERO, |target| round_trip(*target));
         let limit = nearest.saturating_add(NEAR_LIMIT);
-        let near = targets.partition_point(|target| distance(*target) <= limit);
+        let near = targets.partition_point(|target| round_trip(*target) <= limit);
         let members = targets.iter().copied().collect();
         Self {
             targets,
--- a/crates/policy/src/placement/state.rs
+++ b/crates/policy/src/placement/state.rs
@@ -13,13 +13,13 @@
 
 /// What is fixed about a target.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Builder)]
-pub struct TargetFacts {
+pub struct TargetProperties {
     /// Streams that it runs at once; 0 while it is unknown.
     #[builder(default)]
     pub slots: u32,
     /// Round trip to it from this entry.
     #[builder(default)]
-    pub distance: Duration,
+    pub round_trip: Duration,
     /// Adapters that it has loaded.
     #[builder(default)]
     pub adapters: Vec<AdapterName>,
@@ -42,7 +42,7 @@
 
 /// How an attempt on a target ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TargetOutcome {
+pub enum AttemptOutcome {
     /// The target gave all it was asked for.
     Finished,
     /// The target said that it has no room. It is healthy, but its report was out of date.
@@ -66,7 +66,7 @@
 /// What an entry knows of one target.
 #[derive(Debug, Default)]
 pub(super) struct TargetState {
-    pub facts: TargetFacts,
+    pub properties: TargetProperties,
     pub health: TargetHealth,
     load: TargetLoad,
     reported_at: Duration,
@@ -92,9 +92,9 @@
 }
 
 impl TargetState {
-    pub fn new(facts: TargetFacts, prompt_rate: f64) -> Self {
+    pub fn new(properties: TargetProperties, prompt_rate: f64) -> Self {
         Self {
-            facts,
+            properties,
             prompt_rate,
             cache_trust: 1.0,
             ..Self::default()
@@ -170,7 +170,7 @@
 
     /// A target that refuses for want of room is full, whatever its last report says.
     pub fn record_full(&mut self, now: Duration) {
-        self.load.running = self.load.running.max(self.facts.slots);
+        self.load.running = self.load.running.max(self.properties.slots);
         self.load.waiting += 1;
         self.reported_at = now;
     }
--- a/crates/policy/tests/load/driver/mod.rs
+++ b/crates/policy/tests/load/driver/mod.rs
@@ -8,7 +8,7 @@
 use domain::{CustomerKey, TargetKey};
 use policy::admission::{AdmissionRequest, FinishedRequest, OfferOutcome};
 use policy::capacity::PoolReport;
-use policy::placement::{TargetLoad, TargetOutcome};
+use policy::placement::{AttemptOutcome, TargetLoad};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
@@ -27,7 +27,7 @@
 enum Event {
     Arrive(usize),
     FirstToken(usize, u32),
-    Ended(usize, u32, TargetOutcome),
+    Ended(usize, u32, AttemptOutcome),
     Report,
     Tick,
 }
@@ -277,9 +277,9 @@
         let failing = now >= seconds(spec.fails.0) && now < seconds(spec.fails.1);
         if failing || self.engines[job.engine].waiting.len() >= spec.max_queue {
             let outcome = if failing {
-                TargetOutcome::Failed
+                AttemptOutcome::Failed
             } else {
-                TargetOutcome::Full
+                AttemptOutcome::Full
             };
             self.plan(now + FAIL_TIME, Event::Ended(ticket.0, ticket.1, outcome));
             return;
@@ -314,14 +314,16 @@
                 0
             };
             if let Some(choice) = self.jobs[index].choice {
-                self.entries[call.entry].pool.record_cached(&choice, cached);
+                self.entries[call.entry]
+                    .pool
+                    .record_cached_tokens(&choice, cached);
             }
             let reading = f64::from(call.prompt - cached) / spec.prompt_rate * factor;
             let first = engine.reads_until.max(now) + seconds(reading + 0.01);
             engine.reads_until = first;
             let end = first + seconds(f64::from(call.answer) * TOKEN_TIME * factor);
             self.plan(first, Event::FirstToken(index, attempt));
-            self.plan(end, Event::Ended(index, attempt, TargetOutcome::Finished));
+            self.plan(end, Event::Ended(index, attempt, AttemptOutcome::Finished));
         }
         let waiting: usize = self.engines.iter().map(|engine| engine.waiting.len()).sum();
         self.deepest = self.deepest.max(waiting);
@@ -341,7 +343,7 @@
         job.first_token = Some(now.saturating_sub(job.arrived).as_secs_f64());
     }
 
-    fn ended(&mut self, now: Duration, index: usize, attempt: u32, outcome: TargetOutcome) {
+    fn ended(&mut self, now: Duration, index: usize, attempt: u32, outcome: AttemptOutcome) {
         let job = &mut self.jobs[index];
         if job.attempts != attempt {
             return;
@@ -354,7 +356,7 @@
             .record_ended(self.targets[engine], now, stay, outcome);
         entry.share.record_finished(now, stay);
         entry.since[engine] -= 1;
-        if outcome == TargetOutcome::Finished {
+        if outcome == AttemptOutcome::Finished {
             self.engines[engine].running -= 1;
             let cost = job.cost();
             let work = FinishedRequest::builder()
@@ -366,7 +368,7 @@
             entry.queue.record_finished(now, work);
             self.fill(now, engine);
         } else {
-            if outcome == TargetOutcome::Full {
+            if outcome == AttemptOutcome::Full {
                 entry.share.record_full(now);
             }
             job.failures += 1;
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -7,7 +7,7 @@
 use crate::driver::{Call, Driver, Job, RunResult, Setup};
 use domain::{AdapterName, TargetKey};
 use policy::placement::{
-    PlacementRequest, PlacementSettings, TargetFacts, TargetLoad, TargetOutcome, TargetPool,
+    AttemptOutcome, PlacementRequest, PlacementSettings, TargetLoad, TargetPool, TargetProperties,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -105,8 +105,10 @@
 impl Fixture {
     fn new(count: usize) -> Self {
         let mut pool = TargetPool::new(PlacementSettings::builder().build());
-        let facts = TargetFacts::builder().slots(8).build();
-        let targets = (0..count).map(|_| pool.insert(facts.clone())).collect();
+        let properties = TargetProperties::builder().slots(8).build();
+        let targets = (0..count)
+            .map(|_| pool.insert(properties.clone()))
+            .collect();
         Self {
             pool,
             targets,
@@ -115,7 +117,7 @@
     }
 
     /// Sends a request at `now` and ends it with `outcome`, and tells where it went.
-    fn send(&mut self, now: Duration, outcome: impl Fn(TargetKey) -> TargetOutcome) -> TargetKey {
+    fn send(&mut self, now: Duration, outcome: impl Fn(TargetKey) -> AttemptOutcome) -> TargetKey {
         let list = self.pool.candidates(self.targets.iter().copied());
         let request = PlacementRequest::default();
         let choice = self
@@ -125,7 +127,7 @@
         self.pool.record_sent(&choice, &request, now);
         let outcome = outcome(choice.target);
         let later = now + Duration::from_millis(10);
-        if outcome == TargetOutcome::Finished {
+        if outcome == AttemptOutcome::Finished {
             self.pool
                 .record_first_token(&choice, later, Duration::from_millis(10));
         }
@@ -146,9 +148,9 @@
         let now = Duration::from_millis(step * 100);
         let target = fixture.send(now, |target| {
             if target == bad {
-                TargetOutcome::Failed
+                AttemptOutcome::Failed
             } else {
-                TargetOutcome::Finished
+                AttemptOutcome::Finished
             }
         });
         tries += usize::from(target == bad);
@@ -157,7 +159,7 @@
     let mut back = 0;
     for step in 600..1_200 {
         let now = Duration::from_millis(step * 100);
-        let target = fixture.send(now, |_| TargetOutcome::Finished);
+        let target = fixture.send(now, |_| AttemptOutcome::Finished);
         back += usize::from(target == bad && step > 950);
     }
     assert!(back > 30, "{back} of 250 requests after its recovery");
@@ -175,9 +177,9 @@
         let failing = (step / 10) % 2 == 1;
         let target = fixture.send(now, |target| {
             if failing && target == bad {
-                TargetOutcome::Failed
+                AttemptOutcome::Failed
             } else {
-                TargetOutcome::Finished
+                AttemptOutcome::Finished
             }
         });
         failures += usize::from(failing && target == bad);
@@ -193,7 +195,7 @@
     let mut seen = domain::FastSet::default();
     for step in 0..400 {
         let now = Duration::from_millis(10_000 + step * 10);
-        let target = fixture.send(now, |_| TargetOutcome::Failed);
+        let target = fixture.send(now, |_| AttemptOutcome::Failed);
         if step > 200 {
             seen.insert(target);
         }
@@ -249,15 +251,15 @@
 
 /// Near targets are preferred until they are loaded, and a loaded adapter is worth a longer way.
 #[test]
-fn distance_and_adapters_are_weighed() {
+fn round_trip_and_adapters_are_weighed() {
     let adapter: AdapterName = "badges".parse().expect("a name");
     let mut pool = TargetPool::new(PlacementSettings::builder().build());
-    let far = TargetFacts::builder()
+    let far = TargetProperties::builder()
         .slots(8)
-        .distance(Duration::from_millis(60))
+        .round_trip(Duration::from_millis(60))
         .adapters(vec![adapter.clone()])
         .build();
-    let near = TargetFacts::builder().slots(8).build();
+    let near = TargetProperties::builder().slots(8).build();
     let (far, near) = (pool.insert(far), pool.insert(near));
     let list = pool.candidates([far, near]);
     assert_eq!(list.as_slice(), [near, far]);
