--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -10,7 +10,7 @@
 
 use crate::amend::ChangeEntry;
 use crate::gate::ServiceGate;
-use crate::members::MemberBook;
+use crate::members::SharedMembership;
 use crate::view::ConfigView;
 
 use super::load::ConfigUpdate;
@@ -58,7 +58,7 @@
     pending: Option<HeadConfirmation>,
     served: bool,
     majority_since: Option<Instant>,
-    members: MemberBook,
+    members: SharedMembership,
     gate: ServiceGate,
     views: watch::Sender<Arc<ConfigView>>,
     status_sender: watch::Sender<ConfigStatus>,
@@ -96,7 +96,7 @@
     #[must_use]
     pub fn start(
         policy: ReadinessPolicy,
-        members: MemberBook,
+        members: SharedMembership,
         views: watch::Sender<Arc<ConfigView>>,
         recorder: EventRecorder,
     ) -> ConfigHandle {
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::amend::ConfigHead;
-use crate::members::MemberBook;
+use crate::members::SharedMembership;
 
 use super::ConfigSettings;
 use super::actor::{ConfigHandle, ConfigObservation, HeadConfirmation};
@@ -21,7 +21,7 @@
     table: T,
     objects: O,
     config: ConfigHandle,
-    members: MemberBook,
+    members: SharedMembership,
     recorder: EventRecorder,
     settings: ConfigSettings,
 }
--- a/crates/control/src/lease/candidate.rs
+++ b/crates/control/src/lease/candidate.rs
@@ -2,7 +2,7 @@
 
 use domain::{NodeId, RegionId};
 
-use crate::members::{Member, MemberView, choice_weight};
+use crate::members::{Member, MemberView, rendezvous_weight};
 
 /// A node's place among the candidates of a lease; 0 is the first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,13 @@
     let mut ranked: Vec<(bool, u64, &Member)> = view
         .members
         .iter()
-        .map(|member| (!prefers(member), choice_weight(key, &member.node), member))
+        .map(|member| {
+            (
+                !prefers(member),
+                rendezvous_weight(key, &member.node),
+                member,
+            )
+        })
         .collect();
     ranked.sort_unstable_by(|left, right| {
         left.0
--- a/crates/control/src/members/mod.rs
+++ b/crates/control/src/members/mod.rs
@@ -1,6 +1,6 @@
 //! Membership: which nodes serve, from rows in the table and from what peers tell.
 
-pub mod book;
+pub mod shared;
 pub mod state;
 pub mod table;
 
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-pub use book::MemberBook;
-pub use state::{MemberState, SignSource, SilenceLimits};
-pub use table::MemberKeeper;
+pub use shared::SharedMembership;
+pub use state::{HeartbeatSource, LivenessTimeouts, MemberState};
+pub use table::MemberTableSync;
 
 /// One node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,9 +51,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MemberReach {
     /// Nodes whose heartbeat was seen to advance lately, this one included.
-    pub heard: usize,
+    pub reachable: usize,
     /// Nodes that neither left nor were removed from the table.
-    pub rostered: usize,
+    pub roster_size: usize,
 }
 
 impl MemberReach {
@@ -62,7 +62,7 @@
     /// Exactly half is not enough: of two halves that lose each other both would go on.
     #[must_use]
     pub fn is_majority(self) -> bool {
-        self.heard * 2 > self.rostered
+        self.reachable * 2 > self.roster_size
     }
 }
 
@@ -71,7 +71,7 @@
 /// A node that comes or goes moves only the keys that it takes or leaves behind. The hash is
 /// SHA-256 because old and new programs must choose alike during an upgrade.
 #[must_use]
-pub fn choice_weight(key: &str, node: &NodeId) -> u64 {
+pub fn rendezvous_weight(key: &str, node: &NodeId) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update(key.as_bytes());
     hasher.update([0]);
@@ -88,7 +88,7 @@
         self.members
             .iter()
             .map(|member| &member.node)
-            .max_by_key(|node| choice_weight(key, node))
+            .max_by_key(|node| rendezvous_weight(key, node))
     }
 }
 
@@ -128,10 +128,10 @@
 impl MemberSettings {
     /// The limits of silence.
     #[must_use]
-    pub fn limits(&self) -> SilenceLimits {
-        SilenceLimits {
+    pub fn timeouts(&self) -> LivenessTimeouts {
+        LivenessTimeouts {
             dead: Duration::from_millis(self.dead_ms),
-            unheard: Duration::from_millis(self.unheard_ms),
+            unreachable: Duration::from_millis(self.unheard_ms),
         }
     }
 }
--- a/crates/control/src/members/book.rs
+++ b/crates/control/src/members/shared.rs
@@ -13,14 +13,14 @@
 /// It is no actor, because the configuration's keeper must judge by what is heard at that very
 /// moment: an answer that waited in a mailbox while the process was frozen would be too old.
 #[derive(Debug, Clone)]
-pub struct MemberBook {
+pub struct SharedMembership {
     node: NodeId,
     state: Arc<Mutex<MemberState>>,
     views: watch::Sender<Arc<MemberView>>,
 }
 
-impl MemberBook {
-    /// A book that starts with `state`.
+impl SharedMembership {
+    /// A membership that starts with `state`.
     #[must_use]
     pub fn new(state: MemberState) -> Self {
         let node = state.own().member.node.clone();
--- a/crates/control/src/members/state.rs
+++ b/crates/control/src/members/state.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Clone)]
 pub struct MemberState {
     own: MemberRow,
-    limits: SilenceLimits,
-    rostered: bool,
+    timeouts: LivenessTimeouts,
+    roster_known: bool,
     leaving: bool,
     tracked: FastMap<NodeId, TrackedMember>,
 }
@@ -24,8 +24,8 @@
 #[derive(Debug, Clone)]
 struct TrackedMember {
     row: MemberRow,
-    signed: Instant,
-    heard: Option<Instant>,
+    last_seen: Instant,
+    last_heard: Option<Instant>,
     removal: MemberRemoval,
 }
 
@@ -42,37 +42,37 @@
 
 /// A node that left or was removed is remembered for this time, so that a late digest does not
 /// bring it back. At a hundred restarts a day about four are remembered.
-const KEEP_REMOVED: Duration = Duration::from_hours(1);
+const REMOVED_RETENTION: Duration = Duration::from_hours(1);
 
 /// Where a sign of life comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SignSource {
+pub enum HeartbeatSource {
     /// The table: the node lives, but this node may not be able to hear it.
     Table,
     /// A peer: there is a way from that node to this one.
     Peer,
 }
 
-/// The limits of silence.
+/// The timeouts of silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilenceLimits {
+pub struct LivenessTimeouts {
     /// A node without a sign of life for this time is taken to be dead.
     pub dead: Duration,
     /// A node whose heartbeat no peer passed on for this time is not heard.
-    pub unheard: Duration,
+    pub unreachable: Duration,
 }
 
 impl MemberState {
     /// A state that knows only the node itself.
     #[must_use]
-    pub fn new(own: Member, limits: SilenceLimits) -> Self {
+    pub fn new(own: Member, timeouts: LivenessTimeouts) -> Self {
         Self {
             own: MemberRow {
                 member: own,
                 beat: 0,
             },
-            limits,
-            rostered: false,
+            timeouts,
+            roster_known: false,
             leaving: false,
             tracked: FastMap::default(),
         }
@@ -85,7 +85,7 @@
     }
 
     /// Raises the node's own heartbeat.
-    pub fn beat(&mut self) -> &MemberRow {
+    pub fn advance_heartbeat(&mut self) -> &MemberRow {
         self.own.beat += 1;
         &self.own
     }
@@ -99,17 +99,17 @@
     ///
     /// Late, repeated and reordered rows change nothing: only a higher heartbeat counts. The first
     /// sight of a node proves nothing about now, so it does not count as heard.
-    pub fn observe(&mut self, row: MemberRow, source: SignSource, now: Instant) -> bool {
+    pub fn observe(&mut self, row: MemberRow, source: HeartbeatSource, now: Instant) -> bool {
         if row.member.node == self.own.member.node {
             return false;
         }
-        self.rostered |= source == SignSource::Peer;
+        self.roster_known |= source == HeartbeatSource::Peer;
         let Some(tracked) = self.tracked.get_mut(&row.member.node) else {
             let node = row.member.node.clone();
             let tracked = TrackedMember {
                 row,
-                signed: now,
-                heard: None,
+                last_seen: now,
+                last_heard: None,
                 removal: MemberRemoval::None,
             };
             self.tracked.insert(node, tracked);
@@ -119,9 +119,9 @@
             return false;
         }
         tracked.row = row;
-        tracked.signed = now;
-        if source == SignSource::Peer {
-            tracked.heard = Some(now);
+        tracked.last_seen = now;
+        if source == HeartbeatSource::Peer {
+            tracked.last_heard = Some(now);
         }
         tracked.removal = MemberRemoval::None;
         true
@@ -129,7 +129,7 @@
 
     /// Takes in a heartbeat that a peer passed on of a node whose row is known; returns whether it
     /// was news.
-    pub fn observe_beat(&mut self, node: &NodeId, beat: u64, now: Instant) -> bool {
+    pub fn observe_heartbeat(&mut self, node: &NodeId, beat: u64, now: Instant) -> bool {
         let Some(tracked) = self.tracked.get(node) else {
             return false;
         };
@@ -137,7 +137,7 @@
             beat,
             ..tracked.row.clone()
         };
-        self.observe(row, SignSource::Peer, now)
+        self.observe(row, HeartbeatSource::Peer, now)
     }
 
     /// Takes in that a node said goodbye; returns whether it was news.
@@ -152,14 +152,14 @@
 
     /// Takes in the nodes that the table lists: silent nodes that it no longer lists are removed.
     pub fn observe_listing(&mut self, listed: &FastSet<NodeId>, now: Instant) {
-        self.rostered = true;
-        let limit = self.limits.dead;
+        self.roster_known = true;
+        let limit = self.timeouts.dead;
         self.tracked.retain(|_, tracked| {
-            let silence = now.saturating_duration_since(tracked.signed);
-            tracked.removal == MemberRemoval::None || silence <= KEEP_REMOVED
+            let silence = now.saturating_duration_since(tracked.last_seen);
+            tracked.removal == MemberRemoval::None || silence <= REMOVED_RETENTION
         });
         for (node, tracked) in &mut self.tracked {
-            let silent = now.saturating_duration_since(tracked.signed) > limit;
+            let silent = now.saturating_duration_since(tracked.last_seen) > limit;
             if listed.contains(node) || !silent || tracked.removal != MemberRemoval::None {
                 continue;
             }
@@ -168,8 +168,8 @@
     }
 
     fn is_alive(&self, tracked: &TrackedMember, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(tracked.signed);
-        tracked.removal == MemberRemoval::None && silence <= self.limits.dead
+        let silence = now.saturating_duration_since(tracked.last_seen);
+        tracked.removal == MemberRemoval::None && silence <= self.timeouts.dead
     }
 
     /// The nodes that are taken to be alive.
@@ -193,19 +193,19 @@
     #[must_use]
     pub fn reach(&self, now: Instant) -> MemberReach {
         let mut reach = MemberReach {
-            heard: 1,
-            rostered: if self.rostered { 1 } else { 2 },
+            reachable: 1,
+            roster_size: if self.roster_known { 1 } else { 2 },
         };
         for tracked in self.tracked.values() {
             if tracked.removal != MemberRemoval::None {
                 continue;
             }
-            reach.rostered += 1;
-            let Some(heard) = tracked.heard else {
+            reach.roster_size += 1;
+            let Some(heard) = tracked.last_heard else {
                 continue;
             };
-            if now.saturating_duration_since(heard) <= self.limits.unheard {
-                reach.heard += 1;
+            if now.saturating_duration_since(heard) <= self.timeouts.unreachable {
+                reach.reachable += 1;
             }
         }
         reach
@@ -216,7 +216,7 @@
     pub fn expired(&self, now: Instant, limit: Duration) -> Vec<NodeId> {
         let mut expired = Vec::new();
         for (node, tracked) in &self.tracked {
-            let silence = now.saturating_duration_since(tracked.signed);
+            let silence = now.saturating_duration_since(tracked.last_seen);
             if tracked.removal != MemberRemoval::None || silence <= limit {
                 continue;
             }
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -10,7 +10,7 @@
 
 use crate::config::poll::jittered;
 
-use super::{MemberBook, MemberRow, MemberSettings, SignSource};
+use super::{HeartbeatSource, MemberRow, MemberSettings, SharedMembership};
 
 /// Sends of one transaction.
 const COMMIT_TRIES: u32 = 3;
@@ -20,20 +20,20 @@
 
 /// Keeps a node's row and reads those of the others.
 #[derive(Debug, Clone, bon::Builder)]
-pub struct MemberKeeper<T> {
+pub struct MemberTableSync<T> {
     table: T,
-    book: MemberBook,
+    membership: SharedMembership,
     recorder: EventRecorder,
     settings: MemberSettings,
 }
 
-impl<T: TableStore> MemberKeeper<T> {
+impl<T: TableStore> MemberTableSync<T> {
     /// Renews the row, until the task is dropped.
     ///
     /// At 410 nodes and a row every 10 s these are 41 writes a second of several hundred.
-    pub async fn write_forever(self) {
+    pub async fn run_row_writes(self) {
         loop {
-            self.book.state().beat();
+            self.membership.state().advance_heartbeat();
             // The next beat writes it again; peers go by the links meanwhile.
             log_skipped("write member row", self.write_row().await);
             tokio::time::sleep(jittered(self.settings.write())).await;
@@ -41,20 +41,20 @@
     }
 
     /// Raises the heartbeat that peers pass on, until the task is dropped.
-    pub async fn beat_forever(self) {
+    pub async fn run_heartbeats(self) {
         loop {
-            self.book.state().beat();
-            self.book.publish(Instant::now());
+            self.membership.state().advance_heartbeat();
+            self.membership.publish(Instant::now());
             tokio::time::sleep(jittered(self.settings.beat())).await;
         }
     }
 
     /// Lists the rows, until the task is dropped: often while the node is alone, seldom after.
-    pub async fn list_forever(self) {
+    pub async fn run_listings(self) {
         loop {
             let listed = self.list_rows().await.is_ok();
-            self.book.publish(Instant::now());
-            let alone = self.book.view(Instant::now()).members.len() < 2;
+            self.membership.publish(Instant::now());
+            let alone = self.membership.view(Instant::now()).members.len() < 2;
             let pause = if listed && !alone {
                 self.settings.list()
             } else {
@@ -69,7 +69,7 @@
         let Ok(token) = self.token("leave", 0) else {
             return;
         };
-        let key = keys::member_key(self.book.node());
+        let key = keys::member_key(self.membership.node());
         let batch = WriteBatch::new(token).delete(key, RowExpectation::Any);
         // A row that stays is deleted once nobody has heard the node for long.
         let left = settled_commit(&self.table, &batch, COMMIT_TRIES).await;
@@ -77,17 +77,17 @@
     }
 
     fn token(&self, step: &str, number: u64) -> Result<WriteToken, StoreError> {
-        format!("member.{step}.{}.{number}", self.book.node())
+        format!("member.{step}.{}.{number}", self.membership.node())
             .parse()
             .map_err(|error: domain::IdError| StoreError::Malformed(error.to_string()))
     }
 
     async fn write_row(&self) -> Result<(), StoreError> {
-        let row = self.book.state().own().clone();
+        let row = self.membership.state().own().clone();
         let token = self.token("beat", row.beat)?;
         let value =
             serde_json::to_value(&row).map_err(|error| StoreError::Malformed(error.to_string()))?;
-        let key = keys::member_key(self.book.node());
+        let key = keys::member_key(self.membership.node());
         let batch = WriteBatch::new(token).put(key, RowExpectation::Any, value);
         self.table.commit(&batch).await.map(|_| ())
     }
@@ -97,13 +97,13 @@
         let now = Instant::now();
         let mut listed = FastSet::default();
         {
-            let mut state = self.book.state();
+            let mut state = self.membership.state();
             for row in &rows {
                 let Some(parsed) = parse_row(row) else {
                     continue;
                 };
                 listed.insert(parsed.member.node.clone());
-                state.observe(parsed, SignSource::Table, now);
+                state.observe(parsed, HeartbeatSource::Table, now);
             }
             state.observe_listing(&listed, now);
         }
@@ -114,18 +114,18 @@
     /// over the view, and each delete names the row's version: a node that beats again keeps its
     /// row.
     async fn clean_rows(&self, rows: &[TableRow], now: Instant) -> Result<(), StoreError> {
-        let view = self.book.view(now);
-        if view.choose("member-cleaner") != Some(self.book.node()) {
+        let view = self.membership.view(now);
+        if view.choose("member-cleaner") != Some(self.membership.node()) {
             return Ok(());
         }
         let expired: FastSet<NodeId> = self
-            .book
+            .membership
             .state()
             .expired(now, self.settings.expire())
             .into_iter()
             .collect();
         let mut cleaned = Vec::new();
-        let mut batch = WriteBatch::new(self.token("clean", self.book.state().own().beat)?);
+        let mut batch = WriteBatch::new(self.token("clean", self.membership.state().own().beat)?);
         for row in rows {
             let Some(parsed) = parse_row(row) else {
                 continue;
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -177,15 +177,15 @@
 impl Arbitrary for ReadinessStep {
     fn arbitrary(source: &mut Gen) -> Self {
         let tenths = |source: &mut Gen| Duration::from_millis(u64::arbitrary(source) % 300 * 100);
-        let rostered = usize::arbitrary(source) % 20 + 1;
+        let roster_size = usize::arbitrary(source) % 20 + 1;
         Self(ReadinessFacts {
             applied: bool::arbitrary(source),
             confirmed_age: bool::arbitrary(source).then(|| tenths(source)),
             served: bool::arbitrary(source),
             behind: bool::arbitrary(source),
             reach: MemberReach {
-                heard: usize::arbitrary(source) % (rostered + 1),
-                rostered,
+                reachable: usize::arbitrary(source) % (roster_size + 1),
+                roster_size,
             },
             reach_held: tenths(source),
         })
@@ -206,7 +206,7 @@
         let confirmed = facts
             .confirmed_age
             .is_some_and(|age| age <= POLICY.confirm_limit);
-        let minority = facts.reach.heard * 2 <= facts.reach.rostered;
+        let minority = facts.reach.reachable * 2 <= facts.reach.roster_size;
         let readiness = POLICY.evaluate(&facts);
         if confirmed {
             return readiness == NodeReadiness::Confirmed;
--- a/crates/control/tests/rules/member_state.rs
+++ b/crates/control/tests/rules/member_state.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use control::Member;
-use control::members::{MemberRow, MemberState, SignSource, SilenceLimits};
+use control::members::{HeartbeatSource, LivenessTimeouts, MemberRow, MemberState};
 use domain::FastSet;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const TESTS: u64 = 500;
 const SEED: u64 = 0x5eed_0e3b;
-const LIMITS: SilenceLimits = SilenceLimits {
+const TIMEOUTS: LivenessTimeouts = LivenessTimeouts {
     dead: Duration::from_secs(20),
-    unheard: Duration::from_secs(10),
+    unreachable: Duration::from_secs(10),
 };
 
 fn member(number: u8) -> Member {
@@ -61,10 +61,10 @@
 fn run(state: &mut MemberState, step: &MemberStep, now: &mut Instant) {
     match step {
         MemberStep::Hear(node, beat) => {
-            state.observe(row(*node, *beat), SignSource::Peer, *now);
+            state.observe(row(*node, *beat), HeartbeatSource::Peer, *now);
         }
         MemberStep::Read(node, beat) => {
-            state.observe(row(*node, *beat), SignSource::Table, *now);
+            state.observe(row(*node, *beat), HeartbeatSource::Table, *now);
         }
         MemberStep::Leave(node) => {
             state.observe_leave(&member(*node).node);
@@ -90,9 +90,9 @@
 #[test]
 fn left_stays_gone() {
     fn property(steps: Vec<MemberStep>) -> bool {
-        let mut state = MemberState::new(member(0), LIMITS);
+        let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
-        state.observe(row(1, 0), SignSource::Peer, now);
+        state.observe(row(1, 0), HeartbeatSource::Peer, now);
         state.observe_leave(&member(1).node);
         for step in &steps {
             run(&mut state, step, &mut now);
@@ -115,7 +115,7 @@
 #[test]
 fn silence_keeps_roster() {
     fn property(steps: Vec<MemberStep>) -> bool {
-        let mut state = MemberState::new(member(0), LIMITS);
+        let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
         for step in &steps {
             run(&mut state, step, &mut now);
@@ -123,7 +123,7 @@
         let before = state.reach(now);
         let long_after = now + Duration::from_hours(1);
         let after = state.reach(long_after);
-        after.rostered == before.rostered && after.heard == 1
+        after.roster_size == before.roster_size && after.reachable == 1
     }
     check(property);
 }
@@ -132,7 +132,7 @@
 #[test]
 fn repeats_prove_nothing() {
     fn property(steps: Vec<MemberStep>) -> bool {
-        let mut state = MemberState::new(member(0), LIMITS);
+        let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
         for step in &steps {
             run(&mut state, step, &mut now);
@@ -145,7 +145,7 @@
                 }
             }
         }
-        state.reach(now).heard == 1
+        state.reach(now).reachable == 1
     }
     check(property);
 }
@@ -158,8 +158,8 @@
             .iter()
             .filter(|step| matches!(step, MemberStep::Hear(..)))
             .collect();
-        let mut forward = MemberState::new(member(0), LIMITS);
-        let mut backward = MemberState::new(member(0), LIMITS);
+        let mut forward = MemberState::new(member(0), TIMEOUTS);
+        let mut backward = MemberState::new(member(0), TIMEOUTS);
         for step in &hears {
             run(&mut forward, step, &mut now.clone());
         }
--- a/crates/peers/benches/link_traffic.rs
+++ b/crates/peers/benches/link_traffic.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use control::members::SilenceLimits;
+use control::members::LivenessTimeouts;
 use domain::{FastMap, HealthEvidence, IncarnationNumber, ReplicaId};
 use mesh::{KEY, MeshNode, MeshPlan};
 use peers::{EvidencePort, PeerSettings, TimedEvidence};
@@ -97,9 +97,9 @@
 fn default_plan() -> MeshPlan {
     MeshPlan {
         beat: Duration::from_secs(5),
-        limits: SilenceLimits {
+        limits: LivenessTimeouts {
             dead: Duration::from_secs(20),
-            unheard: Duration::from_secs(10),
+            unreachable: Duration::from_secs(10),
         },
         rule: control::config::ConfigSettings::default().readiness_policy(),
         settings: PeerSettings::default(),
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -5,7 +5,7 @@
 
 use control::config::load::ConfigUpdate;
 use control::config::{ConfigHandle, ConfigObservation, ConfigSnapshot, HeadConfirmation};
-use control::members::{MemberBook, SignSource};
+use control::members::{HeartbeatSource, SharedMembership};
 use domain::ConfigRevision;
 use events::{EventRecorder, HybridStamp};
 use tokio::sync::Notify;
@@ -27,7 +27,7 @@
     /// The configuration in force.
     pub config: ConfigHandle,
     /// The membership.
-    pub book: MemberBook,
+    pub membership: SharedMembership,
     /// Evidence of wholeness.
     pub evidence: E,
     /// Counts what goes over the links.
@@ -62,7 +62,7 @@
             self.add_changes(&mut digest, peer_view).await;
         }
         let (rows, departed) = {
-            let state = self.book.state();
+            let state = self.membership.state();
             (state.rows(), state.departed())
         };
         peer_view.add_members(&mut digest, rows);
@@ -138,19 +138,19 @@
         let news = peer_view.apply_members(digest);
         let mut changed = !news.rows.is_empty() || !digest.departed.is_empty();
         {
-            let mut state = self.book.state();
+            let mut state = self.membership.state();
             for row in news.rows {
-                changed |= state.observe(row, SignSource::Peer, now);
+                changed |= state.observe(row, HeartbeatSource::Peer, now);
             }
             for beat in news.beats {
-                state.observe_beat(&beat.node, beat.beat, now);
+                state.observe_heartbeat(&beat.node, beat.beat, now);
             }
             for node in &digest.departed {
                 state.observe_leave(node);
             }
         }
         if changed {
-            self.book.publish(now);
+            self.membership.publish(now);
         }
     }
 
@@ -169,7 +169,7 @@
 
     /// Tells the peers that this node goes, as far as they can be reached within `limit`.
     pub async fn announce_leave(&self, limit: Duration) {
-        self.book.state().leave();
+        self.membership.state().leave();
         self.wake.notify_waiters();
         tokio::time::sleep(limit).await;
     }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -144,7 +144,7 @@
         newest: NEWEST_VERSION,
         oldest: OLDEST_VERSION,
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
-        node: context.gossip.book.node().clone(),
+        node: context.gossip.membership.node().clone(),
     };
     let answer = post(
         &mut requests,
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -205,7 +205,7 @@
     let mut welcome = PeerWelcome {
         version,
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
-        node: context.gossip.book.node().clone(),
+        node: context.gossip.membership.node().clone(),
         proof: Default::default(),
     };
     welcome.proof = context.key.proof(hello, &welcome);
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -61,7 +61,7 @@
 impl<E: EvidencePort> LinkKeeper<E> {
     fn choose(&mut self, now: Instant) {
         self.avoided.retain(|_, until| *until > now);
-        let view = self.context.gossip.book.view(now);
+        let view = self.context.gossip.membership.view(now);
         let avoided: FastSet<NodeId> = self
             .avoided
             .keys()
@@ -70,7 +70,7 @@
                 LinkPlace::Seed(_) => None,
             })
             .collect();
-        let own = self.context.gossip.book.own();
+        let own = self.context.gossip.membership.own();
         let degree = self.context.settings.degree;
         let mut wanted: FastMap<LinkPlace, SocketAddr> = FastMap::default();
         for member in select_peers(&own, &view, degree, &avoided) {
--- a/crates/peers/src/select.rs
+++ b/crates/peers/src/select.rs
@@ -1,7 +1,7 @@
 //! Which peers a node links to.
 
 use control::Member;
-use control::members::{MemberView, choice_weight};
+use control::members::{MemberView, rendezvous_weight};
 use domain::FastSet;
 use domain::NodeId;
 
@@ -25,7 +25,7 @@
         .filter(|member| member.node != own.node && !avoided.contains(&member.node))
         .collect();
     let key = format!("link.{}", own.node);
-    ranked.sort_by_cached_key(|member| std::cmp::Reverse(choice_weight(&key, &member.node)));
+    ranked.sort_by_cached_key(|member| std::cmp::Reverse(rendezvous_weight(&key, &member.node)));
     let mut chosen: Vec<Member> = Vec::new();
     let mut take = |wanted: &dyn Fn(&Member) -> bool, limit: usize| {
         for member in &ranked {
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -10,7 +10,7 @@
 use control::config::{
     ConfigActor, ConfigHandle, ConfigObservation, HeadConfirmation, NodeReadiness, ReadinessPolicy,
 };
-use control::members::{Member, MemberBook, MemberState, SilenceLimits};
+use control::members::{LivenessTimeouts, Member, MemberState, SharedMembership};
 use domain::ConfigRevision;
 use domain::record::RecordKind;
 use events::EventRecorder;
@@ -30,7 +30,7 @@
 /// One node of a mesh.
 pub struct MeshNode {
     pub config: ConfigHandle,
-    pub book: MemberBook,
+    pub membership: SharedMembership,
     pub traffic: PeerTraffic,
     pub address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
@@ -48,7 +48,7 @@
 #[derive(Clone)]
 pub struct MeshPlan {
     pub beat: Duration,
-    pub limits: SilenceLimits,
+    pub limits: LivenessTimeouts,
     pub rule: ReadinessPolicy,
     pub settings: PeerSettings,
 }
@@ -58,9 +58,9 @@
     pub fn quick() -> Self {
         Self {
             beat: Duration::from_millis(500),
-            limits: SilenceLimits {
+            limits: LivenessTimeouts {
                 dead: Duration::from_secs(4),
-                unheard: Duration::from_secs(2),
+                unreachable: Duration::from_secs(2),
             },
             rule: ReadinessPolicy {
                 confirm_limit: Duration::from_millis(1_500),
@@ -98,13 +98,13 @@
             region: "dakar".parse().expect("a region"),
             admin: None,
         };
-        let book = MemberBook::new(MemberState::new(own.clone(), self.limits));
+        let membership = SharedMembership::new(MemberState::new(own.clone(), self.limits));
         let recorder = EventRecorder::new(own.node.clone(), 1_000);
         let views = watch::Sender::new(Arc::new(ConfigView::default()));
-        let config = ConfigActor::start(self.rule, book.clone(), views, recorder.clone());
+        let config = ConfigActor::start(self.rule, membership.clone(), views, recorder.clone());
         let gossip = GossipState {
             config: config.clone(),
-            book: book.clone(),
+            membership: membership.clone(),
             evidence,
             recorder: recorder.clone(),
             traffic: PeerTraffic::default(),
@@ -121,11 +121,11 @@
         let tasks = vec![
             tokio::spawn(accept_links(listener, context.clone())),
             tokio::spawn(maintain_links(context)),
-            tokio::spawn(beat_forever(book.clone(), self.beat)),
+            tokio::spawn(beat_forever(membership.clone(), self.beat)),
         ];
         MeshNode {
             config,
-            book,
+            membership,
             traffic: gossip.traffic,
             address,
             tasks,
@@ -147,10 +147,10 @@
 /// The mesh's key.
 pub const KEY: &str = "a key that all nodes share";
 
-async fn beat_forever(book: MemberBook, pause: Duration) {
+async fn beat_forever(membership: SharedMembership, pause: Duration) {
     loop {
-        book.state().beat();
-        book.publish(Instant::now());
+        membership.state().advance_heartbeat();
+        membership.publish(Instant::now());
         tokio::time::sleep(control::config::poll::jittered(pause)).await;
     }
 }
@@ -214,7 +214,7 @@
     }
 
     pub fn alive(&self) -> usize {
-        self.book.view(Instant::now()).members.len()
+        self.membership.view(Instant::now()).members.len()
     }
 }
 
--- a/crates/peers/tests/peer_links.rs
+++ b/crates/peers/tests/peer_links.rs
@@ -137,11 +137,11 @@
     for node in &nodes {
         wait_until("all know all", || node.alive() == 4).await;
     }
-    nodes[3].book.state().leave();
+    nodes[3].membership.state().leave();
     for node in &nodes[..3] {
         wait_until("three are left", || node.alive() == 3).await;
-        let reach = node.book.reach(Instant::now());
-        assert_eq!(reach.rostered, 3);
+        let reach = node.membership.reach(Instant::now());
+        assert_eq!(reach.roster_size, 3);
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -83,7 +83,7 @@
     let peers = peers::bind(&context, admin.as_ref().map(|admin| admin.address)).await?;
     let tasks = control::start(&context, &peers.members());
     let peers = peers.start(&context)?;
-    let running = entry::bind(&context, peers.book().watch()).await?;
+    let running = entry::bind(&context, peers.membership().watch()).await?;
     let address = running.address;
     context.recorder.note(
         EventCode::NodeStarted,
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -6,7 +6,7 @@
 
 use control::EvidenceStore;
 use control::config::{ConfigActor, ConfigHandle, ConfigPoller, poll_config};
-use control::members::{Member, MemberBook, MemberKeeper, MemberState, MemberView};
+use control::members::{Member, MemberState, MemberTableSync, MemberView, SharedMembership};
 use eyre::WrapErr;
 use peers::{
     EvidencePort, GossipState, LinkContext, PeerTraffic, SharedKey, TimedEvidence, accept_links,
@@ -22,15 +22,15 @@
 /// A bound listener for peers, with what is shared with them.
 pub struct PeerListener {
     listener: TcpListener,
-    book: MemberBook,
-    members: MemberKeeper<NodeTable>,
+    membership: SharedMembership,
+    members: MemberTableSync<NodeTable>,
     config: ConfigHandle,
 }
 
 /// The running links.
 pub struct PeerTasks {
     gossip: GossipState<StoreEvidence>,
-    members: MemberKeeper<NodeTable>,
+    members: MemberTableSync<NodeTable>,
 }
 
 /// Time that a node that stops gives its peers to hear of it.
@@ -55,22 +55,22 @@
         region: settings.region.clone(),
         admin,
     };
-    let book = MemberBook::new(MemberState::new(own, settings.members.limits()));
-    let members = MemberKeeper::builder()
+    let membership = SharedMembership::new(MemberState::new(own, settings.members.timeouts()));
+    let members = MemberTableSync::builder()
         .table(context.table.clone())
-        .book(book.clone())
+        .membership(membership.clone())
         .recorder(context.recorder.clone())
         .settings(settings.members)
         .build();
     let config = ConfigActor::start(
         settings.config.readiness_policy(),
-        book.clone(),
+        membership.clone(),
         context.config_sender.clone(),
         context.recorder.clone(),
     );
     Ok(PeerListener {
         listener,
-        book,
+        membership,
         members,
         config,
     })
@@ -111,7 +111,7 @@
 impl PeerListener {
     /// The nodes that are taken to be alive, told of every change.
     pub fn members(&self) -> watch::Receiver<Arc<MemberView>> {
-        self.book.watch()
+        self.membership.watch()
     }
 
     /// Starts the tasks.
@@ -126,17 +126,17 @@
             .table(context.table.clone())
             .objects(context.objects.clone())
             .config(self.config.clone())
-            .members(self.book.clone())
+            .members(self.membership.clone())
             .recorder(context.recorder.clone())
             .settings(settings.config)
             .build();
         tokio::spawn(poll_config(follower));
-        tokio::spawn(self.members.clone().write_forever());
-        tokio::spawn(self.members.clone().beat_forever());
-        tokio::spawn(self.members.clone().list_forever());
+        tokio::spawn(self.members.clone().run_row_writes());
+        tokio::spawn(self.members.clone().run_heartbeats());
+        tokio::spawn(self.members.clone().run_listings());
         let gossip = GossipState {
             config: self.config,
-            book: self.book,
+            membership: self.membership,
             evidence: StoreEvidence(context.evidence_store.clone()),
             recorder: context.recorder.clone(),
             traffic: PeerTraffic::default(),
@@ -171,8 +171,8 @@
     }
 
     /// The membership.
-    pub fn book(&self) -> &MemberBook {
-        &self.gossip.book
+    pub fn membership(&self) -> &SharedMembership {
+        &self.gossip.membership
     }
 
     /// Says goodbye to the other nodes.
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -6,7 +6,7 @@
 use admin::StatusSource;
 use control::config::ConfigHandle;
 use control::directory::HostDirectory;
-use control::members::{Member, MemberBook};
+use control::members::{Member, SharedMembership};
 use control::{ConfigView, ReplicaView, TargetView};
 use domain::{FastSet, HostId, LeaseName, NodeId};
 use entry::RequestDispatcher;
@@ -30,7 +30,7 @@
     config: watch::Receiver<Arc<ConfigView>>,
     targets: watch::Receiver<Arc<TargetView>>,
     follower: ConfigHandle,
-    book: MemberBook,
+    membership: SharedMembership,
     dispatcher: RequestDispatcher,
     held: watch::Receiver<Vec<LeaseName>>,
     directory: watch::Receiver<Arc<HostDirectory>>,
@@ -61,14 +61,14 @@
             config: context.config_sender.subscribe(),
             targets: context.target_sender.subscribe(),
             follower: peers.config().clone(),
-            book: peers.book().clone(),
+            membership: peers.membership().clone(),
             dispatcher: dispatcher.clone(),
             held: tasks.held(),
             directory: tasks.directory(),
             evidence_limit: context.settings.entry.evidence_limit(),
             traffic: peers.traffic().clone(),
             started: Instant::now(),
-            settle: context.settings.members.limits().dead,
+            settle: context.settings.members.timeouts().dead,
             counts: Arc::default(),
         }
     }
@@ -131,7 +131,7 @@
         metrics.set_gauge(NodeGauge::PeerReceived, bytes_f64(traffic.received));
         metrics.set_gauge(
             NodeGauge::Members,
-            count_f64(self.book.view(now).members.len()),
+            count_f64(self.membership.view(now).members.len()),
         );
         if let Some(known) = self.follower.status().confirmation {
             let age = now.saturating_duration_since(known.as_of);
@@ -140,7 +140,7 @@
     }
 
     fn members(&self, now: Instant) -> Vec<MemberStatus> {
-        let view = self.book.view(now);
+        let view = self.membership.view(now);
         let status = |member: &Member| MemberStatus {
             node: member.node.clone(),
             domain: member.domain.clone(),
@@ -220,14 +220,14 @@
         if self.started.elapsed() < self.settle {
             return None;
         }
-        let reach = self.book.reach(Instant::now());
-        if reach.rostered <= 1 || reach.is_majority() {
+        let reach = self.membership.reach(Instant::now());
+        if reach.roster_size <= 1 || reach.is_majority() {
             return None;
         }
         Some(format!(
             "this node hears {} of {} entry hosts, less than half: it may be cut off from the \
              others; try again through another node, or when they are back",
-            reach.heard, reach.rostered
+            reach.reachable, reach.roster_size
         ))
     }
 }
