--- a/crates/admin/src/records.rs
+++ b/crates/admin/src/records.rs
@@ -49,7 +49,7 @@
             FindingLevel::Warning => &mut warnings,
         };
         list.add(
-            found.finding.place,
+            found.finding.path,
             found.finding.problem,
             found.finding.advice,
         );
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -38,7 +38,7 @@
 impl ReviewReport {
     fn add(&mut self, level: FindingLevel, place: String, problem: String, advice: &str) {
         let finding = RecordFinding {
-            place,
+            path: place,
             problem,
             advice: advice.to_owned(),
         };
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -205,7 +205,7 @@
     let Ok(AmendOutcome::Refused(findings)) = outcome else {
         panic!("{outcome:?}");
     };
-    assert_eq!(findings.as_slice()[0].place, "spec.share");
+    assert_eq!(findings.as_slice()[0].path, "spec.share");
     let plain = amend_record(&table, &amendment("c", 2, share(1), "t3")).await;
     assert!(matches!(plain, Ok(AmendOutcome::Accepted(_))));
     let outcome = amend_record(&table, &amendment("c", 1, poor, "t4")).await;
--- a/crates/domain/src/finding.rs
+++ b/crates/domain/src/finding.rs
@@ -8,7 +8,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordFinding {
     /// Where: a JSON path such as `spec.grants[0].model`.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub path: String,
     /// What is wrong there.
     pub problem: String,
     /// What to write instead; empty where nothing useful can be said.
@@ -25,12 +26,12 @@
     /// Adds a finding.
     pub fn add(
         &mut self,
-        place: impl Into<String>,
+        path: impl Into<String>,
         problem: impl Into<String>,
         advice: impl Into<String>,
     ) {
         self.findings.push(RecordFinding {
-            place: place.into(),
+            path: path.into(),
             problem: problem.into(),
             advice: advice.into(),
         });
@@ -67,7 +68,7 @@
             if index > 0 {
                 writeln!(formatter)?;
             }
-            write!(formatter, "{}: {}", finding.place, finding.problem)?;
+            write!(formatter, "{}: {}", finding.path, finding.problem)?;
             if finding.advice.is_empty() {
                 continue;
             }
--- a/crates/gateway/src/ends.rs
+++ b/crates/gateway/src/ends.rs
@@ -128,7 +128,7 @@
         runs: runs.iter().take(MOST_RUNS).map(RunRow::from).collect(),
     };
     let value =
-        serde_json::to_vec(&row).map_err(|error| StoreError::Unreadable(error.to_string()))?;
+        serde_json::to_vec(&row).map_err(|error| StoreError::Malformed(error.to_string()))?;
     let key = format!("{}.{}.{}", end.host, end.boot, node.settings.node);
     let mut written = Ok(());
     for _ in 0..WRITE_TRIES {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -83,7 +83,7 @@
             suspects: !node.blames_nobody(),
         };
         let value =
-            serde_json::to_vec(&row).map_err(|error| StoreError::Unreadable(error.to_string()))?;
+            serde_json::to_vec(&row).map_err(|error| StoreError::Malformed(error.to_string()))?;
         let name = node.settings.node.as_str();
         client
             .put_row(NODES_TABLE, name, &value, CALL_LIMIT)
--- a/crates/peers/benches/link_traffic.rs
+++ b/crates/peers/benches/link_traffic.rs
@@ -17,7 +17,7 @@
 use control::members::LivenessTimeouts;
 use domain::{FastMap, HealthEvidence, IncarnationNumber, ReplicaId};
 use mesh::{KEY, MeshNode, MeshPlan};
-use peers::{EvidencePort, PeerSettings, TimedEvidence};
+use peers::{EvidenceExchange, PeerSettings, TimedEvidence};
 
 /// Watchers look at each replica so often.
 const LOOK_PERIOD: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
     }
 }
 
-impl EvidencePort for BenchBoard {
+impl EvidenceExchange for BenchBoard {
     fn export(&self) -> Vec<TimedEvidence> {
         self.held().values().cloned().collect()
     }
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -18,7 +18,7 @@
     Refused(u16),
     /// Another node answers at the address: the expected one was replaced.
     #[error("node {0} answers there")]
-    OtherNode(NodeId),
+    UnexpectedNode(NodeId),
     /// The peer's message is not believed or can't be read.
     #[error(transparent)]
     Seal(#[from] AuthError),
@@ -27,7 +27,7 @@
     TooLarge(usize),
     /// This process was frozen; what lies in the buffers is too old to go by.
     #[error("the message lay too long")]
-    Late,
+    Stale,
 }
 
 impl From<h2::Error> for LinkError {
--- a/crates/peers/src/evidence.rs
+++ b/crates/peers/src/evidence.rs
@@ -15,7 +15,7 @@
 }
 
 /// Where evidence comes from and goes to.
-pub trait EvidencePort: Clone + Send + Sync + 'static {
+pub trait EvidenceExchange: Clone + Send + Sync + 'static {
     /// The newest evidence on each replica.
     fn export(&self) -> Vec<TimedEvidence>;
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoEvidence;
 
-impl EvidencePort for NoEvidence {
+impl EvidenceExchange for NoEvidence {
     fn export(&self) -> Vec<TimedEvidence> {
         Vec::new()
     }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use wire::peer::{PeerChange, PeerConfirmation, PeerDigest, PeerStamp};
 
-use crate::evidence::EvidencePort;
+use crate::evidence::EvidenceExchange;
 use crate::peer_view::{PeerView, millis};
 use crate::traffic::PeerTraffic;
 
@@ -38,7 +38,7 @@
     pub wake: Arc<Notify>,
 }
 
-impl<E: EvidencePort> GossipState<E> {
+impl<E: EvidenceExchange> GossipState<E> {
     /// Makes the digest for a peer of which `memory` knows what it has.
     pub async fn build_digest(&self, peer_view: &mut PeerView, echo: u64) -> PeerDigest {
         let news = self.config.status();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod traffic;
 
 pub use auth::SharedKey;
-pub use evidence::{EvidencePort, NoEvidence, TimedEvidence};
+pub use evidence::{EvidenceExchange, NoEvidence, TimedEvidence};
 pub use gossip::GossipState;
 pub use link::LinkContext;
 pub use listen::accept_links;
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -20,7 +20,7 @@
 
 use crate::auth::{FrameAuthenticator, FrameSide, SharedKey};
 use crate::error::LinkError;
-use crate::evidence::EvidencePort;
+use crate::evidence::EvidenceExchange;
 use crate::gossip::GossipState;
 use crate::peer_view::PeerView;
 use crate::settings::PeerSettings;
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// [`LinkError`], always: a link ends only by failing.
-pub async fn run_link<E: EvidencePort>(
+pub async fn run_link<E: EvidenceExchange>(
     context: &LinkContext<E>,
     address: SocketAddr,
     expected: Option<&NodeId>,
@@ -128,7 +128,7 @@
     }
 }
 
-async fn open_link<E: EvidencePort>(
+async fn open_link<E: EvidenceExchange>(
     context: &LinkContext<E>,
     address: SocketAddr,
     expected: Option<&NodeId>,
@@ -156,7 +156,7 @@
     let welcome: PeerWelcome = decode_body::<_, MAX_HELLO_BYTES>(&answer)?;
     context.key.verify_proof(&hello, &welcome)?;
     if expected.is_some_and(|node| *node != welcome.node) {
-        return Err(LinkError::OtherNode(welcome.node));
+        return Err(LinkError::UnexpectedNode(welcome.node));
     }
     Ok(OpenLink {
         requests,
@@ -170,7 +170,7 @@
 }
 
 impl OpenLink {
-    async fn exchange<E: EvidencePort>(
+    async fn exchange<E: EvidenceExchange>(
         &mut self,
         context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
@@ -183,7 +183,7 @@
         // A process that was frozen finds the answer before its own timeout: the answer may tell
         // of heartbeats that were heard long ago.
         if asked_at.elapsed() > self.timeout {
-            return Err(LinkError::Late);
+            return Err(LinkError::Stale);
         }
         let answer: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&answer)?;
         context
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    async fn fetch_snapshot<E: EvidencePort>(
+    async fn fetch_snapshot<E: EvidenceExchange>(
         &mut self,
         context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -17,7 +17,7 @@
 
 use crate::auth::{AuthError, FrameAuthenticator, FrameSide};
 use crate::error::LinkError;
-use crate::evidence::EvidencePort;
+use crate::evidence::EvidenceExchange;
 use crate::link::{LinkContext, read_stream};
 use crate::peer_view::PeerView;
 
@@ -46,7 +46,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts links until the task is dropped.
-pub async fn accept_links<E: EvidencePort>(listener: TcpListener, context: LinkContext<E>) {
+pub async fn accept_links<E: EvidenceExchange>(listener: TcpListener, context: LinkContext<E>) {
     let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
@@ -70,7 +70,7 @@
     }
 }
 
-async fn serve_connection<E: EvidencePort>(
+async fn serve_connection<E: EvidenceExchange>(
     context: &LinkContext<E>,
     stream: TcpStream,
 ) -> Result<(), LinkError> {
@@ -142,7 +142,7 @@
     }
 }
 
-async fn answer_request<E: EvidencePort>(
+async fn answer_request<E: EvidenceExchange>(
     context: &LinkContext<E>,
     session: &mut Option<AnswerSession>,
     request: Request<h2::RecvStream>,
@@ -165,9 +165,9 @@
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
             let frame = session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
             let digest: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
-            let asked_at = session.asked_at(digest.echo).ok_or(LinkError::Late)?;
+            let asked_at = session.asked_at(digest.echo).ok_or(LinkError::Stale)?;
             if asked_at.elapsed() > LATE_LIMIT {
-                return Err(LinkError::Late);
+                return Err(LinkError::Stale);
             }
             context
                 .gossip
@@ -197,7 +197,7 @@
     }
 }
 
-fn welcome_peer<E: EvidencePort>(
+fn welcome_peer<E: EvidenceExchange>(
     context: &LinkContext<E>,
     hello: &PeerHello,
     version: u8,
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -9,7 +9,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use crate::error::LinkError;
-use crate::evidence::EvidencePort;
+use crate::evidence::EvidenceExchange;
 use crate::link::{LinkContext, run_link};
 use crate::select::select_peers;
 
@@ -31,7 +31,7 @@
 }
 
 /// Keeps the node's links until the task is dropped.
-pub async fn maintain_links<E: EvidencePort>(context: LinkContext<E>) {
+pub async fn maintain_links<E: EvidenceExchange>(context: LinkContext<E>) {
     let mut keeper = LinkKeeper {
         context,
         running: FastMap::default(),
@@ -58,7 +58,7 @@
     avoided: FastMap<LinkPlace, Instant>,
 }
 
-impl<E: EvidencePort> LinkKeeper<E> {
+impl<E: EvidenceExchange> LinkKeeper<E> {
     fn choose(&mut self, now: Instant) {
         self.avoided.retain(|_, until| *until > now);
         let view = self.context.gossip.membership.view(now);
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -15,7 +15,7 @@
 use domain::record::RecordKind;
 use events::EventRecorder;
 use peers::{
-    EvidencePort, GossipState, LinkContext, NoEvidence, PeerSettings, PeerTraffic, SharedKey,
+    EvidenceExchange, GossipState, LinkContext, NoEvidence, PeerSettings, PeerTraffic, SharedKey,
     accept_links, maintain_links,
 };
 use serde_json::json;
@@ -80,7 +80,7 @@
     }
 
     /// Starts such a node that passes on evidence.
-    pub async fn start_with<E: EvidencePort>(
+    pub async fn start_with<E: EvidenceExchange>(
         &self,
         name: &str,
         key: &str,
--- a/crates/settings/tests/file_checks.rs
+++ b/crates/settings/tests/file_checks.rs
@@ -22,7 +22,7 @@
     findings
         .as_slice()
         .iter()
-        .map(|finding| finding.place.clone())
+        .map(|finding| finding.path.clone())
         .collect()
 }
 
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -156,7 +156,7 @@
         AmendAnswer::Accepted { revision, warnings } => {
             println!("{what}: accepted as revision {revision}");
             for finding in warnings.as_slice() {
-                eprintln!("{what}: warning: {}: {}", finding.place, finding.problem);
+                eprintln!("{what}: warning: {}: {}", finding.path, finding.problem);
             }
         }
         AmendAnswer::Conflict { current, change } => {
--- a/src/commands/files.rs
+++ b/src/commands/files.rs
@@ -55,7 +55,7 @@
         Ok(_) => Some(frame),
         Err(RecordError::Invalid(found)) => {
             for finding in found.as_slice() {
-                let place = format!("{place} ({}): {}", frame.name, finding.place);
+                let place = format!("{place} ({}): {}", frame.name, finding.path);
                 findings.add(place, finding.problem.clone(), finding.advice.clone());
             }
             None
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -9,8 +9,8 @@
 use control::members::{Member, MemberState, MemberTableSync, MemberView, SharedMembership};
 use eyre::WrapErr;
 use peers::{
-    EvidencePort, GossipState, LinkContext, PeerTraffic, SharedKey, TimedEvidence, accept_links,
-    maintain_links,
+    EvidenceExchange, GossipState, LinkContext, PeerTraffic, SharedKey, TimedEvidence,
+    accept_links, maintain_links,
 };
 use settings::NodeSettings;
 use settings::node::peer_key;
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone)]
 pub struct StoreEvidence(EvidenceStore);
 
-impl EvidencePort for StoreEvidence {
+impl EvidenceExchange for StoreEvidence {
     fn export(&self) -> Vec<TimedEvidence> {
         let now = Instant::now();
         let mut held = Vec::new();
