--- a/crates/admin/src/records.rs
+++ b/crates/admin/src/records.rs
@@ -1,7 +1,7 @@
 //! Conversions between the records' wire forms and the control plane's.
 
 use control::amend::{AmendConflict, ChangeRow, StoredRecord};
-use control::review::{FindingLevel, ReviewReport, review_delete, review_record};
+use control::review::{FindingSeverity, ReviewReport, review_delete, review_record};
 use control::{AmendError, AmendOutcome, ConfigView, Expect, RecordAmendment};
 use domain::{FindingList, RecordSpec};
 use wire::admin::{AmendAnswer, AmendBody, ChangeBody, ExpectBody, RecordBody};
@@ -44,9 +44,9 @@
 pub fn split_report(report: ReviewReport) -> (FindingList, FindingList) {
     let (mut errors, mut warnings) = (FindingList::default(), FindingList::default());
     for found in report.findings {
-        let list = match found.level {
-            FindingLevel::Error => &mut errors,
-            FindingLevel::Warning => &mut warnings,
+        let list = match found.severity {
+            FindingSeverity::Error => &mut errors,
+            FindingSeverity::Warning => &mut warnings,
         };
         list.add(
             found.finding.path,
--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -26,7 +26,7 @@
 
 /// What a controller works with.
 #[derive(Debug, Clone)]
-pub struct AssemblyParts<T, E, C> {
+pub struct AssemblyContext<T, E, C> {
     /// The table.
     pub table: T,
     /// Engines.
@@ -49,7 +49,7 @@
 
 /// Acts for a fabric domain whenever its lease is held; runs until the lease's keeper ends.
 pub async fn run_controller<T: TableStore, E: EnginePort, C: HostChooser>(
-    parts: AssemblyParts<T, E, C>,
+    parts: AssemblyContext<T, E, C>,
     fabric: FabricId,
     mut grants: watch::Receiver<Option<LeaseGrant>>,
 ) {
@@ -75,7 +75,7 @@
 /// The state that a controller keeps between rounds; all of it can be read anew.
 #[derive(Debug)]
 pub struct FabricController<T, E, C> {
-    parts: AssemblyParts<T, E, C>,
+    parts: AssemblyContext<T, E, C>,
     fabric: FabricId,
     rows: Option<(LeaseEpoch, FabricRows)>,
     refreshed: Instant,
@@ -85,7 +85,7 @@
 impl<T: TableStore, E: EnginePort, C: HostChooser> FabricController<T, E, C> {
     /// A controller that has read nothing yet.
     #[must_use]
-    pub fn new(parts: AssemblyParts<T, E, C>, fabric: FabricId) -> Self {
+    pub fn new(parts: AssemblyContext<T, E, C>, fabric: FabricId) -> Self {
         Self {
             parts,
             fabric,
--- a/crates/control/src/assembly/mod.rs
+++ b/crates/control/src/assembly/mod.rs
@@ -31,7 +31,7 @@
 mod supervise;
 
 pub use chooser::{FirstHosts, HostChooser};
-pub use controller::{AssemblyParts, FabricController, run_controller};
+pub use controller::{AssemblyContext, FabricController, run_controller};
 pub use health::{FabricHealth, HostHealth};
 pub use orders::{HostOrder, wanted_orders};
 pub use round::{RoundInput, plan_round};
--- a/crates/control/src/assembly/supervise.rs
+++ b/crates/control/src/assembly/supervise.rs
@@ -10,7 +10,7 @@
 use target::EnginePort;
 use tokio::sync::watch;
 
-use super::{AssemblyParts, HostChooser, run_controller};
+use super::{AssemblyContext, HostChooser, run_controller};
 use crate::housekeeping::{HousekeepingSettings, keep_house};
 use crate::lease::{
     LeaseGrant, LeaseHandle, LeasePlace, LeaseSettings, LeaseTracker, candidate_place,
@@ -43,7 +43,7 @@
 }
 
 struct LeaseSupervisor<T: TableStore, E, C> {
-    parts: AssemblyParts<T, E, C>,
+    parts: AssemblyContext<T, E, C>,
     inputs: SupervisorInputs,
     holder: NodeId,
     kept: BTreeMap<LeaseName, KeptLease<T>>,
@@ -51,7 +51,7 @@
 
 /// Keeps all leases until `stop` completes, and releases those that it holds then.
 pub async fn supervise_leases<T: TableStore, E: EnginePort, C: HostChooser>(
-    parts: AssemblyParts<T, E, C>,
+    parts: AssemblyContext<T, E, C>,
     mut inputs: SupervisorInputs,
     stop: impl Future<Output = ()> + Send,
 ) {
--- a/crates/control/src/ledger/found.rs
+++ b/crates/control/src/ledger/lookup.rs
@@ -9,7 +9,7 @@
 use crate::token::random_token;
 
 /// Sends of the outcome; the service's books stay, so that a later request tries again.
-const FOUND_TRIES: u32 = 3;
+const COMMIT_ATTEMPTS: u32 = 3;
 
 impl<T: TableStore> CallLedger<T> {
     /// Records that a service's look-up shows a claimed call as run.
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// [`StoreError`]; the claim then stays as it is.
-    pub async fn settle_found(
+    pub async fn settle_from_lookup(
         &self,
         key: &ClaimKey,
         seen: &CallClaim,
@@ -45,7 +45,7 @@
             .map_err(|error| StoreError::Malformed(error.to_string()))?;
         let expect = RowExpectation::Version(version);
         let batch = WriteBatch::new(random_token("found")?).put(key.row(), expect, value);
-        match settled_commit(&self.table, &batch, FOUND_TRIES).await? {
+        match settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await? {
             // A conflict means that the claimant or another request was faster.
             CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => Ok(()),
         }
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -10,7 +10,7 @@
 //! [`LedgerSettings::send_limit_ms`], which is seconds, and [`ClaimTicket::is_fresh`] stops it on
 //! its own monotonic clock immediately before it sends.
 
-mod found;
+mod lookup;
 mod outcome;
 mod writer;
 
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -12,7 +12,7 @@
 
 /// How much a finding matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FindingLevel {
+pub enum FindingSeverity {
     /// The record can be accepted; the operator should look at it.
     Warning,
     /// The record must not be accepted.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReviewFinding {
     /// How much it matters.
-    pub level: FindingLevel,
+    pub severity: FindingSeverity,
     /// What was found.
     pub finding: RecordFinding,
 }
@@ -36,21 +36,21 @@
 }
 
 impl ReviewReport {
-    fn add(&mut self, level: FindingLevel, place: String, problem: String, advice: &str) {
+    fn add(&mut self, severity: FindingSeverity, place: String, problem: String, advice: &str) {
         let finding = RecordFinding {
             path: place,
             problem,
             advice: advice.to_owned(),
         };
-        self.findings.push(ReviewFinding { level, finding });
+        self.findings.push(ReviewFinding { severity, finding });
     }
 
     fn warn(&mut self, place: String, problem: String, advice: &str) {
-        self.add(FindingLevel::Warning, place, problem, advice);
+        self.add(FindingSeverity::Warning, place, problem, advice);
     }
 
     fn refuse(&mut self, place: String, problem: String, advice: &str) {
-        self.add(FindingLevel::Error, place, problem, advice);
+        self.add(FindingSeverity::Error, place, problem, advice);
     }
 
     /// Whether the record must not be accepted.
@@ -58,7 +58,7 @@
     pub fn has_errors(&self) -> bool {
         self.findings
             .iter()
-            .any(|finding| finding.level == FindingLevel::Error)
+            .any(|finding| finding.severity == FindingSeverity::Error)
     }
 }
 
--- a/crates/control/tests/rules/assembly_world.rs
+++ b/crates/control/tests/rules/assembly_world.rs
@@ -6,7 +6,7 @@
 
 use crate::dice::engine::{FakeEngines, host_address, host_name};
 use crate::dice::table::{FakeTable, FaultRates};
-use control::assembly::{AssemblyParts, AssemblySettings, FabricController, FirstHosts};
+use control::assembly::{AssemblyContext, AssemblySettings, FabricController, FirstHosts};
 use control::directory::HostDirectory;
 use control::lease::{EpochRow, LeaseGrant};
 use control::{ConfigView, EvidenceStore};
@@ -125,7 +125,7 @@
             .rest_ms(0)
             .refresh_ms(0)
             .build();
-        let parts = AssemblyParts {
+        let parts = AssemblyContext {
             table: self.table.clone(),
             engine: self.engines.clone(),
             chooser: FirstHosts,
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -203,7 +203,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
             // When the store is down the next request with this key looks it up again.
-            let settled = ledger.settle_found(&claim_key, &claim, state).await;
+            let settled = ledger.settle_from_lookup(&claim_key, &claim, state).await;
             log_skipped("settle claim", settled);
         });
     }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control::assembly::{AssemblyParts, FirstHosts, SupervisorInputs, supervise_leases};
+use control::assembly::{AssemblyContext, FirstHosts, SupervisorInputs, supervise_leases};
 use control::directory::{HostDirectory, poll_hosts};
 use control::fleet::{TargetInputs, publish_targets};
 use control::members::MemberView;
@@ -96,7 +96,7 @@
 ) -> ControlTasks {
     let listed = directory.clone();
     let settings = context.control;
-    let parts = AssemblyParts {
+    let assembly = AssemblyContext {
         table: context.table.urgent(),
         engine: context.engine.clone(),
         chooser: FirstHosts,
@@ -116,7 +116,7 @@
         held: held_sender,
     };
     let (stop, stopped) = oneshot::channel();
-    let leases = tokio::spawn(supervise_leases(parts, inputs, async {
+    let leases = tokio::spawn(supervise_leases(assembly, inputs, async {
         let _ = stopped.await;
     }));
     ControlTasks {
