--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -37,9 +37,9 @@
 /// Stands for a host's id in hints, where each byte is sent to every node. Two hosts with the same
 /// mark would be taken for each other; among 1,500 that is one pair in four thousand fleets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HostMark(u32);
+pub struct HostHash(u32);
 
-impl From<&HostId> for HostMark {
+impl From<&HostId> for HostHash {
     fn from(id: &HostId) -> Self {
         Self(u32::try_from(stable_hash(&id.as_str()) >> 32).unwrap_or(u32::MAX))
     }
@@ -51,14 +51,14 @@
     /// A request is on its way to a head.
     Sent {
         /// The head.
-        head: HostMark,
+        head: HostHash,
         /// Tokens of its prompt.
         tokens: u32,
     },
     /// A head said how much runs and waits there.
     Reported {
         /// The head.
-        head: HostMark,
+        head: HostHash,
         /// Requests running and waiting.
         requests: u32,
         /// Whether it said so with the beginning of an answer, so that its replica moves.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -26,6 +26,6 @@
 mod usage;
 mod watch;
 
-pub use hints::{HostMark, LoadHint};
+pub use hints::{HostHash, LoadHint};
 pub use run::run_gateway;
 pub use settings::{GatewaySettings, is_gateway_file};
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -6,7 +6,7 @@
 use serving::TargetLoad;
 
 use super::GatewayNode;
-use crate::hints::HostMark;
+use crate::hints::HostHash;
 
 impl GatewayNode {
     /// A target's load.
@@ -46,7 +46,7 @@
     }
 
     /// Notes a request that another node sent to a head.
-    pub fn hear_sent(&self, head: HostMark, tokens: u32) {
+    pub fn hear_sent(&self, head: HostHash, tokens: u32) {
         let Some(head) = self.marked_host(head) else {
             return;
         };
@@ -67,7 +67,7 @@
     }
 
     /// Notes what a head reported to another node.
-    pub fn hear_report(&self, head: HostMark, requests: u32, served: bool) {
+    pub fn hear_report(&self, head: HostHash, requests: u32, served: bool) {
         let Some(head) = self.marked_host(head) else {
             return;
         };
@@ -78,7 +78,7 @@
         self.with_load(&head, |load| load.report(requests, now));
     }
 
-    fn marked_host(&self, mark: HostMark) -> Option<HostId> {
+    fn marked_host(&self, mark: HostHash) -> Option<HostId> {
         self.marks.borrow().get(&mark).cloned()
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 use crate::crash::BrokenRuns;
-use crate::hints::{HintLine, HostMark};
+use crate::hints::{HintLine, HostHash};
 use crate::metrics::GatewayMetrics;
 use crate::pool::LinkPool;
 use crate::settings::GatewaySettings;
@@ -65,7 +65,7 @@
     heads: RefCell<FastMap<(ReplicaId, u64), HostId>>,
     loads: RefCell<FastMap<HostId, TargetLoad>>,
     /// Hosts by the marks that stand for them in hints.
-    marks: RefCell<FastMap<HostMark, HostId>>,
+    marks: RefCell<FastMap<HostHash, HostId>>,
     /// Prompts that wait at the heads of replicas, of this node and of those that told it.
     unread: RefCell<FastMap<HostId, UnreadPrompts>>,
     pulses: RefCell<FastMap<HostId, ReplicaPulse>>,
