--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -15,8 +15,7 @@
 use policy::admission::CustomerShares;
 use serving::silence::ReplicaPulse;
 use serving::{
-    GatewayConfig, PoisonDetector, RepeatBudget, StopPlan, TargetLoad, TargetRegistry,
-    UnreadPrompts,
+    GatewayConfig, PoisonDetector, RetryBudget, StopPlan, TargetLoad, TargetRegistry, UnreadPrompts,
 };
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
@@ -84,7 +83,7 @@
     store_clock: Cell<Option<(Duration, Duration)>>,
     /// Targets that leave and take no connections any more, with the time since when.
     retired: RefCell<FastMap<HostId, Duration>>,
-    budgets: RefCell<FastMap<ServiceName, RepeatBudget>>,
+    budgets: RefCell<FastMap<ServiceName, RetryBudget>>,
     shares: RefCell<FastMap<ServiceName, CustomerShares>>,
     nodes: RefCell<Vec<String>>,
     nodes_counted: Cell<u64>,
@@ -258,13 +257,13 @@
     pub fn with_budget<R>(
         &self,
         service: &ServiceName,
-        use_it: impl FnOnce(&mut RepeatBudget) -> R,
+        use_it: impl FnOnce(&mut RetryBudget) -> R,
     ) -> R {
         let mut budgets = self.budgets.borrow_mut();
         let limits = self.settings.bounds.repeats();
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| RepeatBudget::new(limits));
+            .or_insert_with(|| RetryBudget::new(limits));
         use_it(budget)
     }
 
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -111,7 +111,7 @@
     pub fn note_arrival(&self, request: &ForwardRequest) {
         let now = self.now();
         let service = &request.service;
-        self.with_budget(service, |budget| budget.note_request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
         let Some(customer) = &request.customer else {
             return;
         };
@@ -145,7 +145,9 @@
     fn repeats_left(&self) -> f64 {
         let (now, nodes) = (self.now(), self.node_count());
         let mut budgets = self.budgets.borrow_mut();
-        let left = budgets.values_mut().map(|budget| budget.left(now, nodes));
+        let left = budgets
+            .values_mut()
+            .map(|budget| budget.remaining(now, nodes));
         left.reduce(f64::min).unwrap_or(0.0)
     }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,7 +8,7 @@
 use eyre::WrapErr;
 use serde::Deserialize;
 use serde_json::Value;
-use serving::budget::RepeatLimits;
+use serving::retry_budget::RetryLimits;
 
 /// What a gateway needs to know before it starts.
 #[derive(Debug, Clone, Deserialize)]
@@ -61,8 +61,8 @@
 impl BoundSettings {
     /// Limits of repeats.
     #[must_use]
-    pub fn repeats(&self) -> RepeatLimits {
-        RepeatLimits {
+    pub fn repeats(&self) -> RetryLimits {
+        RetryLimits {
             window: seconds(self.repeat_window_s),
             ratio: self.repeat_ratio,
             extra: self.repeat_extra,
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -3,7 +3,6 @@
 //! Everything here is plain data with rules: no input, output, clocks or hidden randomness. A
 //! time is a [`std::time::Duration`] since the start of the process, on its own monotonic clock.
 
-pub mod budget;
 pub mod choose;
 pub mod events;
 pub mod pace;
@@ -11,18 +10,19 @@
 pub mod poison;
 pub mod rank;
 pub mod registry;
+pub mod retry_budget;
 pub mod route;
 pub mod silence;
 pub mod stop;
 pub mod target;
 pub mod unread;
 
-pub use budget::RepeatBudget;
 pub use choose::{ChoiceLimits, TargetLoad, choose_target};
 pub use events::EventSplitter;
 pub use pace::ReplicaPace;
 pub use poison::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint, TargetCrash};
 pub use registry::{ReplicaView, TargetRegistry};
+pub use retry_budget::RetryBudget;
 pub use route::{
     CallerRoute, CustomerKey, GatewayConfig, ModelShape, RequestLimits, RouteKind, ServiceShape,
 };
--- a/crates/serving/src/budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -5,7 +5,7 @@
 
 /// Limits of repeats over a sliding window, for all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryLimits {
     /// Length of the window.
     pub window: Duration,
     /// Repeats allowed for each request.
@@ -27,8 +27,8 @@
 /// be sent to all that is left, which then fails as well. A node spends what its own requests
 /// earn and its even part of what is allowed besides, so the sum holds without a message.
 #[derive(Debug)]
-pub struct RepeatBudget {
-    limits: RepeatLimits,
+pub struct RetryBudget {
+    limits: RetryLimits,
     slices: VecDeque<BudgetSlice>,
 }
 
@@ -39,10 +39,10 @@
     repeats: u32,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// An empty window.
     #[must_use]
-    pub fn new(limits: RepeatLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
             slices: VecDeque::new(),
@@ -70,12 +70,12 @@
     }
 
     /// Counts a caller's request.
-    pub fn note_request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.slice(now).requests += 1;
     }
 
     /// Repeats that this node may make now, if `nodes` nodes share the limit.
-    pub fn left(&mut self, now: Duration, nodes: usize) -> f64 {
+    pub fn remaining(&mut self, now: Duration, nodes: usize) -> f64 {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
         let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
@@ -86,7 +86,7 @@
 
     /// Takes one repeat, if `nodes` nodes that all do so stay within the limit.
     pub fn take(&mut self, now: Duration, nodes: usize) -> bool {
-        if self.left(now, nodes) < 1.0 {
+        if self.remaining(now, nodes) < 1.0 {
             return false;
         }
         self.slice(now).repeats += 1;
--- a/crates/serving/tests/repeat_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use cases::properties;
-use serving::RepeatBudget;
-use serving::budget::RepeatLimits;
+use serving::RetryBudget;
+use serving::retry_budget::RetryLimits;
 
-const LIMITS: RepeatLimits = RepeatLimits {
+const LIMITS: RetryLimits = RetryLimits {
     window: Duration::from_secs(10),
     ratio: 0.2,
     extra: 130.0,
@@ -16,11 +16,11 @@
 /// the repeats stay within the agreed part.
 #[test]
 fn storm_stays_within() {
-    let mut budget = RepeatBudget::new(LIMITS);
+    let mut budget = RetryBudget::new(LIMITS);
     let mut taken = 0;
     for step in 0..1000_u64 {
         let now = Duration::from_millis(step * 10);
-        budget.note_request(now);
+        budget.record_request(now);
         if budget.take(now, 6) {
             taken += 1;
         }
@@ -31,7 +31,7 @@
 /// The budget is back a window after a storm.
 #[test]
 fn window_slides() {
-    let mut budget = RepeatBudget::new(LIMITS);
+    let mut budget = RetryBudget::new(LIMITS);
     while budget.take(Duration::ZERO, 6) {}
     assert!(!budget.take(Duration::from_secs(9), 6));
     assert!(budget.take(Duration::from_secs(12), 6));
@@ -41,7 +41,7 @@
     /// In any window the repeats of all nodes together stay within the limit for all of them.
     fn sum_within_limit(gaps: Vec<(u8, u8, bool)>) -> bool {
         let nodes = 4;
-        let mut budgets: Vec<RepeatBudget> = (0..nodes).map(|_| RepeatBudget::new(LIMITS)).collect();
+        let mut budgets: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(LIMITS)).collect();
         let mut now = Duration::ZERO;
         let mut requests: Vec<Duration> = Vec::new();
         let mut repeats: Vec<Duration> = Vec::new();
@@ -55,7 +55,7 @@
                     }
                 }
             } else {
-                budget.note_request(now);
+                budget.record_request(now);
                 requests.push(now);
             }
             let start = now.saturating_sub(LIMITS.window);
