--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -7,7 +7,7 @@
 use domain::{CustomerId, FastSet, HostId, ModelName, RequestId, ServiceName};
 use http::{HeaderMap, Method, Uri};
 use policy::admission::AdmissionClass;
-use serving::choose::{NoTarget, TargetChoice, choose_target};
+use serving::choose::{NoTarget, TargetCandidate, choose_target};
 use serving::rank::stable_hash;
 use serving::{
     ChoiceLimits, GatewayConfig, ReplicaPace, RequestFingerprint, RouteKind, ServiceShape,
@@ -82,7 +82,7 @@
 
     fn new(
         reason: NoTarget,
-        choices: &[TargetChoice],
+        choices: &[TargetCandidate],
         limits: ChoiceLimits,
         now: Duration,
     ) -> Self {
@@ -94,7 +94,7 @@
             reason,
             candidates: choices.len(),
             least_load: loads.reduce(f64::min).unwrap_or(0.0),
-            most_load: f64::from(slots) + limits.queue,
+            most_load: f64::from(slots) + limits.queue_limit,
         }
     }
 }
@@ -213,19 +213,19 @@
         };
         let read_rate = self.read_rate(service);
         let compares_waits = read_rate > 0.0 && node.hints_reach_all();
-        let choices: Vec<TargetChoice> = entries
+        let choices: Vec<TargetCandidate> = entries
             .iter()
-            .map(|entry| TargetChoice {
+            .map(|entry| TargetCandidate {
                 load: node.load(&entry.id),
                 slots: slots(entry),
-                unread: compares_waits.then(|| node.unread_wait(&entry.id, read_rate)),
-                own_limit: connection_part(service, node.node_count()),
+                prefill_wait: compares_waits.then(|| node.unread_wait(&entry.id, read_rate)),
+                in_flight_limit: connection_part(service, node.node_count()),
             })
             .collect();
         let most = entries.first().map_or(0, slots);
         let class = self.admission_class(node, service, tried);
         let limits = ChoiceLimits {
-            queue: self.queue_limit(service, most, class, patience),
+            queue_limit: self.queue_limit(service, most, class, patience),
             nodes: node.node_count(),
         };
         let index = choose_target(&choices, limits, now)
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -50,7 +50,7 @@
         let Some(head) = self.marked_host(head) else {
             return;
         };
-        self.with_load(&head, TargetLoad::start_elsewhere);
+        self.with_load(&head, TargetLoad::record_sent_elsewhere);
         let known = self.registry(|registry| {
             let entry = registry.get(&head)?;
             Some((entry.service.clone(), entry.loaded.clone()?))
@@ -75,7 +75,7 @@
         if served {
             self.served_others.borrow_mut().insert(head.clone(), now);
         }
-        self.with_load(&head, |load| load.report(requests, now));
+        self.with_load(&head, |load| load.record_report(requests, now));
     }
 
     fn marked_host(&self, mark: HostHash) -> Option<HostId> {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -39,7 +39,7 @@
             node.with_shares(&request.service, |shares| shares.record_sent(customer));
         }
         let is_head = target.membership.is_some();
-        node.with_load(&target.id, serving::TargetLoad::start);
+        node.with_load(&target.id, serving::TargetLoad::record_sent);
         if is_head {
             node.with_pulse(&target.id, |pulse| pulse.start(now));
             note_sent_prompt(node, request, &target.id);
@@ -64,7 +64,8 @@
 
 impl Drop for RunningTicket {
     fn drop(&mut self) {
-        self.node.with_load(&self.host, serving::TargetLoad::end);
+        self.node
+            .with_load(&self.host, serving::TargetLoad::record_end);
         if let Some(customer) = &self.customer {
             self.node
                 .with_shares(&self.service, |shares| shares.record_ended(customer));
@@ -246,7 +247,7 @@
     // An engine was asked meanwhile, and much hangs on the answer.
     if sign == LossSign::Silent && target.membership.is_some() {
         let now = node.now();
-        node.with_load(&target.id, |load| load.avoid(now));
+        node.with_load(&target.id, |load| load.record_unreachable(now));
     } else {
         node.suspect(&target.id, sign, &error.to_string());
     }
@@ -261,7 +262,7 @@
 ) -> AttemptEnd {
     if matches!(end, AttemptEnd::Lost(_) | AttemptEnd::TimedOut) {
         let now = node.now();
-        node.with_load(id, |load| load.fail(now));
+        node.with_load(id, |load| load.record_failure(now));
     }
     node.metrics.attempt(request.service.as_str(), end.name());
     end
@@ -284,7 +285,7 @@
     }
     if let Some(load) = facts.load {
         let now = node.now();
-        node.with_load(id, |known| known.report(load, now));
+        node.with_load(id, |known| known.record_report(load, now));
         if target.membership.is_some() {
             node.hints.tell(LoadHint::Reported {
                 head: id.into(),
@@ -316,14 +317,14 @@
     let success = head.status.is_success();
     if success && !facts.signed {
         let now = node.now();
-        node.with_load(id, |load| load.fail(now));
+        node.with_load(id, |load| load.record_failure(now));
         return AttemptEnd::Lost("the answer is not the target's".to_owned());
     }
     if success {
-        node.with_load(id, serving::TargetLoad::succeed);
+        node.with_load(id, serving::TargetLoad::record_success);
     } else {
         let now = node.now();
-        node.with_load(id, |load| load.fail(now));
+        node.with_load(id, |load| load.record_failure(now));
     }
     AttemptEnd::Answered(Box::new(TargetAnswer {
         host: id.clone(),
--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -22,13 +22,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TargetLoad {
     /// Requests of this node there.
-    pub own: u32,
+    pub in_flight: u32,
     /// Requests running and waiting there, as it reported.
     pub reported: u32,
     /// When it reported.
     pub reported_at: Option<Duration>,
     /// Requests sent since the report, less those that ended.
-    pub since: i32,
+    pub sent_since_report: i32,
     /// Failures since the last success.
     pub failures: u32,
     /// When the last of them was.
@@ -37,36 +37,36 @@
 
 impl TargetLoad {
     /// Notes a request that was sent.
-    pub fn start(&mut self) {
-        self.own += 1;
-        self.since += 1;
+    pub fn record_sent(&mut self) {
+        self.in_flight += 1;
+        self.sent_since_report += 1;
     }
 
     /// Notes a request that another node sent. Its end shows in the next report only.
-    pub fn start_elsewhere(&mut self) {
-        self.since += 1;
+    pub fn record_sent_elsewhere(&mut self) {
+        self.sent_since_report += 1;
     }
 
     /// Notes the end of a request.
-    pub fn end(&mut self) {
-        self.own = self.own.saturating_sub(1);
-        self.since -= 1;
+    pub fn record_end(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.sent_since_report -= 1;
     }
 
     /// Notes a failure.
-    pub fn fail(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         self.failed_at = now;
     }
 
     /// Notes that it can't be reached now: it is taken only where no other has room.
-    pub fn avoid(&mut self, now: Duration) {
+    pub fn record_unreachable(&mut self, now: Duration) {
         self.failures = self.failures.max(MOST_FAILURES);
         self.failed_at = now;
     }
 
     /// Notes an answer that is no failure.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
@@ -78,16 +78,16 @@
     }
 
     /// Notes a report.
-    pub fn report(&mut self, total: u32, now: Duration) {
+    pub fn record_report(&mut self, total: u32, now: Duration) {
         self.reported = total;
         self.reported_at = Some(now);
-        self.since = 0;
+        self.sent_since_report = 0;
     }
 
     /// Requests that are probably there, of all nodes.
     #[must_use]
     pub fn estimate(&self, now: Duration, nodes: usize) -> f64 {
-        let own = f64::from(self.own);
+        let own = f64::from(self.in_flight);
         let fresh = self
             .reported_at
             .is_some_and(|at| now.saturating_sub(at) < REPORT_AGE);
@@ -95,34 +95,34 @@
             let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
             return own * nodes;
         }
-        (f64::from(self.reported) + f64::from(self.since)).max(own)
+        (f64::from(self.reported) + f64::from(self.sent_since_report)).max(own)
     }
 }
 
 /// One target that could take a request.
 #[derive(Debug, Clone, Copy)]
-pub struct TargetChoice {
+pub struct TargetCandidate {
     /// Its load.
     pub load: TargetLoad,
     /// Requests it runs at once.
     pub slots: u32,
     /// Time until it has read the prompts that wait there, as far as this node knows; nothing for a
     /// target that reads none, of which any with room will do.
-    pub unread: Option<Duration>,
+    pub prefill_wait: Option<Duration>,
     /// Requests that this node may have there: its part of the connections that the target takes
     /// from all nodes. Beyond them the target resets connections, and requests with them.
-    pub own_limit: u32,
+    pub in_flight_limit: u32,
 }
 
-impl TargetChoice {
+impl TargetCandidate {
     fn has_room(&self, limits: ChoiceLimits, now: Duration) -> bool {
-        let places = f64::from(self.slots.max(1)) + limits.queue;
-        self.load.estimate(now, limits.nodes) < places && self.load.own < self.own_limit
+        let places = f64::from(self.slots.max(1)) + limits.queue_limit;
+        self.load.estimate(now, limits.nodes) < places && self.load.in_flight < self.in_flight_limit
     }
 
     /// About how long a request waits there for its first token, beyond what it would anywhere.
     fn wait(&self, limits: ChoiceLimits, now: Duration) -> Duration {
-        let Some(unread) = self.unread else {
+        let Some(unread) = self.prefill_wait else {
             return Duration::ZERO;
         };
         unread + RUNNING_WAIT.mul_f64(self.load.estimate(now, limits.nodes))
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceLimits {
     /// Requests that may wait at a target beyond those it runs.
-    pub queue: f64,
+    pub queue_limit: f64,
     /// Nodes that send to the same targets.
     pub nodes: usize,
 }
@@ -164,7 +164,7 @@
 ///
 /// [`NoTarget`] with the reason.
 pub fn choose_target(
-    choices: &[TargetChoice],
+    choices: &[TargetCandidate],
     limits: ChoiceLimits,
     now: Duration,
 ) -> Result<usize, NoTarget> {
--- a/crates/serving/tests/target_choice.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -2,28 +2,31 @@
 
 use std::time::Duration;
 
-use serving::choose::{NoTarget, TargetChoice};
+use serving::choose::{NoTarget, TargetCandidate};
 use serving::rank::stable_hash;
 use serving::{ChoiceLimits, TargetLoad, choose_target};
 
 const NOW: Duration = Duration::from_secs(10);
 
 fn limits(queue: f64) -> ChoiceLimits {
-    ChoiceLimits { queue, nodes: 6 }
+    ChoiceLimits {
+        queue_limit: queue,
+        nodes: 6,
+    }
 }
 
 fn reported(total: u32) -> TargetLoad {
     let mut load = TargetLoad::default();
-    load.report(total, NOW);
+    load.record_report(total, NOW);
     load
 }
 
-fn choice(load: TargetLoad) -> TargetChoice {
-    TargetChoice {
+fn choice(load: TargetLoad) -> TargetCandidate {
+    TargetCandidate {
         load,
         slots: 26,
-        unread: None,
-        own_limit: 60,
+        prefill_wait: None,
+        in_flight_limit: 60,
     }
 }
 
@@ -45,15 +48,15 @@
 fn burst_spreads() {
     let mut loads = [reported(3), reported(4), reported(5)];
     for number in 0..81 {
-        let choices: Vec<TargetChoice> = loads.iter().map(|load| choice(*load)).collect();
+        let choices: Vec<TargetCandidate> = loads.iter().map(|load| choice(*load)).collect();
         let start = number % 3;
         let drawn = [start, (start + 1) % 3, (start + 2) % 3];
         let order = drawn.map(|index| choices[index]);
         let index = choose_target(&order, limits(6.0), NOW).expect("room for all");
-        loads[drawn[index]].start();
+        loads[drawn[index]].record_sent();
     }
     for load in loads {
-        let there = load.reported + load.since.unsigned_abs();
+        let there = load.reported + load.sent_since_report.unsigned_abs();
         assert!((29..=32).contains(&there), "{load:?}");
     }
     let choices = loads.map(choice);
@@ -75,9 +78,9 @@
         for request in 0..REQUESTS / 6 {
             let mut order: Vec<usize> = (0..4).collect();
             order.sort_by_key(|index| stable_hash(&(node, request, *index)));
-            let choices: Vec<TargetChoice> = order.iter().map(|at| choice(loads[*at])).collect();
+            let choices: Vec<TargetCandidate> = order.iter().map(|at| choice(loads[*at])).collect();
             let index = choose_target(&choices, limits(6.0), NOW).expect("all have room");
-            loads[order[index]].start();
+            loads[order[index]].record_sent();
             got[order[index]] += 1;
         }
     }
@@ -91,7 +94,7 @@
 fn failing_target_avoided() {
     let mut failing = reported(0);
     for _ in 0..3 {
-        failing.fail(NOW);
+        failing.record_failure(NOW);
     }
     let choices = [choice(failing), choice(reported(15))];
     assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(1));
@@ -104,8 +107,8 @@
 #[test]
 fn recovered_target_taken() {
     let mut recovered = reported(0);
-    recovered.fail(NOW);
-    recovered.fail(NOW);
+    recovered.record_failure(NOW);
+    recovered.record_failure(NOW);
     let choices = [choice(recovered), choice(reported(15))];
     let later = NOW + Duration::from_millis(1100);
     assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(1));
@@ -116,8 +119,8 @@
 #[test]
 fn old_report_ignored() {
     let mut load = TargetLoad::default();
-    load.report(30, Duration::ZERO);
-    load.own = 2;
+    load.record_report(30, Duration::ZERO);
+    load.in_flight = 2;
     assert!((load.estimate(NOW, 6) - 12.0).abs() < 1e-9);
 }
 
@@ -125,10 +128,10 @@
 /// them, and their callers would lose answers.
 #[test]
 fn connection_part_kept() {
-    let narrow = TargetChoice {
-        own_limit: 3,
+    let narrow = TargetCandidate {
+        in_flight_limit: 3,
         load: TargetLoad {
-            own: 3,
+            in_flight: 3,
             ..reported(3)
         },
         ..choice(reported(3))
--- a/crates/serving/tests/unread_prompts.rs
+++ b/crates/serving/tests/unread_prompts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cases::properties;
-use serving::choose::TargetChoice;
+use serving::choose::TargetCandidate;
 use serving::rank::stable_hash;
 use serving::{ChoiceLimits, TargetLoad, UnreadPrompts, choose_target};
 
@@ -39,17 +39,17 @@
     tokens
 }
 
-fn choice(unread: Option<Duration>) -> TargetChoice {
-    TargetChoice {
+fn choice(unread: Option<Duration>) -> TargetCandidate {
+    TargetCandidate {
         load: TargetLoad::default(),
         slots: 26,
-        unread,
-        own_limit: 60,
+        prefill_wait: unread,
+        in_flight_limit: 60,
     }
 }
 
 const LIMITS: ChoiceLimits = ChoiceLimits {
-    queue: 4.0,
+    queue_limit: 4.0,
     nodes: NODES,
 };
 
@@ -64,7 +64,8 @@
         let mut order: Vec<usize> = (0..HEADS).collect();
         order.sort_by_key(|head| stable_hash(&(number, *head)));
         let waits = order.iter().map(|head| heads[*head].wait(now, READ_RATE));
-        let choices: Vec<TargetChoice> = waits.map(|wait| choice(told.then_some(wait))).collect();
+        let choices: Vec<TargetCandidate> =
+            waits.map(|wait| choice(told.then_some(wait))).collect();
         let chosen = choose_target(&choices, LIMITS, now).expect("room");
         let head = &mut heads[order[chosen]];
         late += u32::from(head.wait(now, READ_RATE) > LATE_WAIT);
