--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -15,7 +15,7 @@
 use policy::admission::CustomerShares;
 use serving::silence::ReplicaPulse;
 use serving::{
-    GatewayConfig, PoisonDetector, RetryBudget, StopPlan, TargetLoad, TargetRegistry, UnreadPrompts,
+    GatewayConfig, PoisonDetector, PromptBacklog, RetryBudget, StopPlan, TargetLoad, TargetRegistry,
 };
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
@@ -66,7 +66,7 @@
     /// Hosts by the marks that stand for them in hints.
     marks: RefCell<FastMap<HostHash, HostId>>,
     /// Prompts that wait at the heads of replicas, of this node and of those that told it.
-    unread: RefCell<FastMap<HostId, UnreadPrompts>>,
+    unread: RefCell<FastMap<HostId, PromptBacklog>>,
     pulses: RefCell<FastMap<HostId, ReplicaPulse>>,
     signals: RefCell<FastMap<HostId, Rc<LossSignal>>>,
     suspects: RefCell<FastMap<HostId, LossSuspicion>>,
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod pace;
 pub mod plan;
 pub mod poison;
+pub mod prompt_backlog;
 pub mod rank;
 pub mod registry;
 pub mod retry_budget;
@@ -15,12 +16,12 @@
 pub mod silence;
 pub mod stop;
 pub mod target;
-pub mod unread;
 
 pub use choose::{ChoiceLimits, TargetLoad, choose_target};
 pub use events::EventSplitter;
 pub use pace::ReplicaPace;
 pub use poison::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint, TargetCrash};
+pub use prompt_backlog::PromptBacklog;
 pub use registry::{ReplicaView, TargetRegistry};
 pub use retry_budget::RetryBudget;
 pub use route::{
@@ -28,4 +29,3 @@
 };
 pub use stop::StopPlan;
 pub use target::{MemberState, ReplicaMembership, TargetEntry, TargetState};
-pub use unread::UnreadPrompts;
--- a/crates/serving/src/unread.rs
+++ b/crates/serving/src/prompt_backlog.rs
@@ -16,21 +16,21 @@
 /// They run out at the rate at which the replica reads, so nobody has to say when a prompt is done,
 /// and a message that is lost or counted twice is forgotten as soon as the tokens would be read.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct UnreadPrompts {
+pub struct PromptBacklog {
     tokens: f64,
     at: Duration,
 }
 
-impl UnreadPrompts {
+impl PromptBacklog {
     /// Notes a prompt that was sent; `rate` is what the replica reads, in tokens a second.
     pub fn add(&mut self, tokens: u32, now: Duration, rate: f64) {
-        self.tokens = self.tokens_left(now, rate) + f64::from(tokens);
+        self.tokens = self.remaining_tokens(now, rate) + f64::from(tokens);
         self.at = now;
     }
 
     /// Tokens that are left.
     #[must_use]
-    pub fn tokens_left(&self, now: Duration, rate: f64) -> f64 {
+    pub fn remaining_tokens(&self, now: Duration, rate: f64) -> f64 {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         (self.tokens - passed * rate * READING_PART).max(0.0)
     }
@@ -41,7 +41,7 @@
         if rate <= 0.0 {
             return Duration::ZERO;
         }
-        let seconds = self.tokens_left(now, rate) / (rate * READING_PART);
+        let seconds = self.remaining_tokens(now, rate) / (rate * READING_PART);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
--- a/crates/serving/tests/unread_prompts.rs
+++ b/crates/serving/tests/prompt_backlog.rs
@@ -10,7 +10,7 @@
 use cases::properties;
 use serving::choose::TargetCandidate;
 use serving::rank::stable_hash;
-use serving::{ChoiceLimits, TargetLoad, UnreadPrompts, choose_target};
+use serving::{ChoiceLimits, PromptBacklog, TargetLoad, choose_target};
 
 const HEADS: usize = 6;
 const NODES: usize = 8;
@@ -56,7 +56,7 @@
 /// Part of the prompts that find too much unread at their head, where nodes are told of each other's
 /// prompts, and where they go by chance.
 fn late_part(told: bool) -> f64 {
-    let mut heads = [UnreadPrompts::default(); HEADS];
+    let mut heads = [PromptBacklog::default(); HEADS];
     let mut now = Duration::ZERO;
     let mut late = 0_u32;
     for number in 0..PROMPTS {
@@ -98,12 +98,12 @@
 properties! {
     /// What is unread only shrinks while nothing comes, and is gone once it would be read.
     fn unread_runs_out(tokens: u32, first_ms: u16, second_ms: u16) -> bool {
-        let mut unread = UnreadPrompts::default();
+        let mut unread = PromptBacklog::default();
         unread.add(tokens, Duration::ZERO, READ_RATE);
         let first = Duration::from_millis(u64::from(first_ms));
         let second = first + Duration::from_millis(u64::from(second_ms));
-        let shrinks = unread.tokens_left(second, READ_RATE) <= unread.tokens_left(first, READ_RATE);
+        let shrinks = unread.remaining_tokens(second, READ_RATE) <= unread.remaining_tokens(first, READ_RATE);
         let end = unread.wait(Duration::ZERO, READ_RATE) + Duration::from_millis(1);
-        shrinks && unread.tokens_left(end, READ_RATE) == 0.0
+        shrinks && unread.remaining_tokens(end, READ_RATE) == 0.0
     }
 }
