--- a/crates/gateway/src/care/staging.rs
+++ b/crates/gateway/src/care/staging.rs
@@ -44,7 +44,7 @@
     pub(super) fn staging_time(&self, model: &ModelName) -> Duration {
         let load = self.node.config().and_then(|config| {
             let mut services = config.services.values();
-            services.find_map(|service| service.model(model).map(|model| model.load))
+            services.find_map(|service| service.model(model).map(|model| model.load_time))
         });
         let load = load.unwrap_or_default();
         let load = if self.node.is_lead_time() {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -10,7 +10,7 @@
 use serving::choose::{NoTarget, TargetCandidate, choose_target};
 use serving::rank::stable_hash;
 use serving::{
-    ChoiceLimits, GatewayConfig, ReplicaPace, RequestFingerprint, RouteKind, ServiceShape,
+    ChoiceLimits, GatewayConfig, ReplicaTiming, RequestFingerprint, RouteKind, ServiceShape,
     TargetEntry,
 };
 use sha2::{Digest, Sha256};
@@ -140,22 +140,22 @@
         patience: Duration,
     ) -> f64 {
         let pace = self.replica_pace(service);
-        let places = pace.and_then(|pace| pace.queue_places(patience));
+        let places = pace.and_then(|pace| pace.queue_capacity(patience));
         // Without a step model, and at a plain service, a short queue empties in time.
         places.unwrap_or(f64::from(slots) * PLAIN_QUEUE) * class.queue_fraction()
     }
 
     /// Times of a replica of its model; nothing for a plain service.
-    fn replica_pace(&self, service: &ServiceShape) -> Option<ReplicaPace> {
+    fn replica_pace(&self, service: &ServiceShape) -> Option<ReplicaTiming> {
         let model = service.model(self.model.as_ref()?)?;
-        Some(service.pace_of(model))
+        Some(service.timing_of(model))
     }
 
     /// Prompt tokens that a replica of its model reads a second; 0 for a plain service.
     #[must_use]
     pub fn read_rate(&self, service: &ServiceShape) -> f64 {
         self.replica_pace(service)
-            .map_or(0.0, |pace| pace.read_rate)
+            .map_or(0.0, |pace| pace.prefill_rate)
     }
 
     /// What it is among those that compete with it. One that goes on elsewhere was let in before,
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -61,7 +61,7 @@
         let rate = self.config().and_then(|config| {
             let service = config.services.get(&service)?;
             let model = service.model(&model)?;
-            Some(service.pace_of(model).read_rate)
+            Some(service.timing_of(model).prefill_rate)
         });
         self.note_prompt(&head, tokens, rate.unwrap_or(0.0));
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -5,7 +5,6 @@
 
 pub mod choose;
 pub mod events;
-pub mod pace;
 pub mod plan;
 pub mod poison;
 pub mod prompt_backlog;
@@ -16,10 +15,10 @@
 pub mod silence;
 pub mod stop;
 pub mod target;
+pub mod timing;
 
 pub use choose::{ChoiceLimits, TargetLoad, choose_target};
 pub use events::EventSplitter;
-pub use pace::ReplicaPace;
 pub use poison::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint, TargetCrash};
 pub use prompt_backlog::PromptBacklog;
 pub use registry::{ReplicaView, TargetRegistry};
@@ -29,3 +28,4 @@
 };
 pub use stop::StopPlan;
 pub use target::{MemberState, ReplicaMembership, TargetEntry, TargetState};
+pub use timing::ReplicaTiming;
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -92,7 +92,7 @@
         let have = tally.standing(&model.name);
         let lacks = tally.is_lacking(model) && spares[index] < model.size;
         let need = if lacks {
-            let missing = to_f64(model.size - spares[index]) * model.load.as_secs_f64();
+            let missing = to_f64(model.size - spares[index]) * model.load_time.as_secs_f64();
             // One replica more, so that a model of which nothing stands is still compared by time.
             1.0 / (missing.max(1.0) * situation.cover(model, 1).hosts_per_share())
         } else {
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::pace::ReplicaPace;
+use crate::timing::ReplicaTiming;
 
 use domain::{ConfigRevision, CustomerId, FastMap, ModelName, ServiceName};
 
@@ -90,9 +90,9 @@
     /// Expected part of the hosts that the model needs, between 0 and 1.
     pub share: f64,
     /// Factor on all of its times.
-    pub pace: f64,
+    pub time_factor: f64,
     /// Time to load its weights from the weight store.
-    pub load: Duration,
+    pub load_time: Duration,
 }
 
 /// A service.
@@ -107,7 +107,7 @@
     /// Requests that a replica runs at once; 0 for a plain service.
     pub slots: u32,
     /// Times of a full replica of a model whose pace is 1.
-    pub pace: ReplicaPace,
+    pub timing: ReplicaTiming,
     /// Weight loads that may start a second.
     pub loads_per_second: f64,
     /// Ranks of the requests that may come, the most urgent first; see
@@ -124,8 +124,8 @@
 
     /// Times of a full replica of a model.
     #[must_use]
-    pub fn pace_of(&self, model: &ModelShape) -> ReplicaPace {
-        self.pace.scaled(model.pace)
+    pub fn timing_of(&self, model: &ModelShape) -> ReplicaTiming {
+        self.timing.scaled(model.time_factor)
     }
 
     /// How many ranks in use go before one.
--- a/crates/serving/src/pace.rs
+++ b/crates/serving/src/timing.rs
@@ -4,32 +4,32 @@
 
 /// Part of a request's target latency that waiting may use up. The rest is for what the node does
 /// not know: sends of other nodes since the last report, and the way to the target and back.
-pub const WAIT_PART: f64 = 0.8;
+pub const MAX_WAIT_FRACTION: f64 = 0.8;
 
 /// Times of a full replica, from the step model that its service publishes. All zero for a service
 /// that publishes none.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ReplicaPace {
+pub struct ReplicaTiming {
     /// Time between two requests that it ends: the reading of one, and its even part of the writing.
-    pub queue_step: Duration,
+    pub completion_interval: Duration,
     /// Time of one pass over all its requests, without reading.
-    pub pass: Duration,
+    pub decode_pass: Duration,
     /// Time for reading one usual prompt.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Prompt tokens that it reads a second.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
 }
 
-impl ReplicaPace {
+impl ReplicaTiming {
     /// The same for a model whose times are `factor` times as long.
     #[must_use]
     pub fn scaled(self, factor: f64) -> Self {
         let factor = if factor > 0.0 { factor } else { 1.0 };
         Self {
-            queue_step: self.queue_step.mul_f64(factor),
-            pass: self.pass.mul_f64(factor),
-            reading: self.reading.mul_f64(factor),
-            read_rate: self.read_rate / factor,
+            completion_interval: self.completion_interval.mul_f64(factor),
+            decode_pass: self.decode_pass.mul_f64(factor),
+            prefill: self.prefill.mul_f64(factor),
+            prefill_rate: self.prefill_rate / factor,
         }
     }
 
@@ -43,12 +43,12 @@
     ///
     /// The prompt is the usual one, not the request's own: else the largest would be refused first.
     #[must_use]
-    pub fn queue_places(&self, target: Duration) -> Option<f64> {
-        if self.queue_step.is_zero() {
+    pub fn queue_capacity(&self, target: Duration) -> Option<f64> {
+        if self.completion_interval.is_zero() {
             return None;
         }
-        let waits = target.mul_f64(WAIT_PART);
-        let waits = waits.saturating_sub(self.pass + self.reading);
-        Some(waits.as_secs_f64() / self.queue_step.as_secs_f64())
+        let waits = target.mul_f64(MAX_WAIT_FRACTION);
+        let waits = waits.saturating_sub(self.decode_pass + self.prefill);
+        Some(waits.as_secs_f64() / self.completion_interval.as_secs_f64())
     }
 }
--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -13,8 +13,8 @@
         name: name.parse().expect("a model"),
         size,
         share,
-        pace: 1.0,
-        load: Duration::from_secs(16),
+        time_factor: 1.0,
+        load_time: Duration::from_secs(16),
     }
 }
 
--- a/crates/serving/tests/queue_places.rs
+++ b/crates/serving/tests/queue_capacity.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use cases::properties;
-use serving::ReplicaPace;
+use serving::ReplicaTiming;
 
 /// A replica of 26 places: 7 ms a step, seven steps a pass, prompts of 1,115 tokens.
-fn pace() -> ReplicaPace {
-    ReplicaPace {
-        queue_step: Duration::from_millis(70),
-        pass: Duration::from_millis(50),
-        reading: Duration::from_millis(22),
-        read_rate: 50_700.0,
+fn pace() -> ReplicaTiming {
+    ReplicaTiming {
+        completion_interval: Duration::from_millis(70),
+        decode_pass: Duration::from_millis(50),
+        prefill: Duration::from_millis(22),
+        prefill_rate: 50_700.0,
     }
 }
 
@@ -21,8 +21,8 @@
 #[test]
 fn queue_ends_in_time() {
     let target = Duration::from_millis(300);
-    let places = pace().queue_places(target).expect("a step model");
-    let waited = pace().queue_step.mul_f64(places) + pace().pass + pace().reading;
+    let places = pace().queue_capacity(target).expect("a step model");
+    let waited = pace().completion_interval.mul_f64(places) + pace().decode_pass + pace().prefill;
     assert!(waited <= target, "{places} places take {waited:?}");
     assert!(places >= 2.0, "{places}");
 }
@@ -30,7 +30,7 @@
 /// A target that a pass alone uses up: only free places are taken.
 #[test]
 fn short_target_never_waits() {
-    let places = pace().queue_places(Duration::from_millis(60));
+    let places = pace().queue_capacity(Duration::from_millis(60));
     assert_eq!(places, Some(0.0));
 }
 
@@ -38,7 +38,7 @@
 #[test]
 fn no_step_model() {
     assert_eq!(
-        ReplicaPace::default().queue_places(Duration::from_secs(1)),
+        ReplicaTiming::default().queue_capacity(Duration::from_secs(1)),
         None
     );
 }
@@ -48,7 +48,7 @@
     fn places_fit(target_ms: u16, factor: u8) -> bool {
         let pace = pace().scaled(f64::from(factor) / 16.0);
         let target = Duration::from_millis(u64::from(target_ms));
-        let places = pace.queue_places(target).unwrap_or(0.0);
-        places == 0.0 || pace.queue_step.mul_f64(places) + pace.pass + pace.reading <= target
+        let places = pace.queue_capacity(target).unwrap_or(0.0);
+        places == 0.0 || pace.completion_interval.mul_f64(places) + pace.decode_pass + pace.prefill <= target
     }
 }
