--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -8,7 +8,7 @@
 use domain::HostId;
 use events::{EventCode, EventLine};
 use serving::plan::CLOSING_PATIENCE;
-use serving::silence::ReplicaPulse;
+use serving::stall::StallDetector;
 use serving::{ReplicaView, TargetState};
 use tokio::sync::Notify;
 use web::LinkError;
@@ -157,8 +157,10 @@
         let head = self.head_of_member(id)?;
         let now = self.now();
         let pulses = self.pulses.borrow();
-        let pulse = pulses.get(&head).filter(|pulse| pulse.is_moving(now))?;
-        Some(pulse.silence(now))
+        let pulse = pulses
+            .get(&head)
+            .filter(|pulse| pulse.is_progressing(now))?;
+        Some(pulse.stalled_for(now))
     }
 
     /// Whether a target that does not answer this node stands in a replica that began answers of
@@ -274,7 +276,7 @@
     }
 
     /// Changes a replica's pulse.
-    pub fn with_pulse<R>(&self, head: &HostId, change: impl FnOnce(&mut ReplicaPulse) -> R) -> R {
+    pub fn with_pulse<R>(&self, head: &HostId, change: impl FnOnce(&mut StallDetector) -> R) -> R {
         change(self.pulses.borrow_mut().entry(head.clone()).or_default())
     }
 
@@ -284,7 +286,7 @@
         let now = self.now();
         let mut silent = Vec::new();
         for (head, pulse) in self.pulses.borrow_mut().iter_mut() {
-            if pulse.should_ask(now) {
+            if pulse.should_probe(now) {
                 silent.push(head.clone());
             }
         }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -13,7 +13,7 @@
 use domain::{FastMap, FastSet, HostId, ReplicaId, RowVersion, ServiceName};
 use events::{EventCode, EventLine, LineSink};
 use policy::admission::CustomerShares;
-use serving::silence::ReplicaPulse;
+use serving::stall::StallDetector;
 use serving::{
     GatewayConfig, PoisonDetector, PromptBacklog, RetryBudget, StopPlan, TargetLoad, TargetRegistry,
 };
@@ -67,7 +67,7 @@
     marks: RefCell<FastMap<HostHash, HostId>>,
     /// Prompts that wait at the heads of replicas, of this node and of those that told it.
     unread: RefCell<FastMap<HostId, PromptBacklog>>,
-    pulses: RefCell<FastMap<HostId, ReplicaPulse>>,
+    pulses: RefCell<FastMap<HostId, StallDetector>>,
     signals: RefCell<FastMap<HostId, Rc<LossSignal>>>,
     suspects: RefCell<FastMap<HostId, LossSuspicion>>,
     /// Targets that are being asked whether they live.
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -41,7 +41,7 @@
         let is_head = target.membership.is_some();
         node.with_load(&target.id, serving::TargetLoad::record_sent);
         if is_head {
-            node.with_pulse(&target.id, |pulse| pulse.start(now));
+            node.with_pulse(&target.id, |pulse| pulse.request_started(now));
             note_sent_prompt(node, request, &target.id);
         }
         Self {
@@ -57,7 +57,8 @@
     pub fn moved(&self) {
         let now = self.node.now();
         if self.is_head {
-            self.node.with_pulse(&self.host, |pulse| pulse.moved(now));
+            self.node
+                .with_pulse(&self.host, |pulse| pulse.record_progress(now));
         }
     }
 }
@@ -72,7 +73,7 @@
         }
         if self.is_head {
             self.node
-                .with_pulse(&self.host, serving::silence::ReplicaPulse::end);
+                .with_pulse(&self.host, serving::stall::StallDetector::request_ended);
         }
     }
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod registry;
 pub mod retry_budget;
 pub mod route;
-pub mod silence;
+pub mod stall;
 pub mod stop;
 pub mod target;
 pub mod timing;
--- a/crates/serving/src/silence.rs
+++ b/crates/serving/src/stall.rs
@@ -7,27 +7,27 @@
 /// A pass of a full replica that also reads prompts takes up to a quarter of a second; a head
 /// whose member is gone moves nothing for seconds and goes on accepting. Twice the longest pass
 /// separates the two.
-pub const SILENCE_LIMIT: Duration = Duration::from_millis(450);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Time after the last movement in which a replica counts as moving: a long pass. What does not
 /// answer meanwhile is out of this node's reach and not gone.
-pub const MOVING_TIME: Duration = Duration::from_millis(300);
+pub const PROGRESS_WINDOW: Duration = Duration::from_millis(300);
 
 /// Pause between two rounds of questions while the silence lasts.
-pub const ASK_PAUSE: Duration = Duration::from_millis(500);
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// When something last moved on one replica, as one node sees it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ReplicaPulse {
+pub struct StallDetector {
     running: u32,
     moved: Duration,
     asked: Option<Duration>,
 }
 
-impl ReplicaPulse {
+impl StallDetector {
     /// A request was sent. The first one after an idle time starts the clock: nothing could have
     /// moved before.
-    pub fn start(&mut self, now: Duration) {
+    pub fn request_started(&mut self, now: Duration) {
         if self.running == 0 {
             self.moved = now;
         }
@@ -35,18 +35,18 @@
     }
 
     /// A request ended.
-    pub fn end(&mut self) {
+    pub fn request_ended(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Bytes of an answer came.
-    pub fn moved(&mut self, now: Duration) {
+    pub fn record_progress(&mut self, now: Duration) {
         self.moved = now;
     }
 
     /// How long nothing has moved, while requests run.
     #[must_use]
-    pub fn silence(&self, now: Duration) -> Duration {
+    pub fn stalled_for(&self, now: Duration) -> Duration {
         if self.running == 0 {
             return Duration::ZERO;
         }
@@ -55,17 +55,17 @@
 
     /// Whether something moved until just now.
     #[must_use]
-    pub fn is_moving(&self, now: Duration) -> bool {
-        self.running > 0 && self.silence(now) < MOVING_TIME
+    pub fn is_progressing(&self, now: Duration) -> bool {
+        self.running > 0 && self.stalled_for(now) < PROGRESS_WINDOW
     }
 
     /// Whether the members should be asked now; true once a pause.
-    pub fn should_ask(&mut self, now: Duration) -> bool {
-        if self.silence(now) < SILENCE_LIMIT {
+    pub fn should_probe(&mut self, now: Duration) -> bool {
+        if self.stalled_for(now) < STALL_TIMEOUT {
             self.asked = None;
             return false;
         }
-        if self.asked.is_some_and(|asked| now < asked + ASK_PAUSE) {
+        if self.asked.is_some_and(|asked| now < asked + PROBE_INTERVAL) {
             return false;
         }
         self.asked = Some(now);
