--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -80,7 +80,7 @@
         }
     };
     let stop = node.stop_plan();
-    if stop.is_some_and(|stop| !stop.serves(forward.arrived, forward.deadline)) {
+    if stop.is_some_and(|stop| !stop.accepts(forward.arrived, forward.deadline)) {
         let answer = OwnAnswer::NotRun(STOPPING_WAIT);
         return own(node, &facts, Some(&forward), answer, "the node stops").map(Either::Left);
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -15,7 +15,8 @@
 use policy::admission::CustomerShares;
 use serving::stall::StallDetector;
 use serving::{
-    GatewayConfig, PoisonDetector, PromptBacklog, RetryBudget, StopPlan, TargetLoad, TargetRegistry,
+    GatewayConfig, PoisonDetector, PromptBacklog, RetryBudget, ShutdownPlan, TargetLoad,
+    TargetRegistry,
 };
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
@@ -87,7 +88,7 @@
     shares: RefCell<FastMap<ServiceName, CustomerShares>>,
     nodes: RefCell<Vec<String>>,
     nodes_counted: Cell<u64>,
-    stopping: Cell<Option<StopPlan>>,
+    stopping: Cell<Option<ShutdownPlan>>,
     /// Closed when callers' connections are taken no more.
     accepting: Semaphore,
     running: Cell<usize>,
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -5,7 +5,7 @@
 use domain::ServiceName;
 use events::metrics::MetricsError;
 use policy::admission::CustomerShares;
-use serving::{MemberState, StopPlan};
+use serving::{MemberState, ShutdownPlan};
 
 use super::GatewayNode;
 use crate::forward::ForwardRequest;
@@ -56,7 +56,7 @@
 
     /// The course of the stop, once it has begun.
     #[must_use]
-    pub fn stop_plan(&self) -> Option<StopPlan> {
+    pub fn stop_plan(&self) -> Option<ShutdownPlan> {
         self.stopping.get()
     }
 
@@ -152,8 +152,8 @@
     }
 
     /// Begins to stop.
-    pub fn stop(&self) -> StopPlan {
-        let plan = StopPlan::new(self.now(), self.settings.bounds.stop_grace());
+    pub fn stop(&self) -> ShutdownPlan {
+        let plan = ShutdownPlan::new(self.now(), self.settings.bounds.stop_grace());
         self.stopping.set(Some(plan));
         plan
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -6,7 +6,7 @@
 
 use events::{EventCode, EventLevel, EventLine, LineSink};
 use http::StatusCode;
-use serving::StopPlan;
+use serving::ShutdownPlan;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -153,7 +153,7 @@
     tokio::time::sleep(LAST_LINES).await;
 }
 
-async fn wait_until_over(node: &GatewayNode, plan: StopPlan) {
+async fn wait_until_over(node: &GatewayNode, plan: ShutdownPlan) {
     loop {
         let idle = node.running() == 0 && node.connections() == 0;
         if plan.is_over(node.now(), idle) {
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -12,8 +12,8 @@
 pub mod registry;
 pub mod retry_budget;
 pub mod route;
+pub mod shutdown;
 pub mod stall;
-pub mod stop;
 pub mod target;
 pub mod timing;
 
@@ -26,6 +26,6 @@
 pub use route::{
     CallerRoute, CustomerKey, GatewayConfig, ModelShape, RequestLimits, RouteKind, ServiceShape,
 };
-pub use stop::StopPlan;
+pub use shutdown::ShutdownPlan;
 pub use target::{MemberState, ReplicaMembership, TargetEntry, TargetState};
 pub use timing::ReplicaTiming;
--- a/crates/serving/src/stop.rs
+++ b/crates/serving/src/shutdown.rs
@@ -15,12 +15,12 @@
 
 /// The course of one stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StopPlan {
+pub struct ShutdownPlan {
     began: Duration,
     grace: Duration,
 }
 
-impl StopPlan {
+impl ShutdownPlan {
     /// A stop that began with a signal, with the time from it to the kill.
     #[must_use]
     pub fn new(began: Duration, grace: Duration) -> Self {
@@ -47,7 +47,7 @@
     /// been served by another node, has lost the seconds that it waited. So once the balancer has
     /// had its time, only what is over in time for certain is taken.
     #[must_use]
-    pub fn serves(&self, now: Duration, deadline: Duration) -> bool {
+    pub fn accepts(&self, now: Duration, deadline: Duration) -> bool {
         !self.closes_connections(now) || deadline <= self.end()
     }
 
--- a/crates/serving/tests/planned_stop.rs
+++ b/crates/serving/tests/shutdown_plan.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use cases::properties;
-use serving::StopPlan;
+use serving::ShutdownPlan;
 
 const GRACE: Duration = Duration::from_secs(8);
 
-fn plan() -> StopPlan {
-    StopPlan::new(Duration::from_secs(100), GRACE)
+fn plan() -> ShutdownPlan {
+    ShutdownPlan::new(Duration::from_secs(100), GRACE)
 }
 
 /// Nodes of one failure domain are stopped one after the other, so the balancer goes on sending
@@ -17,16 +17,16 @@
 #[test]
 fn late_stream_refused() {
     let now = Duration::from_secs(106);
-    assert!(!plan().serves(now, now + Duration::from_secs(8)));
+    assert!(!plan().accepts(now, now + Duration::from_secs(8)));
     // A call of a plain service that is over in time is still served.
-    assert!(plan().serves(now, now + Duration::from_millis(800)));
+    assert!(plan().accepts(now, now + Duration::from_millis(800)));
 }
 
 /// The balancer sends callers for two seconds after the signal. They are served as before.
 #[test]
 fn early_stream_served() {
     let now = Duration::from_secs(102);
-    assert!(plan().serves(now, now + Duration::from_secs(8)));
+    assert!(plan().accepts(now, now + Duration::from_secs(8)));
     assert!(!plan().closes_connections(now));
 }
 
@@ -42,9 +42,9 @@
     /// Whatever is taken after the balancer's time is over before the process ends.
     fn nothing_late_cut(after_ms: u16, limit_ms: u16, grace_s: u8) -> bool {
         let began = Duration::from_secs(5);
-        let plan = StopPlan::new(began, Duration::from_secs(u64::from(grace_s)));
+        let plan = ShutdownPlan::new(began, Duration::from_secs(u64::from(grace_s)));
         let now = began + Duration::from_millis(u64::from(after_ms));
         let deadline = now + Duration::from_millis(u64::from(limit_ms));
-        !plan.closes_connections(now) || !plan.serves(now, deadline) || deadline <= plan.end()
+        !plan.closes_connections(now) || !plan.accepts(now, deadline) || deadline <= plan.end()
     }
 }
