--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -8,7 +8,7 @@
 use http::{Request, header};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use serving::{CallerRoute, GatewayConfig};
 
 use crate::answer::OwnAnswer;
--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -13,11 +13,11 @@
 
 use domain::{ConfigRevision, FabricId, FastMap, HostId, ModelName};
 use events::{EventCode, EventLine};
+use serving::hashing::stable_hash;
 use serving::plan::{
     FabricCensus, FabricLayout, FabricRoom, FabricSituation, HostSituation, HostStay, PlanStep,
     plan_fabric,
 };
-use serving::rank::stable_hash;
 use serving::{ServiceShape, TargetEntry, TargetState};
 
 use crate::node::GatewayNode;
--- a/crates/gateway/src/care/turns.rs
+++ b/crates/gateway/src/care/turns.rs
@@ -10,8 +10,8 @@
 
 use domain::{ConfigRevision, FabricId, FastMap, ServiceName};
 use serving::ServiceShape;
+use serving::hashing::{rendezvous_rank, stable_hash};
 use serving::plan::{FabricLayout, FabricRoom, PlanStep, lay_out};
-use serving::rank::{rendezvous_rank, stable_hash};
 
 use super::ReplicaCare;
 use crate::node::GatewayNode;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, Method, Uri};
 use policy::admission::AdmissionClass;
 use serving::choose::{NoTarget, TargetCandidate, choose_target};
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use serving::{
     ChoiceLimits, GatewayConfig, ReplicaTiming, RequestFingerprint, RouteKind, ServiceShape,
     TargetEntry,
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -17,7 +17,7 @@
 
 use domain::HostId;
 use serde::{Deserialize, Serialize};
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use tokio::net::UdpSocket;
 
 use crate::node::GatewayNode;
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub mod choose;
 pub mod events;
+pub mod hashing;
 pub mod plan;
 pub mod poison;
 pub mod prompt_backlog;
-pub mod rank;
 pub mod registry;
 pub mod retry_budget;
 pub mod route;
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -5,7 +5,7 @@
 use super::situation::{FabricSituation, HostSituation};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
-use crate::rank::stable_hash;
+use crate::hashing::stable_hash;
 use crate::route::ModelShape;
 
 /// Beginning of the names of one-host groups that only hold a spare's weights in memory.
--- a/crates/serving/tests/choose_target.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serving::choose::{NoTarget, TargetCandidate};
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use serving::{ChoiceLimits, TargetLoad, choose_target};
 
 const NOW: Duration = Duration::from_secs(10);
--- a/crates/serving/tests/prompt_backlog.rs
+++ b/crates/serving/tests/prompt_backlog.rs
@@ -9,7 +9,7 @@
 
 use cases::properties;
 use serving::choose::TargetCandidate;
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use serving::{ChoiceLimits, PromptBacklog, TargetLoad, choose_target};
 
 const HEADS: usize = 6;
--- a/crates/serving/tests/turn_order.rs
+++ b/crates/serving/tests/rendezvous_rank.rs
@@ -1,6 +1,6 @@
 //! Which node acts first for a fabric domain.
 
-use serving::rank::rendezvous_rank;
+use serving::hashing::rendezvous_rank;
 
 const NODES: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
 
--- a/crates/serving/tests/route_choice.rs
+++ b/crates/serving/tests/route_choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use domain::{ConfigRevision, FastMap};
-use serving::rank::stable_hash;
+use serving::hashing::stable_hash;
 use serving::{CallerRoute, GatewayConfig, RequestLimits, RouteKind};
 
 fn route(prefix: &str, services: &[(&str, u32)]) -> CallerRoute {
