--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use serving::hashing::stable_hash;
-use serving::{CallerRoute, GatewayConfig};
+use serving::{GatewayConfig, Route};
 
 use crate::answer::OwnAnswer;
 use crate::forward::ForwardRequest;
@@ -82,7 +82,7 @@
 
 fn find_key(
     config: &GatewayConfig,
-    route: &CallerRoute,
+    route: &Route,
     facts: &RequestHeaders,
 ) -> Result<Option<KnownCaller>, Refusal> {
     let Some(keys) = &config.keys else {
--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -18,7 +18,7 @@
     FabricCensus, FabricLayout, FabricRoom, FabricSituation, HostSituation, HostStay, PlanStep,
     plan_fabric,
 };
-use serving::{ServiceShape, TargetEntry, TargetState};
+use serving::{ServiceConfig, TargetEntry, TargetState};
 
 use crate::node::GatewayNode;
 use crate::orders::OrderDesk;
@@ -123,7 +123,7 @@
         self.take_turns(steps);
     }
 
-    fn layout(&self, service: &ServiceShape, revision: ConfigRevision) -> Rc<FabricLayout> {
+    fn layout(&self, service: &ServiceConfig, revision: ConfigRevision) -> Rc<FabricLayout> {
         let mut rooms: BTreeMap<FabricId, FabricRoom> = BTreeMap::new();
         self.node.registry(|registry| {
             for entry in registry.targets() {
@@ -147,7 +147,7 @@
 
     fn plan_service(
         self: &Rc<Self>,
-        service: &ServiceShape,
+        service: &ServiceConfig,
         layout: &FabricLayout,
         far: bool,
         steps: &mut Vec<(FabricId, PlanStep)>,
@@ -210,7 +210,11 @@
     }
 
     /// The hosts of the fabric domains that this node plans for now.
-    fn fabrics(&self, service: &ServiceShape, far: bool) -> BTreeMap<FabricId, Vec<HostSituation>> {
+    fn fabrics(
+        &self,
+        service: &ServiceConfig,
+        far: bool,
+    ) -> BTreeMap<FabricId, Vec<HostSituation>> {
         let node = &self.node;
         let mut fabrics: BTreeMap<FabricId, Vec<HostSituation>> = BTreeMap::new();
         let mut ranks = self.ranks.borrow_mut();
--- a/crates/gateway/src/care/turns.rs
+++ b/crates/gateway/src/care/turns.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use domain::{ConfigRevision, FabricId, FastMap, ServiceName};
-use serving::ServiceShape;
+use serving::ServiceConfig;
 use serving::hashing::{rendezvous_rank, stable_hash};
 use serving::plan::{FabricLayout, FabricRoom, PlanStep, lay_out};
 
@@ -71,7 +71,7 @@
     /// The layout for what each fabric domain has.
     pub fn layout(
         &mut self,
-        service: &ServiceShape,
+        service: &ServiceConfig,
         revision: ConfigRevision,
         rooms: BTreeMap<FabricId, FabricRoom>,
     ) -> Rc<FabricLayout> {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -10,7 +10,7 @@
 use serving::choose::{NoTarget, TargetCandidate, choose_target};
 use serving::hashing::stable_hash;
 use serving::{
-    ChoiceLimits, GatewayConfig, ReplicaTiming, RequestFingerprint, RouteKind, ServiceShape,
+    ChoiceLimits, GatewayConfig, ReplicaTiming, RequestFingerprint, RouteKind, ServiceConfig,
     TargetEntry,
 };
 use sha2::{Digest, Sha256};
@@ -120,7 +120,7 @@
 const CONNECTION_PART: f64 = 0.75;
 
 /// This node's part of the connections that one target of a service takes, at least two.
-fn connection_part(service: &ServiceShape, nodes: usize) -> u32 {
+fn connection_part(service: &ServiceConfig, nodes: usize) -> u32 {
     let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
     let part = f64::from(service.max_connections) * CONNECTION_PART / nodes;
     // In range: the whole is a u32 and the factor below 1.
@@ -134,7 +134,7 @@
     /// `patience`.
     fn queue_limit(
         &self,
-        service: &ServiceShape,
+        service: &ServiceConfig,
         slots: u32,
         class: AdmissionClass,
         patience: Duration,
@@ -146,14 +146,14 @@
     }
 
     /// Times of a replica of its model; nothing for a plain service.
-    fn replica_pace(&self, service: &ServiceShape) -> Option<ReplicaTiming> {
+    fn replica_pace(&self, service: &ServiceConfig) -> Option<ReplicaTiming> {
         let model = service.model(self.model.as_ref()?)?;
-        Some(service.timing_of(model))
+        Some(service.replica_timing(model))
     }
 
     /// Prompt tokens that a replica of its model reads a second; 0 for a plain service.
     #[must_use]
-    pub fn read_rate(&self, service: &ServiceShape) -> f64 {
+    pub fn read_rate(&self, service: &ServiceConfig) -> f64 {
         self.replica_pace(service)
             .map_or(0.0, |pace| pace.prefill_rate)
     }
@@ -163,14 +163,14 @@
     fn admission_class(
         &self,
         node: &GatewayNode,
-        service: &ServiceShape,
+        service: &ServiceConfig,
         tried: &FastSet<HostId>,
     ) -> AdmissionClass {
         if !tried.is_empty() {
             return AdmissionClass::default();
         }
         AdmissionClass {
-            higher_ranks: service.ranks_before(self.priority),
+            higher_ranks: service.higher_priorities(self.priority),
             over_share: node.is_over_share(self),
         }
     }
@@ -259,7 +259,7 @@
     /// Whether it may be sent again after it may have run.
     #[must_use]
     pub fn may_repeat(&self) -> bool {
-        self.kind.may_repeat()
+        self.kind.allows_retry()
     }
 
     /// What its metrics are filed under.
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -61,7 +61,7 @@
         let rate = self.config().and_then(|config| {
             let service = config.services.get(&service)?;
             let model = service.model(&model)?;
-            Some(service.timing_of(model).prefill_rate)
+            Some(service.replica_timing(model).prefill_rate)
         });
         self.note_prompt(&head, tokens, rate.unwrap_or(0.0));
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -193,7 +193,7 @@
             .as_ref()
             .map_or(Duration::ZERO, |before| idle(before));
         self.idle_limit.set(idle(&config).max(before));
-        *current = Some(Rc::new(config.with_ranks()));
+        *current = Some(Rc::new(config.with_priorities()));
         drop(current);
         self.changed.notify_waiters();
         true
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -6,7 +6,7 @@
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId, RowVersion, ServiceName};
 use events::{EventCode, EventLine};
 use serving::{
-    MemberState, ReplicaMembership, ReplicaView, ServiceShape, TargetEntry, TargetState,
+    MemberState, ReplicaMembership, ReplicaView, ServiceConfig, TargetEntry, TargetState,
 };
 
 use super::GatewayNode;
@@ -186,7 +186,7 @@
 
     /// Heads of replicas that serve a model now.
     #[must_use]
-    pub fn serving_heads(&self, service: &ServiceShape, model: &ModelName) -> Vec<TargetEntry> {
+    pub fn serving_heads(&self, service: &ServiceConfig, model: &ModelName) -> Vec<TargetEntry> {
         let Some(shape) = service.model(model) else {
             return Vec::new();
         };
@@ -211,7 +211,7 @@
 
     /// Replicas of each model of a service that serve, or are about to.
     #[must_use]
-    pub fn standing_replicas(&self, service: &ServiceShape) -> FastMap<ModelName, usize> {
+    pub fn standing_replicas(&self, service: &ServiceConfig) -> FastMap<ModelName, usize> {
         let registry = self.registry.borrow();
         let mut standing = FastMap::default();
         for replica in registry.replicas() {
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -24,7 +24,7 @@
 pub use registry::{ReplicaView, TargetRegistry};
 pub use retry_budget::RetryBudget;
 pub use route::{
-    CallerRoute, CustomerKey, GatewayConfig, ModelShape, RequestLimits, RouteKind, ServiceShape,
+    GatewayConfig, KeyOwner, ModelConfig, RequestLimits, Route, RouteKind, ServiceConfig,
 };
 pub use shutdown::ShutdownPlan;
 pub use target::{MemberState, ReplicaMembership, TargetEntry, TargetState};
--- a/crates/serving/src/plan/cover.rs
+++ b/crates/serving/src/plan/cover.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// Share that counts for a model without one, so that it is not divided by zero.
 const LEAST_SHARE: f64 = 1e-6;
@@ -14,7 +14,7 @@
 
 impl Cover {
     /// The cover of a model with so many replicas.
-    pub fn of(model: &ModelShape, replicas: usize) -> Self {
+    pub fn of(model: &ModelConfig, replicas: usize) -> Self {
         let hosts = u32::try_from(replicas * model.size).unwrap_or(u32::MAX);
         Self(f64::from(hosts) / model.share.max(LEAST_SHARE))
     }
--- a/crates/serving/src/plan/exchange.rs
+++ b/crates/serving/src/plan/exchange.rs
@@ -7,12 +7,12 @@
 use super::spares::is_spare_name;
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// A replica that serves and could be given up.
 pub(super) struct ServingReplica<'a> {
     pub known: KnownReplica<'a>,
-    pub model: &'a ModelShape,
+    pub model: &'a ModelConfig,
 }
 
 impl ServingReplica<'_> {
@@ -74,7 +74,7 @@
 fn coming(
     situation: &FabricSituation<'_>,
     serving: &[ServingReplica<'_>],
-    model: &ModelShape,
+    model: &ModelConfig,
 ) -> usize {
     let members = serving.iter();
     let members = members.flat_map(|replica| replica.known.members.values());
@@ -100,8 +100,8 @@
 /// Replicas of `donor` whose hosts are enough for what is missing, as few as can be.
 fn pick_donors<'a, 'b>(
     serving: &'b [ServingReplica<'a>],
-    donor: &ModelShape,
-    recipient: &ModelShape,
+    donor: &ModelConfig,
+    recipient: &ModelConfig,
     missing: usize,
 ) -> Option<Vec<&'b ServingReplica<'a>>> {
     let own = serving
@@ -126,7 +126,7 @@
 pub(super) fn must_wait(
     situation: &FabricSituation<'_>,
     tally: &ReplicaTally<'_>,
-    model: &ModelShape,
+    model: &ModelConfig,
 ) -> bool {
     let own = tally.cover(model, 0);
     situation.models.iter().any(|other| {
@@ -141,7 +141,7 @@
 fn is_possible(
     situation: &FabricSituation<'_>,
     tally: &ReplicaTally<'_>,
-    model: &ModelShape,
+    model: &ModelConfig,
 ) -> bool {
     let hosts = situation.hosts.iter();
     let fitting = hosts
--- a/crates/serving/src/plan/fabric.rs
+++ b/crates/serving/src/plan/fabric.rs
@@ -10,7 +10,7 @@
 use super::staging::stage_second;
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// What to do in a fabric domain, and what was found there.
 #[derive(Debug, Default)]
@@ -107,7 +107,7 @@
     tally: &ReplicaTally<'_>,
     idle_hosts: usize,
 ) -> FabricCensus {
-    let count = |model: &ModelShape| ModelCensus {
+    let count = |model: &ModelConfig| ModelCensus {
         model: model.name.clone(),
         standing: tally.standing(&model.name),
         wanted: tally.wanted(&model.name),
--- a/crates/serving/src/plan/fate.rs
+++ b/crates/serving/src/plan/fate.rs
@@ -8,7 +8,7 @@
 use super::situation::{FabricSituation, HostSituation, HostStay};
 use super::spares::is_spare_name;
 use super::step::{CloseMode, PlanStep};
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 use crate::target::MemberState;
 
 /// Age of the last change of an incomplete replica after which its formation counts as given up:
@@ -95,8 +95,8 @@
 
 pub(super) fn replica_model<'a>(
     known: &KnownReplica<'_>,
-    models: &'a [ModelShape],
-) -> Option<&'a ModelShape> {
+    models: &'a [ModelConfig],
+) -> Option<&'a ModelConfig> {
     let loaded = known
         .members
         .values()
@@ -106,7 +106,7 @@
 
 pub(super) fn judge(
     known: &KnownReplica<'_>,
-    model: Option<&ModelShape>,
+    model: Option<&ModelConfig>,
     situation: &FabricSituation<'_>,
     steps: &mut Vec<PlanStep>,
 ) -> ReplicaFate {
--- a/crates/serving/src/plan/forming.rs
+++ b/crates/serving/src/plan/forming.rs
@@ -6,7 +6,7 @@
 use super::situation::{FabricSituation, HostSituation};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// Takes out of `free` the hosts that replicas which end will need beside those of their own that
 /// stay.
@@ -15,7 +15,7 @@
 /// would be too few for a successor: with one host that left, a model then lost four, and its
 /// callers were refused.
 pub(super) fn keep_for_successors<'a>(
-    ending: &[(&ModelShape, usize)],
+    ending: &[(&ModelConfig, usize)],
     free: &mut Vec<&'a HostSituation>,
 ) -> Vec<&'a HostSituation> {
     let mut kept: Vec<&HostSituation> = Vec::new();
@@ -56,7 +56,7 @@
     situation: &FabricSituation<'a>,
     tally: &ReplicaTally<'a>,
     free: &mut Vec<&HostSituation>,
-) -> Option<(&'a ModelShape, Vec<HostId>)> {
+) -> Option<(&'a ModelConfig, Vec<HostId>)> {
     for model in tally.by_lack() {
         let Some(reserve) = spares_kept(situation, tally, model) else {
             continue;
@@ -79,7 +79,7 @@
 fn spares_kept(
     situation: &FabricSituation<'_>,
     tally: &ReplicaTally<'_>,
-    model: &ModelShape,
+    model: &ModelConfig,
 ) -> Option<usize> {
     if must_wait(situation, tally, model) {
         return None;
@@ -103,7 +103,7 @@
 
 fn take_members(
     free: &mut Vec<&HostSituation>,
-    model: &ModelShape,
+    model: &ModelConfig,
     reserve: usize,
     may_load: bool,
 ) -> Option<Vec<HostId>> {
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -5,7 +5,7 @@
 use domain::{FabricId, ModelName};
 
 use super::cover::Cover;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// Replicas wanted in each fabric domain, by model.
 pub type FabricLayout = BTreeMap<FabricId, BTreeMap<ModelName, usize>>;
@@ -42,7 +42,7 @@
 /// Small replicas fill the gaps between large ones, never their places: a model gets hosts back from
 /// one that still has as much for its share without them.
 #[must_use]
-pub fn lay_out(rooms: &BTreeMap<FabricId, FabricRoom>, models: &[ModelShape]) -> FabricLayout {
+pub fn lay_out(rooms: &BTreeMap<FabricId, FabricRoom>, models: &[ModelConfig]) -> FabricLayout {
     let mut draft = LayoutDraft::new(rooms, models);
     draft.keep_places();
     while draft.place_next() {}
@@ -72,16 +72,16 @@
 
 /// Domains and models by index, in the order of their names and of the configuration.
 struct LayoutDraft<'a> {
-    models: &'a [ModelShape],
+    models: &'a [ModelConfig],
     rooms: Vec<DomainRoom>,
     /// Replicas placed in all domains, by model.
     placed: Vec<usize>,
 }
 
 impl<'a> LayoutDraft<'a> {
-    fn new(rooms: &BTreeMap<FabricId, FabricRoom>, models: &'a [ModelShape]) -> Self {
+    fn new(rooms: &BTreeMap<FabricId, FabricRoom>, models: &'a [ModelConfig]) -> Self {
         let room = |room: &FabricRoom| {
-            let loaded = |model: &ModelShape| room.loaded.get(&model.name).copied();
+            let loaded = |model: &ModelConfig| room.loaded.get(&model.name).copied();
             DomainRoom {
                 left: room.hosts,
                 loaded: models
@@ -239,7 +239,7 @@
     fn into_layout(
         self,
         rooms: &BTreeMap<FabricId, FabricRoom>,
-        models: &[ModelShape],
+        models: &[ModelConfig],
     ) -> FabricLayout {
         let mut layout = FabricLayout::new();
         for (fabric, room) in rooms.keys().zip(self.rooms) {
--- a/crates/serving/src/plan/situation.rs
+++ b/crates/serving/src/plan/situation.rs
@@ -6,7 +6,7 @@
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId};
 
 use super::cover::Cover;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 use crate::target::{MemberState, ReplicaMembership};
 
 /// Whether a host stays with its replica.
@@ -87,7 +87,7 @@
 #[derive(Debug)]
 pub struct FabricSituation<'a> {
     /// Models.
-    pub models: &'a [ModelShape],
+    pub models: &'a [ModelConfig],
     /// Replicas wanted by model.
     pub wanted: &'a BTreeMap<ModelName, usize>,
     /// Hosts.
@@ -105,13 +105,13 @@
 
 impl FabricSituation<'_> {
     /// The cover of a model in all fabric domains; `formed` replicas are new.
-    pub(super) fn cover(&self, model: &ModelShape, formed: usize) -> Cover {
+    pub(super) fn cover(&self, model: &ModelConfig, formed: usize) -> Cover {
         let standing = self.fleet.get(&model.name).copied().unwrap_or(0);
         Cover::of(model, standing + formed)
     }
 
     /// The cover of a model in all fabric domains when some of its replicas are given up.
-    pub(super) fn cover_without(&self, model: &ModelShape, given: usize) -> Cover {
+    pub(super) fn cover_without(&self, model: &ModelConfig, given: usize) -> Cover {
         let standing = self.fleet.get(&model.name).copied().unwrap_or(0);
         Cover::of(model, standing.saturating_sub(given))
     }
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -6,7 +6,7 @@
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
 use crate::hashing::stable_hash;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// Beginning of the names of one-host groups that only hold a spare's weights in memory.
 pub const SPARE_PREFIX: &str = "spare-";
@@ -71,7 +71,7 @@
     }
 }
 
-fn warm_step(host: &HostSituation, model: &ModelShape) -> PlanStep {
+fn warm_step(host: &HostSituation, model: &ModelConfig) -> PlanStep {
     PlanStep::Warm {
         host: host.id.clone(),
         model: model.name.clone(),
--- a/crates/serving/src/plan/tally.rs
+++ b/crates/serving/src/plan/tally.rs
@@ -4,7 +4,7 @@
 
 use super::cover::Cover;
 use super::situation::FabricSituation;
-use crate::route::ModelShape;
+use crate::route::ModelConfig;
 
 /// Replicas that stand in a fabric domain, with those that the plan forms.
 pub(super) struct ReplicaTally<'a> {
@@ -28,7 +28,7 @@
     /// Counts a replica that serves, forms or ends.
     pub fn stand(
         &mut self,
-        model: Option<&'a ModelShape>,
+        model: Option<&'a ModelConfig>,
         hosts: impl Iterator<Item = &'a HostId>,
     ) {
         let name = model.map(|model| &model.name);
@@ -39,7 +39,7 @@
     }
 
     /// Counts a replica that the plan forms.
-    pub fn form(&mut self, model: &'a ModelShape) {
+    pub fn form(&mut self, model: &'a ModelConfig) {
         *self.standing.entry(&model.name).or_default() += 1;
         *self.formed.entry(&model.name).or_default() += 1;
     }
@@ -64,20 +64,20 @@
     }
 
     /// Whether the domain should have a further replica of a model.
-    pub fn is_lacking(&self, model: &ModelShape) -> bool {
+    pub fn is_lacking(&self, model: &ModelConfig) -> bool {
         self.standing(&model.name) < self.wanted(&model.name)
     }
 
     /// The cover of a model in all fabric domains with `more` replicas than stand and are formed.
-    pub fn cover(&self, model: &ModelShape, more: usize) -> Cover {
+    pub fn cover(&self, model: &ModelConfig, more: usize) -> Cover {
         let formed = self.formed.get(&model.name).copied().unwrap_or(0);
         self.situation.cover(model, formed + more)
     }
 
     /// The models in the order in which they get hosts: what the domain lacks goes first, and of that
     /// what the whole fleet has least of.
-    pub fn by_lack(&self) -> Vec<&'a ModelShape> {
-        let mut models: Vec<&ModelShape> = self.situation.models.iter().collect();
+    pub fn by_lack(&self) -> Vec<&'a ModelConfig> {
+        let mut models: Vec<&ModelConfig> = self.situation.models.iter().collect();
         models.sort_by(|left, right| {
             self.is_lacking(right)
                 .cmp(&self.is_lacking(left))
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -24,7 +24,7 @@
 impl RouteKind {
     /// Whether a request may be sent again after it may have run.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn allows_retry(self) -> bool {
         match self {
             Self::Idempotent => true,
             Self::NonIdempotent => false,
@@ -35,7 +35,7 @@
 
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallerRoute {
+pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
     /// Beginning of the paths it takes; begins and ends with a slash.
@@ -56,7 +56,7 @@
     pub public: bool,
 }
 
-impl CallerRoute {
+impl Route {
     /// The service for a request, by a hash of its id, so that the split holds over all nodes
     /// without a count kept anywhere.
     #[must_use]
@@ -82,7 +82,7 @@
 
 /// How a model is served by replicas.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ModelShape {
+pub struct ModelConfig {
     /// Model.
     pub name: ModelName,
     /// Hosts of one replica.
@@ -97,13 +97,13 @@
 
 /// A service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServiceShape {
+pub struct ServiceConfig {
     /// Name.
     pub name: ServiceName,
     /// Connections that one target takes from all nodes together.
     pub max_connections: u32,
     /// Models with replicas; empty for a plain service.
-    pub models: Vec<ModelShape>,
+    pub models: Vec<ModelConfig>,
     /// Requests that a replica runs at once; 0 for a plain service.
     pub slots: u32,
     /// Times of a full replica of a model whose pace is 1.
@@ -111,27 +111,30 @@
     /// Weight loads that may start a second.
     pub loads_per_second: f64,
     /// Ranks of the requests that may come, the most urgent first; see
-    /// [`GatewayConfig::with_ranks`].
-    pub ranks: Vec<u8>,
+    /// [`GatewayConfig::with_priorities`].
+    pub priorities: Vec<u8>,
 }
 
-impl ServiceShape {
+impl ServiceConfig {
     /// The shape of a model.
     #[must_use]
-    pub fn model(&self, name: &ModelName) -> Option<&ModelShape> {
+    pub fn model(&self, name: &ModelName) -> Option<&ModelConfig> {
         self.models.iter().find(|model| model.name == *name)
     }
 
     /// Times of a full replica of a model.
     #[must_use]
-    pub fn timing_of(&self, model: &ModelShape) -> ReplicaTiming {
+    pub fn replica_timing(&self, model: &ModelConfig) -> ReplicaTiming {
         self.timing.scaled(model.time_factor)
     }
 
     /// How many ranks in use go before one.
     #[must_use]
-    pub fn ranks_before(&self, rank: u8) -> usize {
-        self.ranks.iter().filter(|other| **other < rank).count()
+    pub fn higher_priorities(&self, rank: u8) -> usize {
+        self.priorities
+            .iter()
+            .filter(|other| **other < rank)
+            .count()
     }
 }
 
@@ -150,7 +153,7 @@
 
 /// Whose key it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CustomerKey {
+pub struct KeyOwner {
     /// The customer.
     pub customer: CustomerId,
     /// The customer's rank, which goes before the route's.
@@ -163,11 +166,11 @@
     /// Version; only grows within a process.
     pub revision: ConfigRevision,
     /// Routes by host name, the longest prefix first.
-    pub routes: FastMap<String, Vec<CallerRoute>>,
+    pub routes: FastMap<String, Vec<Route>>,
     /// Services by name.
-    pub services: FastMap<ServiceName, ServiceShape>,
+    pub services: FastMap<ServiceName, ServiceConfig>,
     /// Keys, if requests need one.
-    pub keys: Option<FastMap<String, CustomerKey>>,
+    pub keys: Option<FastMap<String, KeyOwner>>,
     /// Limits of requests.
     pub limits: RequestLimits,
 }
@@ -176,10 +179,10 @@
     /// The same configuration, with the ranks in use noted at each service: those of the routes
     /// to it, and those of customers, whose requests may come on any route.
     #[must_use]
-    pub fn with_ranks(mut self) -> Self {
+    pub fn with_priorities(mut self) -> Self {
         let keys = self.keys.iter().flat_map(FastMap::values);
         let customers: BTreeSet<u8> = keys.filter_map(|key| key.priority).collect();
-        let routes: Vec<&CallerRoute> = self.routes.values().flatten().collect();
+        let routes: Vec<&Route> = self.routes.values().flatten().collect();
         for service in self.services.values_mut() {
             let mut ranks = customers.clone();
             for route in &routes {
@@ -187,14 +190,14 @@
                     ranks.insert(route.priority);
                 }
             }
-            service.ranks = ranks.into_iter().collect();
+            service.priorities = ranks.into_iter().collect();
         }
         self
     }
 
     /// The route of a request: the longest prefix among the routes of its host.
     #[must_use]
-    pub fn route(&self, host: &str, path: &str) -> Option<&CallerRoute> {
+    pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -5,11 +5,11 @@
 
 use cases::properties;
 use domain::FabricId;
-use serving::ModelShape;
+use serving::ModelConfig;
 use serving::plan::{FabricLayout, FabricRoom, lay_out};
 
-fn model(name: &str, size: usize, share: f64) -> ModelShape {
-    ModelShape {
+fn model(name: &str, size: usize, share: f64) -> ModelConfig {
+    ModelConfig {
         name: name.parse().expect("a model"),
         size,
         share,
@@ -111,13 +111,13 @@
 fn could_give(
     rooms: &BTreeMap<FabricId, FabricRoom>,
     layout: &FabricLayout,
-    recipient: &ModelShape,
-    donor: &ModelShape,
+    recipient: &ModelConfig,
+    donor: &ModelConfig,
 ) -> bool {
-    let held = |fabric: &FabricId, model: &ModelShape| {
+    let held = |fabric: &FabricId, model: &ModelConfig| {
         layout[fabric].get(&model.name).copied().unwrap_or(0)
     };
-    let cover = |model: &ModelShape, more: i32| {
+    let cover = |model: &ModelConfig, more: i32| {
         let placed: usize = layout.keys().map(|fabric| held(fabric, model)).sum();
         let placed = i32::try_from(placed).expect("few replicas") + more;
         let size = i32::try_from(model.size).expect("few hosts");
--- a/crates/serving/tests/plan/fair_repair.rs
+++ b/crates/serving/tests/plan/fair_repair.rs
@@ -9,7 +9,7 @@
 use domain::{FabricId, FastMap, FastSet, HostId, ModelName, ReplicaId};
 use quickcheck::TestResult;
 use serving::plan::{FabricRoom, FabricSituation, HostSituation, PlanStep, lay_out, plan_fabric};
-use serving::{MemberState, ModelShape, ReplicaMembership};
+use serving::{MemberState, ModelConfig, ReplicaMembership};
 
 use crate::kit::{Domain, LONG, formed, member, model, warm};
 
@@ -100,14 +100,14 @@
 
 /// Fabric domains whose hosts hold both models, with orders that take effect at once.
 struct Fleet {
-    models: Vec<ModelShape>,
+    models: Vec<ModelConfig>,
     fabrics: BTreeMap<FabricId, Vec<HostSituation>>,
     spent: FastSet<(ReplicaId, u64)>,
     named: usize,
 }
 
 impl Fleet {
-    fn new(sizes: &[usize], models: Vec<ModelShape>) -> Self {
+    fn new(sizes: &[usize], models: Vec<ModelConfig>) -> Self {
         let mut fabrics = BTreeMap::new();
         for (index, size) in sizes.iter().enumerate() {
             let fabric: FabricId = format!("f{index}").parse().expect("a fabric");
@@ -277,14 +277,14 @@
     fn is_starved(&self) -> bool {
         let fleet = self.standing();
         let wanted = self.wanted();
-        let cover = |model: &ModelShape, more: f64| {
+        let cover = |model: &ModelConfig, more: f64| {
             let standing = fleet.get(&model.name).copied().unwrap_or(0);
             let standing = f64::from(u32::try_from(standing).expect("few replicas")) + more;
             standing * f64::from(u32::try_from(model.size).expect("few hosts")) / model.share
         };
         for fabric in self.fabrics.keys() {
             let (open, idle) = self.census(fabric);
-            let held = |model: &ModelShape| open.get(&model.name).copied().unwrap_or(0);
+            let held = |model: &ModelConfig| open.get(&model.name).copied().unwrap_or(0);
             for (recipient, donor) in
                 [(0, 1), (1, 0)].map(|(a, b)| (&self.models[a], &self.models[b]))
             {
--- a/crates/serving/tests/plan/kit.rs
+++ b/crates/serving/tests/plan/kit.rs
@@ -5,12 +5,12 @@
 
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId};
 use serving::plan::{FabricSituation, HostSituation, HostStay, PlanStep, plan_fabric};
-use serving::{MemberState, ModelShape, ReplicaMembership};
+use serving::{MemberState, ModelConfig, ReplicaMembership};
 
 pub const LONG: Duration = Duration::from_mins(1);
 
-pub fn model(name: &str, size: usize, share: f64) -> ModelShape {
-    ModelShape {
+pub fn model(name: &str, size: usize, share: f64) -> ModelConfig {
+    ModelConfig {
         name: name.parse().expect("a model"),
         size,
         share,
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn models() -> Vec<ModelShape> {
+pub fn models() -> Vec<ModelConfig> {
     vec![model("large", 4, 0.67), model("small", 2, 0.33)]
 }
 
--- a/crates/serving/tests/route_choice.rs
+++ b/crates/serving/tests/route_choice.rs
@@ -4,10 +4,10 @@
 
 use domain::{ConfigRevision, FastMap};
 use serving::hashing::stable_hash;
-use serving::{CallerRoute, GatewayConfig, RequestLimits, RouteKind};
+use serving::{GatewayConfig, RequestLimits, Route, RouteKind};
 
-fn route(prefix: &str, services: &[(&str, u32)]) -> CallerRoute {
-    CallerRoute {
+fn route(prefix: &str, services: &[(&str, u32)]) -> Route {
+    Route {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
@@ -23,7 +23,7 @@
     }
 }
 
-fn config(routes: Vec<CallerRoute>) -> GatewayConfig {
+fn config(routes: Vec<Route>) -> GatewayConfig {
     let mut by_host = FastMap::default();
     by_host.insert("desk.example".to_owned(), routes);
     GatewayConfig {
