--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -126,7 +126,7 @@
         self.registry(|registry| {
             let membership = registry.get(id).and_then(|entry| entry.membership.as_ref());
             let replica = membership.and_then(|membership| registry.replica(membership));
-            replica.is_some_and(ReplicaView::holds_members)
+            replica.is_some_and(ReplicaView::is_open_or_closing)
         })
     }
 
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -44,7 +44,7 @@
     /// Whether the head takes requests or still runs some. Its members can't be given to another
     /// replica then: a host would belong to two.
     #[must_use]
-    pub fn holds_members(&self) -> bool {
+    pub fn is_open_or_closing(&self) -> bool {
         matches!(
             self.head_state,
             Some(MemberState::Open | MemberState::Closing)
@@ -147,7 +147,7 @@
 
     /// Whether a member of a replica is leaving.
     #[must_use]
-    pub fn has_leaving_member(&self, replica: &ReplicaView) -> bool {
+    pub fn has_draining_member(&self, replica: &ReplicaView) -> bool {
         replica.members.values().any(|id| {
             self.get(id)
                 .is_some_and(|entry| entry.state == TargetState::Draining)
