--- a/crates/gateway/src/care/blind.rs
+++ b/crates/gateway/src/care/blind.rs
@@ -10,7 +10,7 @@
 
 use domain::{FabricId, FastMap, HostId};
 use serving::MemberState;
-use serving::plan::{HostSituation, SPARE_PREFIX};
+use serving::plan::{HostState, SPARE_PREFIX};
 
 use super::ReplicaCare;
 use crate::probe::{ask_host, order_target};
@@ -61,7 +61,7 @@
     pub(super) fn ask_fabric(
         self: &Rc<Self>,
         fabric: &FabricId,
-        hosts: &[HostSituation],
+        hosts: &[HostState],
         has_steps: bool,
     ) -> bool {
         if !has_steps && is_settled(hosts) {
@@ -72,7 +72,7 @@
         if asked.may_begin(fabric, now) {
             let ids: Vec<HostId> = hosts
                 .iter()
-                .filter(|host| host.silent.is_none())
+                .filter(|host| host.silent_for.is_none())
                 .map(|host| host.id.clone())
                 .collect();
             let care = Rc::clone(self);
@@ -94,10 +94,10 @@
 }
 
 /// Whether each host that answers serves in a whole replica, or waits as a spare.
-pub(super) fn is_settled(hosts: &[HostSituation]) -> bool {
+pub(super) fn is_settled(hosts: &[HostState]) -> bool {
     hosts
         .iter()
-        .filter(|host| host.silent.is_none())
+        .filter(|host| host.silent_for.is_none())
         .all(|host| {
             let Some(membership) = &host.membership else {
                 return true;
@@ -111,6 +111,6 @@
             });
             let Some(head) = head else { return false };
             let state = head.membership.as_ref().map(|own| own.state);
-            state == Some(MemberState::Open) && head.silent.is_none()
+            state == Some(MemberState::Open) && head.silent_for.is_none()
         })
 }
--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -15,7 +15,7 @@
 use events::{EventCode, EventLine};
 use serving::hashing::stable_hash;
 use serving::plan::{
-    FabricCensus, FabricLayout, FabricRoom, FabricSituation, HostSituation, HostStay, PlanStep,
+    FabricCapacity, FabricLayout, FabricState, FabricSummary, HostLifecycle, HostState, PlanStep,
     plan_fabric,
 };
 use serving::{ServiceConfig, TargetEntry, TargetState};
@@ -92,7 +92,7 @@
     ranks: RefCell<TurnRanks>,
     layouts: RefCell<KeptLayouts>,
     /// What was last logged of the fabric domains that this node acts for first.
-    counted: RefCell<FastMap<FabricId, FabricCensus>>,
+    counted: RefCell<FastMap<FabricId, FabricSummary>>,
     /// Whether the last plan found something to do or to wait for.
     restless: Cell<bool>,
     /// When all fabric domains were last planned, not only this node's own.
@@ -124,7 +124,7 @@
     }
 
     fn layout(&self, service: &ServiceConfig, revision: ConfigRevision) -> Rc<FabricLayout> {
-        let mut rooms: BTreeMap<FabricId, FabricRoom> = BTreeMap::new();
+        let mut rooms: BTreeMap<FabricId, FabricCapacity> = BTreeMap::new();
         self.node.registry(|registry| {
             for entry in registry.targets() {
                 let fabric = entry.fabric.as_ref();
@@ -132,7 +132,7 @@
                     continue;
                 };
                 if !rooms.contains_key(fabric) {
-                    rooms.insert(fabric.clone(), FabricRoom::default());
+                    rooms.insert(fabric.clone(), FabricCapacity::default());
                 }
                 let Some(room) = rooms.get_mut(fabric) else {
                     continue;
@@ -159,17 +159,17 @@
                 continue;
             };
             let planned = self.node.with_spent(|spent| {
-                plan_fabric(&FabricSituation {
+                plan_fabric(&FabricState {
                     models: &service.models,
-                    wanted,
+                    desired: wanted,
                     hosts,
-                    fleet: &fleet,
-                    spent,
+                    fleet_replicas: &fleet,
+                    never_reopen: spent,
                     may_load_members: lead || !any_weights(hosts),
                     may_stage: lead,
                 })
             });
-            self.log_census(fabric, planned.census);
+            self.log_census(fabric, planned.summary);
             let planned = planned.steps;
             if !planned.is_empty() || !blind::is_settled(hosts) {
                 self.restless.set(true);
@@ -186,14 +186,14 @@
         }
     }
 
-    fn log_census(&self, fabric: &FabricId, census: FabricCensus) {
+    fn log_census(&self, fabric: &FabricId, census: FabricSummary) {
         let is_first = self.ranks.borrow_mut().rank(&self.node, fabric) == 0;
         let mut counted = self.counted.borrow_mut();
         if !is_first || counted.get(fabric) == Some(&census) {
             return;
         }
         let models = census.models.iter().map(|found| {
-            let (standing, wanted) = (found.standing, found.wanted);
+            let (standing, wanted) = (found.current, found.desired);
             format!("{} {standing} of {wanted}", found.model)
         });
         let models: Vec<String> = models.collect();
@@ -210,13 +210,9 @@
     }
 
     /// The hosts of the fabric domains that this node plans for now.
-    fn fabrics(
-        &self,
-        service: &ServiceConfig,
-        far: bool,
-    ) -> BTreeMap<FabricId, Vec<HostSituation>> {
+    fn fabrics(&self, service: &ServiceConfig, far: bool) -> BTreeMap<FabricId, Vec<HostState>> {
         let node = &self.node;
-        let mut fabrics: BTreeMap<FabricId, Vec<HostSituation>> = BTreeMap::new();
+        let mut fabrics: BTreeMap<FabricId, Vec<HostState>> = BTreeMap::new();
         let mut ranks = self.ranks.borrow_mut();
         node.registry(|registry| {
             for entry in registry.targets() {
@@ -243,33 +239,33 @@
         fabrics
     }
 
-    fn situation(&self, entry: &TargetEntry) -> HostSituation {
-        HostSituation {
+    fn situation(&self, entry: &TargetEntry) -> HostState {
+        HostState {
             id: entry.id.clone(),
             // What answers others is not taken apart for want of a way from here.
-            silent: self
+            silent_for: self
                 .node
                 .silent_for(&entry.id)
                 .filter(|_| !self.node.serves_others(&entry.id)),
-            stay: self.stay(entry),
-            ordered: self.desk.is_open(&entry.id),
+            lifecycle: self.stay(entry),
+            order_pending: self.desk.is_open(&entry.id),
             loaded: entry.loaded.clone(),
             staged: entry.staged.clone(),
             staging: self.staging_at(&entry.id),
             membership: entry.membership.clone(),
-            unchanged: self.node.membership_age(&entry.id),
+            unchanged_for: self.node.membership_age(&entry.id),
         }
     }
 
-    fn stay(&self, entry: &TargetEntry) -> HostStay {
+    fn stay(&self, entry: &TargetEntry) -> HostLifecycle {
         if self.node.is_retired(&entry.id) {
-            HostStay::Retired
+            HostLifecycle::Retired
         } else if entry.state == TargetState::Draining {
-            HostStay::Leaving
+            HostLifecycle::Draining
         } else if self.node.is_unlisted(&entry.id) {
-            HostStay::Unlisted
+            HostLifecycle::Unlisted
         } else {
-            HostStay::Stays
+            HostLifecycle::Active
         }
     }
 
@@ -367,7 +363,7 @@
     }
 }
 
-fn any_weights(hosts: &[HostSituation]) -> bool {
+fn any_weights(hosts: &[HostState]) -> bool {
     hosts
         .iter()
         .any(|host| host.loaded.is_some() || !host.staged.is_empty())
--- a/crates/gateway/src/care/turns.rs
+++ b/crates/gateway/src/care/turns.rs
@@ -11,7 +11,7 @@
 use domain::{ConfigRevision, FabricId, FastMap, ServiceName};
 use serving::ServiceConfig;
 use serving::hashing::{rendezvous_rank, stable_hash};
-use serving::plan::{FabricLayout, FabricRoom, PlanStep, lay_out};
+use serving::plan::{FabricCapacity, FabricLayout, PlanStep, compute_layout};
 
 use super::ReplicaCare;
 use crate::node::GatewayNode;
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 struct KeptLayout {
     revision: ConfigRevision,
-    rooms: BTreeMap<FabricId, FabricRoom>,
+    rooms: BTreeMap<FabricId, FabricCapacity>,
     layout: Rc<FabricLayout>,
 }
 
@@ -73,7 +73,7 @@
         &mut self,
         service: &ServiceConfig,
         revision: ConfigRevision,
-        rooms: BTreeMap<FabricId, FabricRoom>,
+        rooms: BTreeMap<FabricId, FabricCapacity>,
     ) -> Rc<FabricLayout> {
         if let Some(kept) = self.kept.get(&service.name)
             && kept.revision == revision
@@ -81,7 +81,7 @@
         {
             return Rc::clone(&kept.layout);
         }
-        let layout = Rc::new(lay_out(&rooms, &service.models));
+        let layout = Rc::new(compute_layout(&rooms, &service.models));
         let kept = KeptLayout {
             revision,
             rooms,
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -7,7 +7,7 @@
 use adapter::HostError;
 use domain::HostId;
 use events::{EventCode, EventLine};
-use serving::plan::CLOSING_PATIENCE;
+use serving::plan::CLOSE_TIMEOUT;
 use serving::stall::StallDetector;
 use serving::{ReplicaView, TargetState};
 use tokio::sync::Notify;
@@ -219,7 +219,7 @@
         let retired = self.retired.borrow();
         let long = retired
             .iter()
-            .filter(|(_, since)| now.saturating_sub(**since) > CLOSING_PATIENCE);
+            .filter(|(_, since)| now.saturating_sub(**since) > CLOSE_TIMEOUT);
         long.map(|(id, _)| id.clone()).collect()
     }
 
--- a/crates/serving/src/plan/exchange.rs
+++ b/crates/serving/src/plan/exchange.rs
@@ -3,8 +3,8 @@
 use domain::{FastSet, HostId, ModelName};
 
 use super::fate::KnownReplica;
-use super::situation::{FabricSituation, HostSituation, HostStay};
 use super::spares::is_spare_name;
+use super::state::{FabricState, HostLifecycle, HostState};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
 use crate::route::ModelConfig;
@@ -38,7 +38,7 @@
 /// Without it a domain whose large replica lost a host has nearly all hosts of a replica idle beside
 /// small replicas, until an empty host has loaded.
 pub(super) fn yield_replicas(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
     serving: &[ServingReplica<'_>],
     steps: &mut Vec<PlanStep>,
@@ -72,7 +72,7 @@
 /// Hosts that could join a replica of a model and don't serve: idle ones, and those that form or end a
 /// replica or have an order.
 fn coming(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     serving: &[ServingReplica<'_>],
     model: &ModelConfig,
 ) -> usize {
@@ -87,14 +87,14 @@
     coming.count()
 }
 
-fn joins_replica(host: &HostSituation) -> bool {
+fn joins_replica(host: &HostState) -> bool {
     let membership = host.membership.as_ref();
     let is_spare = membership.is_some_and(|membership| is_spare_name(&membership.replica));
     host.is_joining() && !is_spare
 }
 
-fn may_serve(host: &HostSituation) -> bool {
-    host.answers() && host.stay == HostStay::Stays
+fn may_serve(host: &HostState) -> bool {
+    host.answers() && host.lifecycle == HostLifecycle::Active
 }
 
 /// Replicas of `donor` whose hosts are enough for what is missing, as few as can be.
@@ -124,7 +124,7 @@
 /// Whether hosts of the domain are wanted by a model that has less than `model`, even with a replica
 /// more: what they formed now would be given up again.
 pub(super) fn must_wait(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
     model: &ModelConfig,
 ) -> bool {
@@ -138,11 +138,7 @@
 }
 
 /// Whether the hosts that have a model's weights are enough for one replica more of it.
-fn is_possible(
-    situation: &FabricSituation<'_>,
-    tally: &ReplicaTally<'_>,
-    model: &ModelConfig,
-) -> bool {
+fn is_possible(situation: &FabricState<'_>, tally: &ReplicaTally<'_>, model: &ModelConfig) -> bool {
     let hosts = situation.hosts.iter();
     let fitting = hosts
         .filter(|host| may_serve(host) && host.has_weights(&model.name))
--- a/crates/serving/src/plan/fabric.rs
+++ b/crates/serving/src/plan/fabric.rs
@@ -5,9 +5,9 @@
 use super::exchange::{ServingReplica, yield_replicas};
 use super::fate::{ReplicaFate, judge, known_replicas, replica_model};
 use super::forming::{form_replicas, keep_for_successors};
-use super::situation::{FabricSituation, HostSituation};
 use super::spares::warm_spares;
 use super::staging::stage_second;
+use super::state::{FabricState, HostState};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
 use crate::route::ModelConfig;
@@ -18,32 +18,32 @@
     /// The next steps.
     pub steps: Vec<PlanStep>,
     /// What was found.
-    pub census: FabricCensus,
+    pub summary: FabricSummary,
 }
 
 /// Replicas and idle hosts of a fabric domain before the steps of a plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FabricCensus {
+pub struct FabricSummary {
     /// Its models.
-    pub models: Vec<ModelCensus>,
+    pub models: Vec<ModelSummary>,
     /// Usable hosts in no replica that stands.
     pub idle_hosts: usize,
 }
 
 /// Replicas of one model in a fabric domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ModelCensus {
+pub struct ModelSummary {
     /// The model.
     pub model: ModelName,
     /// Replicas that serve, form or end.
-    pub standing: usize,
+    pub current: usize,
     /// Replicas that the domain should have.
-    pub wanted: usize,
+    pub desired: usize,
 }
 
 /// Plans the next steps.
 #[must_use]
-pub fn plan_fabric(situation: &FabricSituation<'_>) -> FabricPlan {
+pub fn plan_fabric(situation: &FabricState<'_>) -> FabricPlan {
     let mut steps = Vec::new();
     let mut lost = Vec::new();
     let mut ending = Vec::new();
@@ -66,13 +66,13 @@
             serving.push(ServingReplica { known, model });
         }
     }
-    let mut free: Vec<&HostSituation> = situation
+    let mut free: Vec<&HostState> = situation
         .hosts
         .iter()
         .filter(|host| host.is_usable())
         .filter(|host| !tally.is_taken(&host.id))
         .collect();
-    let census = take_census(situation, &tally, free.len());
+    let summary = summarize(situation, &tally, free.len());
     let kept = keep_for_successors(&ending, &mut free);
     form_replicas(situation, &mut tally, &mut free, &mut steps);
     yield_replicas(situation, &tally, &serving, &mut steps);
@@ -80,15 +80,11 @@
     close_idle_heads(lost, &mut free, &mut steps);
     warm_spares(situation, &tally, &free, &mut steps);
     stage_second(situation, &mut steps);
-    FabricPlan { steps, census }
+    FabricPlan { steps, summary }
 }
 
 /// Closes heads of lost replicas that nobody joined; they get no other step.
-fn close_idle_heads(
-    lost: Vec<PlanStep>,
-    free: &mut Vec<&HostSituation>,
-    steps: &mut Vec<PlanStep>,
-) {
+fn close_idle_heads(lost: Vec<PlanStep>, free: &mut Vec<&HostState>, steps: &mut Vec<PlanStep>) {
     let mut idle_heads = Vec::new();
     for close in lost {
         let PlanStep::Close { head, .. } = &close else {
@@ -102,17 +98,17 @@
     free.retain(|host| !idle_heads.contains(&host.id));
 }
 
-fn take_census(
-    situation: &FabricSituation<'_>,
+fn summarize(
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
     idle_hosts: usize,
-) -> FabricCensus {
-    let count = |model: &ModelConfig| ModelCensus {
+) -> FabricSummary {
+    let count = |model: &ModelConfig| ModelSummary {
         model: model.name.clone(),
-        standing: tally.standing(&model.name),
-        wanted: tally.wanted(&model.name),
+        current: tally.standing(&model.name),
+        desired: tally.wanted(&model.name),
     };
-    FabricCensus {
+    FabricSummary {
         models: situation.models.iter().map(count).collect(),
         idle_hosts,
     }
--- a/crates/serving/src/plan/fate.rs
+++ b/crates/serving/src/plan/fate.rs
@@ -5,8 +5,8 @@
 
 use domain::ReplicaId;
 
-use super::situation::{FabricSituation, HostSituation, HostStay};
 use super::spares::is_spare_name;
+use super::state::{FabricState, HostLifecycle, HostState};
 use super::step::{CloseMode, PlanStep};
 use crate::route::ModelConfig;
 use crate::target::MemberState;
@@ -17,7 +17,7 @@
 
 /// Wait for the requests of a closing replica before they are cancelled. A leaving host serves on
 /// for two seconds at least; what runs longer is resumed elsewhere rather than lost with it.
-pub const CLOSING_PATIENCE: Duration = Duration::from_millis(2500);
+pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Silence of a head after which its members are given to another replica; it was asked twice before.
 /// Waiting for the registry instead costs the replica three more seconds each time a head dies.
@@ -27,20 +27,20 @@
 pub(super) struct KnownReplica<'a> {
     pub replica: &'a ReplicaId,
     pub epoch: u64,
-    pub members: BTreeMap<u32, &'a HostSituation>,
+    pub members: BTreeMap<u32, &'a HostState>,
 }
 
 impl KnownReplica<'_> {
     /// Whether orders to its members may still be on their way.
     fn may_be_forming(&self) -> bool {
-        let youngest = self.members.values().map(|host| host.unchanged).min();
-        let ordered = self.members.values().any(|host| host.ordered);
+        let youngest = self.members.values().map(|host| host.unchanged_for).min();
+        let ordered = self.members.values().any(|host| host.order_pending);
         ordered || youngest.is_some_and(|youngest| youngest < FORMING_PATIENCE)
     }
 
     /// How many members will not join its successor.
     fn going(&self) -> usize {
-        let going = |host: &&&HostSituation| host.stay != HostStay::Stays;
+        let going = |host: &&&HostState| host.lifecycle != HostLifecycle::Active;
         self.members.values().filter(going).count()
     }
 
@@ -52,7 +52,7 @@
         })
     }
 
-    pub fn close(&self, head: &HostSituation, mode: CloseMode) -> PlanStep {
+    pub fn close(&self, head: &HostState, mode: CloseMode) -> PlanStep {
         PlanStep::Close {
             head: head.id.clone(),
             replica: self.replica.clone(),
@@ -75,7 +75,7 @@
     Lost(PlanStep),
 }
 
-pub(super) fn known_replicas(hosts: &[HostSituation]) -> Vec<KnownReplica<'_>> {
+pub(super) fn known_replicas(hosts: &[HostState]) -> Vec<KnownReplica<'_>> {
     let mut replicas: BTreeMap<(&ReplicaId, u64), KnownReplica> = BTreeMap::new();
     for host in hosts {
         let Some(membership) = &host.membership else {
@@ -107,7 +107,7 @@
 pub(super) fn judge(
     known: &KnownReplica<'_>,
     model: Option<&ModelConfig>,
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     steps: &mut Vec<PlanStep>,
 ) -> ReplicaFate {
     let Some(head) = known.members.get(&0) else {
@@ -121,8 +121,8 @@
     let complete = model.is_some_and(|model| known.members.len() == model.size);
     let whole = complete && known.members.values().all(|host| host.answers());
     // A head that the registry names no more takes no new requests, and ends as if it had said so.
-    let leaving =
-        head.stay != HostStay::Stays || known.members.values().any(|host| host.stay.ends());
+    let leaving = head.lifecycle != HostLifecycle::Active
+        || known.members.values().any(|host| host.lifecycle.ends());
     match head.membership.as_ref().map(|membership| membership.state) {
         Some(MemberState::Open) if whole && !leaving => ReplicaFate::Stays,
         Some(MemberState::Open | MemberState::Closing) if !head.answers() => {
@@ -130,7 +130,7 @@
         }
         // It can't be told to close, and takes nothing new.
         Some(MemberState::Open | MemberState::Closing)
-            if whole && head.stay == HostStay::Retired =>
+            if whole && head.lifecycle == HostLifecycle::Retired =>
         {
             ReplicaFate::Ending(known.going())
         }
@@ -138,7 +138,7 @@
             steps.push(known.close(head, CloseMode::Wait));
             ReplicaFate::Ending(known.going())
         }
-        Some(MemberState::Closing) if whole && head.unchanged <= CLOSING_PATIENCE => {
+        Some(MemberState::Closing) if whole && head.unchanged_for <= CLOSE_TIMEOUT => {
             ReplicaFate::Ending(known.going())
         }
         // A member is lost and nothing moves any more, or what should end does not. Its head leaves
@@ -157,8 +157,10 @@
     }
 }
 
-fn judge_silent_head(head: &HostSituation) -> ReplicaFate {
-    let lost = head.silent.is_some_and(|silent| silent >= HEAD_PATIENCE);
+fn judge_silent_head(head: &HostState) -> ReplicaFate {
+    let lost = head
+        .silent_for
+        .is_some_and(|silent| silent >= HEAD_PATIENCE);
     if lost {
         ReplicaFate::Over
     } else {
@@ -169,7 +171,7 @@
 /// A replica that has never served: it forms, is about to open, or was given up.
 fn judge_unopened(
     known: &KnownReplica<'_>,
-    head: &HostSituation,
+    head: &HostState,
     complete: bool,
     steps: &mut Vec<PlanStep>,
 ) -> ReplicaFate {
@@ -191,7 +193,7 @@
     ReplicaFate::Changing
 }
 
-fn is_spent(situation: &FabricSituation<'_>, known: &KnownReplica<'_>) -> bool {
+fn is_spent(situation: &FabricState<'_>, known: &KnownReplica<'_>) -> bool {
     let key = (known.replica.clone(), known.epoch);
-    situation.spent.contains(&key)
+    situation.never_reopen.contains(&key)
 }
--- a/crates/serving/src/plan/forming.rs
+++ b/crates/serving/src/plan/forming.rs
@@ -3,7 +3,7 @@
 use domain::HostId;
 
 use super::exchange::must_wait;
-use super::situation::{FabricSituation, HostSituation};
+use super::state::{FabricState, HostState};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
 use crate::route::ModelConfig;
@@ -16,11 +16,11 @@
 /// callers were refused.
 pub(super) fn keep_for_successors<'a>(
     ending: &[(&ModelConfig, usize)],
-    free: &mut Vec<&'a HostSituation>,
-) -> Vec<&'a HostSituation> {
-    let mut kept: Vec<&HostSituation> = Vec::new();
+    free: &mut Vec<&'a HostState>,
+) -> Vec<&'a HostState> {
+    let mut kept: Vec<&HostState> = Vec::new();
     for (model, missing) in ending {
-        let mut fitting: Vec<&HostSituation> = free
+        let mut fitting: Vec<&HostState> = free
             .iter()
             .copied()
             .filter(|host| host.has_weights(&model.name) && !host.is_joining())
@@ -38,9 +38,9 @@
 }
 
 pub(super) fn form_replicas<'a>(
-    situation: &FabricSituation<'a>,
+    situation: &FabricState<'a>,
     tally: &mut ReplicaTally<'a>,
-    free: &mut Vec<&HostSituation>,
+    free: &mut Vec<&HostState>,
     steps: &mut Vec<PlanStep>,
 ) {
     while let Some((model, members)) = next_replica(situation, tally, free) {
@@ -53,9 +53,9 @@
 }
 
 fn next_replica<'a>(
-    situation: &FabricSituation<'a>,
+    situation: &FabricState<'a>,
     tally: &ReplicaTally<'a>,
-    free: &mut Vec<&HostSituation>,
+    free: &mut Vec<&HostState>,
 ) -> Option<(&'a ModelConfig, Vec<HostId>)> {
     for model in tally.by_lack() {
         let Some(reserve) = spares_kept(situation, tally, model) else {
@@ -77,7 +77,7 @@
 /// many seconds to change back, so small replicas would else use up one by one what a large one
 /// needs at once.
 fn spares_kept(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
     model: &ModelConfig,
 ) -> Option<usize> {
@@ -102,12 +102,12 @@
 }
 
 fn take_members(
-    free: &mut Vec<&HostSituation>,
+    free: &mut Vec<&HostState>,
     model: &ModelConfig,
     reserve: usize,
     may_load: bool,
 ) -> Option<Vec<HostId>> {
-    let fits = |host: &&HostSituation| {
+    let fits = |host: &&HostState| {
         if host.has_weights(&model.name) {
             return !host.is_joining();
         }
@@ -117,10 +117,9 @@
     if model.size == 0 || fitting < model.size + reserve {
         return None;
     }
-    let mut chosen: Vec<&HostSituation> = free.iter().copied().filter(|host| fits(host)).collect();
+    let mut chosen: Vec<&HostState> = free.iter().copied().filter(|host| fits(host)).collect();
     chosen.sort_by(|left, right| {
-        let cold =
-            |host: &HostSituation| (!host.is_warm(&model.name), !host.has_weights(&model.name));
+        let cold = |host: &HostState| (!host.is_warm(&model.name), !host.has_weights(&model.name));
         cold(left).cmp(&cold(right)).then(left.id.cmp(&right.id))
     });
     chosen.truncate(model.size);
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -12,14 +12,14 @@
 
 /// What a fabric domain has for a layout.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FabricRoom {
+pub struct FabricCapacity {
     /// Its hosts.
     pub hosts: usize,
     /// Of these: hosts that hold a model in memory, by model.
     pub loaded: BTreeMap<ModelName, usize>,
 }
 
-impl FabricRoom {
+impl FabricCapacity {
     /// Counts a host that may hold a model in memory.
     pub fn add(&mut self, loaded: Option<&ModelName>) {
         self.hosts += 1;
@@ -42,7 +42,10 @@
 /// Small replicas fill the gaps between large ones, never their places: a model gets hosts back from
 /// one that still has as much for its share without them.
 #[must_use]
-pub fn lay_out(rooms: &BTreeMap<FabricId, FabricRoom>, models: &[ModelConfig]) -> FabricLayout {
+pub fn compute_layout(
+    rooms: &BTreeMap<FabricId, FabricCapacity>,
+    models: &[ModelConfig],
+) -> FabricLayout {
     let mut draft = LayoutDraft::new(rooms, models);
     draft.keep_places();
     while draft.place_next() {}
@@ -79,8 +82,8 @@
 }
 
 impl<'a> LayoutDraft<'a> {
-    fn new(rooms: &BTreeMap<FabricId, FabricRoom>, models: &'a [ModelConfig]) -> Self {
-        let room = |room: &FabricRoom| {
+    fn new(rooms: &BTreeMap<FabricId, FabricCapacity>, models: &'a [ModelConfig]) -> Self {
+        let room = |room: &FabricCapacity| {
             let loaded = |model: &ModelConfig| room.loaded.get(&model.name).copied();
             DomainRoom {
                 left: room.hosts,
@@ -238,7 +241,7 @@
 
     fn into_layout(
         self,
-        rooms: &BTreeMap<FabricId, FabricRoom>,
+        rooms: &BTreeMap<FabricId, FabricCapacity>,
         models: &[ModelConfig],
     ) -> FabricLayout {
         let mut layout = FabricLayout::new();
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -2,7 +2,7 @@
 
 use domain::{ModelName, ReplicaId};
 
-use super::situation::{FabricSituation, HostSituation};
+use super::state::{FabricState, HostState};
 use super::step::PlanStep;
 use super::tally::ReplicaTally;
 use crate::hashing::stable_hash;
@@ -24,16 +24,16 @@
 }
 
 /// Whether a host that joins nothing else is loading a model.
-fn is_loading(host: &HostSituation, model: &ModelName) -> bool {
+fn is_loading(host: &HostState, model: &ModelName) -> bool {
     let membership = host.membership.as_ref();
     let name = membership.map_or("", |membership| membership.replica.as_str());
     host.is_joining() && name.starts_with(&spare_prefix(model))
 }
 
 pub(super) fn warm_spares(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
-    free: &[&HostSituation],
+    free: &[&HostState],
     steps: &mut Vec<PlanStep>,
 ) {
     let mut spares: Vec<usize> = situation
@@ -71,7 +71,7 @@
     }
 }
 
-fn warm_step(host: &HostSituation, model: &ModelConfig) -> PlanStep {
+fn warm_step(host: &HostState, model: &ModelConfig) -> PlanStep {
     PlanStep::Warm {
         host: host.id.clone(),
         model: model.name.clone(),
@@ -83,7 +83,7 @@
 ///
 /// Where the domain has all that it should, the one with the most hosts at risk for each spare.
 fn neediest(
-    situation: &FabricSituation<'_>,
+    situation: &FabricState<'_>,
     tally: &ReplicaTally<'_>,
     spares: &[usize],
 ) -> Option<usize> {
--- a/crates/serving/src/plan/staging.rs
+++ b/crates/serving/src/plan/staging.rs
@@ -6,11 +6,11 @@
 
 use domain::{FastMap, FastSet, HostId, ModelName};
 
-use super::situation::{FabricSituation, HostSituation};
+use super::state::{FabricState, HostState};
 use super::step::PlanStep;
 
 /// Stages on each host the model that the fewest hosts of its domain could serve otherwise.
-pub(super) fn stage_second(situation: &FabricSituation<'_>, steps: &mut Vec<PlanStep>) {
+pub(super) fn stage_second(situation: &FabricState<'_>, steps: &mut Vec<PlanStep>) {
     if !situation.may_stage {
         return;
     }
@@ -42,7 +42,7 @@
 
 /// Whether a host has the model of its replica in memory and no second one yet. Staging any sooner
 /// would be undone by the load of its first model.
-fn may_stage_on(host: &HostSituation) -> bool {
+fn may_stage_on(host: &HostState) -> bool {
     let Some(loaded) = &host.loaded else {
         return false;
     };
--- a/crates/serving/src/plan/state.rs
+++ b/crates/serving/src/plan/state.rs
@@ -11,37 +11,37 @@
 
 /// Whether a host stays with its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HostStay {
+pub enum HostLifecycle {
     /// It does.
-    Stays,
+    Active,
     /// The registry does not name it any more, though it still answers. It works on in its replica;
     /// nothing new is built on it.
     Unlisted,
     /// It has said that it leaves, and serves on for a while.
-    Leaving,
+    Draining,
     /// It leaves and takes no connections any more, orders neither. It works on as long as its head
     /// has requests.
     Retired,
 }
 
-impl HostStay {
+impl HostLifecycle {
     /// Whether its replica must end soon; a member that is only unlisted may be back.
     pub(super) fn ends(self) -> bool {
-        matches!(self, Self::Leaving | Self::Retired)
+        matches!(self, Self::Draining | Self::Retired)
     }
 }
 
 /// What is known of a host.
 #[derive(Debug, Clone)]
-pub struct HostSituation {
+pub struct HostState {
     /// The host.
     pub id: HostId,
     /// Time since when it does not answer, if it does not.
-    pub silent: Option<Duration>,
+    pub silent_for: Option<Duration>,
     /// Whether it stays.
-    pub stay: HostStay,
+    pub lifecycle: HostLifecycle,
     /// Whether an order to it is not settled yet.
-    pub ordered: bool,
+    pub order_pending: bool,
     /// Model that it held last.
     pub loaded: Option<ModelName>,
     /// Models on its disk or memory.
@@ -51,17 +51,17 @@
     /// Its replica.
     pub membership: Option<ReplicaMembership>,
     /// Time since the last change of its membership, as this node saw it.
-    pub unchanged: Duration,
+    pub unchanged_for: Duration,
 }
 
-impl HostSituation {
+impl HostState {
     pub(super) fn answers(&self) -> bool {
-        self.silent.is_none()
+        self.silent_for.is_none()
     }
 
     /// Whether it stays, answers, and waits for no order.
     pub(super) fn is_usable(&self) -> bool {
-        self.answers() && self.stay == HostStay::Stays && !self.ordered
+        self.answers() && self.lifecycle == HostLifecycle::Active && !self.order_pending
     }
 
     pub(super) fn is_warm(&self, model: &ModelName) -> bool {
@@ -85,17 +85,17 @@
 
 /// A fabric domain with what is wanted of it.
 #[derive(Debug)]
-pub struct FabricSituation<'a> {
+pub struct FabricState<'a> {
     /// Models.
     pub models: &'a [ModelConfig],
     /// Replicas wanted by model.
-    pub wanted: &'a BTreeMap<ModelName, usize>,
+    pub desired: &'a BTreeMap<ModelName, usize>,
     /// Hosts.
-    pub hosts: &'a [HostSituation],
+    pub hosts: &'a [HostState],
     /// Replicas of each model that stand in all fabric domains together.
-    pub fleet: &'a FastMap<ModelName, usize>,
+    pub fleet_replicas: &'a FastMap<ModelName, usize>,
     /// Replicas that were seen serving, or whose formation failed; none of them is opened again.
-    pub spent: &'a FastSet<(ReplicaId, u64)>,
+    pub never_reopen: &'a FastSet<(ReplicaId, u64)>,
     /// Whether hosts without weights may join replicas: true before the first request, when
     /// loads are quick and nobody waits for a spare.
     pub may_load_members: bool,
@@ -103,16 +103,16 @@
     pub may_stage: bool,
 }
 
-impl FabricSituation<'_> {
+impl FabricState<'_> {
     /// The cover of a model in all fabric domains; `formed` replicas are new.
     pub(super) fn cover(&self, model: &ModelConfig, formed: usize) -> Cover {
-        let standing = self.fleet.get(&model.name).copied().unwrap_or(0);
+        let standing = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
         Cover::of(model, standing + formed)
     }
 
     /// The cover of a model in all fabric domains when some of its replicas are given up.
     pub(super) fn cover_without(&self, model: &ModelConfig, given: usize) -> Cover {
-        let standing = self.fleet.get(&model.name).copied().unwrap_or(0);
+        let standing = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
         Cover::of(model, standing.saturating_sub(given))
     }
 }
--- a/crates/serving/src/plan/tally.rs
+++ b/crates/serving/src/plan/tally.rs
@@ -3,12 +3,12 @@
 use domain::{FastMap, HostId, ModelName};
 
 use super::cover::Cover;
-use super::situation::FabricSituation;
+use super::state::FabricState;
 use crate::route::ModelConfig;
 
 /// Replicas that stand in a fabric domain, with those that the plan forms.
 pub(super) struct ReplicaTally<'a> {
-    situation: &'a FabricSituation<'a>,
+    situation: &'a FabricState<'a>,
     standing: FastMap<&'a ModelName, usize>,
     formed: FastMap<&'a ModelName, usize>,
     /// Hosts of replicas that stand, with their model where it is known.
@@ -16,7 +16,7 @@
 }
 
 impl<'a> ReplicaTally<'a> {
-    pub fn new(situation: &'a FabricSituation<'a>) -> Self {
+    pub fn new(situation: &'a FabricState<'a>) -> Self {
         Self {
             situation,
             standing: FastMap::default(),
@@ -60,7 +60,7 @@
 
     /// Replicas of a model that the domain should have.
     pub fn wanted(&self, model: &ModelName) -> usize {
-        self.situation.wanted.get(model).copied().unwrap_or(0)
+        self.situation.desired.get(model).copied().unwrap_or(0)
     }
 
     /// Whether the domain should have a further replica of a model.
--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -6,7 +6,7 @@
 use cases::properties;
 use domain::FabricId;
 use serving::ModelConfig;
-use serving::plan::{FabricLayout, FabricRoom, lay_out};
+use serving::plan::{FabricCapacity, FabricLayout, compute_layout};
 
 fn model(name: &str, size: usize, share: f64) -> ModelConfig {
     ModelConfig {
@@ -22,11 +22,11 @@
     format!("f{index}").parse().expect("a fabric")
 }
 
-fn domains(sizes: &[usize]) -> BTreeMap<FabricId, FabricRoom> {
+fn domains(sizes: &[usize]) -> BTreeMap<FabricId, FabricCapacity> {
     let named = sizes.iter().enumerate();
-    let room = |size: &usize| FabricRoom {
+    let room = |size: &usize| FabricCapacity {
         hosts: *size,
-        ..FabricRoom::default()
+        ..FabricCapacity::default()
     };
     named
         .map(|(index, size)| (fabric(index), room(size)))
@@ -44,7 +44,7 @@
 #[test]
 fn even_domains() {
     let models = [model("large", 4, 0.67), model("small", 2, 0.33)];
-    let layout = lay_out(&domains(&[8; 6]), &models);
+    let layout = compute_layout(&domains(&[8; 6]), &models);
     for index in 0..6 {
         let fabric = format!("f{index}");
         assert_eq!(count(&layout, &fabric, "large"), 1, "{layout:?}");
@@ -56,7 +56,7 @@
 #[test]
 fn large_domains() {
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
-    let layout = lay_out(&domains(&[19; 9]), &models);
+    let layout = compute_layout(&domains(&[19; 9]), &models);
     for (fabric, wanted) in &layout {
         let used: usize = wanted
             .iter()
@@ -70,7 +70,7 @@
 #[test]
 fn small_domain_left() {
     let models = [model("large", 4, 1.0)];
-    let layout = lay_out(&domains(&[3, 4]), &models);
+    let layout = compute_layout(&domains(&[3, 4]), &models);
     assert_eq!(count(&layout, "f0", "large"), 0);
     assert_eq!(count(&layout, "f1", "large"), 1);
 }
@@ -81,7 +81,7 @@
 #[test]
 fn large_model_placed() {
     let models = [model("large", 16, 0.5), model("small", 4, 0.5)];
-    let layout = lay_out(&domains(&[37; 6]), &models);
+    let layout = compute_layout(&domains(&[37; 6]), &models);
     for fabric in layout.keys() {
         assert_eq!(count(&layout, fabric.as_str(), "large"), 1, "{layout:?}");
     }
@@ -100,7 +100,7 @@
             room.loaded.insert(name.clone(), 16);
         }
         rooms.get_mut(&fabric(lost)).expect("a domain").hosts -= 1;
-        let layout = lay_out(&rooms, &models);
+        let layout = compute_layout(&rooms, &models);
         let held = [0, 1, 2, 3].map(|index| count(&layout, &format!("f{index}"), "large"));
         assert_eq!(held, [0, 1, 0, 1], "a host of f{lost} is lost");
     }
@@ -109,7 +109,7 @@
 /// Whether a domain could hold a replica more of `recipient` in place of some of `donor`, and `donor` would
 /// still have at least as many hosts for its share.
 fn could_give(
-    rooms: &BTreeMap<FabricId, FabricRoom>,
+    rooms: &BTreeMap<FabricId, FabricCapacity>,
     layout: &FabricLayout,
     recipient: &ModelConfig,
     donor: &ModelConfig,
@@ -146,7 +146,7 @@
             model("two", usize::from(second % 9), 0.4),
         ];
         let hosts = domains(&sizes);
-        let layout = lay_out(&hosts, &models);
+        let layout = compute_layout(&hosts, &models);
         layout.iter().all(|(fabric, wanted)| {
             let used: usize = models
                 .iter()
@@ -166,7 +166,7 @@
             model("two", 1 + usize::from(second % 16), 1.0 - share),
         ];
         let hosts = domains(&sizes);
-        let layout = lay_out(&hosts, &models);
+        let layout = compute_layout(&hosts, &models);
         !could_give(&hosts, &layout, &models[0], &models[1])
             && !could_give(&hosts, &layout, &models[1], &models[0])
     }
--- a/crates/serving/tests/plan/fabric_plan.rs
+++ b/crates/serving/tests/plan/fabric_plan.rs
@@ -5,7 +5,7 @@
 use cases::properties;
 use domain::{FastSet, HostId};
 use serving::MemberState;
-use serving::plan::{CloseMode, HostSituation, HostStay, PlanStep};
+use serving::plan::{CloseMode, HostLifecycle, HostState, PlanStep};
 
 use crate::kit::{Domain, LONG, formed, host, large_replica, member, warm};
 
@@ -53,7 +53,7 @@
 #[test]
 fn lost_member_replaced() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[1].silent = Some(Duration::ZERO);
+    hosts[1].silent_for = Some(Duration::ZERO);
     hosts.push(warm("s", "large"));
     let steps = Domain::of(hosts).plan();
     assert_eq!(formed(&steps), [["a", "c", "d", "s"]]);
@@ -64,7 +64,7 @@
 #[test]
 fn lost_member_unreplaced() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[1].silent = Some(Duration::ZERO);
+    hosts[1].silent_for = Some(Duration::ZERO);
     let steps = Domain::of(hosts).plan();
     assert_eq!(closed(&steps), Some(CloseMode::Cancel));
     assert!(formed(&steps).is_empty());
@@ -76,9 +76,9 @@
 fn dead_head_replaced() {
     let mut hosts = large_replica(MemberState::Open);
     hosts.push(warm("s", "large"));
-    hosts[0].silent = Some(Duration::from_millis(100));
+    hosts[0].silent_for = Some(Duration::from_millis(100));
     assert!(formed(&Domain::of(hosts.clone()).plan()).is_empty());
-    hosts[0].silent = Some(Duration::from_millis(500));
+    hosts[0].silent_for = Some(Duration::from_millis(500));
     assert_eq!(formed(&Domain::of(hosts).plan()), [["b", "c", "d", "s"]]);
 }
 
@@ -86,7 +86,7 @@
 #[test]
 fn leaving_member_closes() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[3].stay = HostStay::Leaving;
+    hosts[3].lifecycle = HostLifecycle::Draining;
     let steps = Domain::of(hosts).plan();
     assert_eq!(closed(&steps), Some(CloseMode::Wait));
 }
@@ -96,14 +96,14 @@
 #[test]
 fn unlisted_member_kept() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[2].stay = HostStay::Unlisted;
+    hosts[2].lifecycle = HostLifecycle::Unlisted;
     hosts.push(warm("s", "large"));
     assert_eq!(Domain::of(hosts).plan(), Vec::new());
-    let mut spares: Vec<HostSituation> = ["p", "q", "r", "s"]
+    let mut spares: Vec<HostState> = ["p", "q", "r", "s"]
         .iter()
         .map(|id| warm(id, "large"))
         .collect();
-    spares[0].stay = HostStay::Unlisted;
+    spares[0].lifecycle = HostLifecycle::Unlisted;
     assert!(formed(&Domain::of(spares).plan()).is_empty());
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn unlisted_head_ends() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[0].stay = HostStay::Unlisted;
+    hosts[0].lifecycle = HostLifecycle::Unlisted;
     hosts.push(warm("e", "large"));
     let steps = Domain::of(hosts.clone()).plan();
     assert_eq!(closed(&steps), Some(CloseMode::Wait));
@@ -128,7 +128,7 @@
 #[test]
 fn retired_head_left_alone() {
     let mut hosts = large_replica(MemberState::Open);
-    hosts[0].stay = HostStay::Retired;
+    hosts[0].lifecycle = HostLifecycle::Retired;
     hosts.push(warm("e", "large"));
     let steps = Domain::of(hosts).plan();
     assert_eq!(closed(&steps), None);
@@ -142,8 +142,8 @@
 fn successor_keeps_spare() {
     for state in [MemberState::Open, MemberState::Closing] {
         let mut hosts = large_replica(state);
-        hosts[2].stay = HostStay::Leaving;
-        hosts[0].unchanged = Duration::ZERO;
+        hosts[2].lifecycle = HostLifecycle::Draining;
+        hosts[0].unchanged_for = Duration::ZERO;
         for id in ["e", "f"] {
             let mut spare = warm(id, "small");
             spare.staged.push("large".parse().expect("a model"));
@@ -161,14 +161,14 @@
     let mut hosts = large_replica(MemberState::Joining);
     hosts.truncate(2);
     for host in &mut hosts {
-        host.unchanged = Duration::from_millis(50);
+        host.unchanged_for = Duration::from_millis(50);
     }
     hosts.extend([warm("s", "large"), warm("t", "large")]);
     let steps = Domain::of(hosts.clone()).plan();
     assert!(formed(&steps).is_empty(), "{steps:?}");
     // Whoever formed it died: the hosts are used after a while.
     for host in &mut hosts[..2] {
-        host.unchanged = LONG;
+        host.unchanged_for = LONG;
         if let Some(membership) = &mut host.membership {
             membership.state = MemberState::Ready;
         }
@@ -225,11 +225,11 @@
                 2 => warm(&id, "large"),
                 _ => member(&id, "large", &replica, u32::from(rank % 5), states[usize::from(rank % 5)]),
             };
-            host.silent = silent.then_some(Duration::from_secs(1));
-            host.stay = if leaving {
-                HostStay::Leaving
+            host.silent_for = silent.then_some(Duration::from_secs(1));
+            host.lifecycle = if leaving {
+                HostLifecycle::Draining
             } else {
-                HostStay::Stays
+                HostLifecycle::Active
             };
             hosts.push(host);
         }
--- a/crates/serving/tests/plan/fair_repair.rs
+++ b/crates/serving/tests/plan/fair_repair.rs
@@ -8,12 +8,14 @@
 use cases::seeded;
 use domain::{FabricId, FastMap, FastSet, HostId, ModelName, ReplicaId};
 use quickcheck::TestResult;
-use serving::plan::{FabricRoom, FabricSituation, HostSituation, PlanStep, lay_out, plan_fabric};
+use serving::plan::{
+    FabricCapacity, FabricState, HostState, PlanStep, compute_layout, plan_fabric,
+};
 use serving::{MemberState, ModelConfig, ReplicaMembership};
 
 use crate::kit::{Domain, LONG, formed, member, model, warm};
 
-fn with_both(mut host: HostSituation) -> HostSituation {
+fn with_both(mut host: HostState) -> HostState {
     host.staged = vec![
         "large".parse().expect("a model"),
         "small".parse().expect("a model"),
@@ -22,9 +24,8 @@
 }
 
 /// A domain whose large replica lost a host, between two small replicas of which one is wanted.
-fn short_domain() -> Vec<HostSituation> {
-    let mut hosts: Vec<HostSituation> =
-        ["x", "y", "z"].iter().map(|id| warm(id, "large")).collect();
+fn short_domain() -> Vec<HostState> {
+    let mut hosts: Vec<HostState> = ["x", "y", "z"].iter().map(|id| warm(id, "large")).collect();
     for (replica, [head, other]) in [("r-1", ["a", "b"]), ("r-2", ["c", "d"])] {
         hosts.push(member(head, "small", replica, 0, MemberState::Open));
         hosts.push(member(other, "small", replica, 1, MemberState::Ready));
@@ -63,7 +64,7 @@
 fn one_is_enough() {
     let mut hosts = short_domain();
     for host in &mut hosts[3..5] {
-        host.unchanged = std::time::Duration::from_millis(100);
+        host.unchanged_for = std::time::Duration::from_millis(100);
     }
     if let Some(membership) = &mut hosts[3].membership {
         membership.state = MemberState::Closing;
@@ -101,7 +102,7 @@
 /// Fabric domains whose hosts hold both models, with orders that take effect at once.
 struct Fleet {
     models: Vec<ModelConfig>,
-    fabrics: BTreeMap<FabricId, Vec<HostSituation>>,
+    fabrics: BTreeMap<FabricId, Vec<HostState>>,
     spent: FastSet<(ReplicaId, u64)>,
     named: usize,
 }
@@ -126,13 +127,13 @@
     fn wanted(&self) -> BTreeMap<FabricId, BTreeMap<ModelName, usize>> {
         let mut rooms = BTreeMap::new();
         for (fabric, hosts) in &self.fabrics {
-            let mut room = FabricRoom::default();
+            let mut room = FabricCapacity::default();
             for host in hosts {
                 room.add(host.loaded.as_ref());
             }
             rooms.insert(fabric.clone(), room);
         }
-        lay_out(&rooms, &self.models)
+        compute_layout(&rooms, &self.models)
     }
 
     /// Replicas that serve in a domain, and hosts in none.
@@ -194,12 +195,12 @@
         let fabrics: Vec<FabricId> = self.fabrics.keys().cloned().collect();
         for fabric in fabrics {
             let fleet = self.standing();
-            let steps = plan_fabric(&FabricSituation {
+            let steps = plan_fabric(&FabricState {
                 models: &self.models,
-                wanted: &wanted[&fabric],
+                desired: &wanted[&fabric],
                 hosts: &self.fabrics[&fabric],
-                fleet: &fleet,
-                spent: &self.spent,
+                fleet_replicas: &fleet,
+                never_reopen: &self.spent,
                 may_load_members: false,
                 may_stage: false,
             })
@@ -247,11 +248,11 @@
         }
     }
 
-    fn host(&mut self, fabric: &FabricId, id: &HostId) -> &mut HostSituation {
+    fn host(&mut self, fabric: &FabricId, id: &HostId) -> &mut HostState {
         let hosts = self.fabrics.get_mut(fabric).expect("the fabric is there");
         let host = hosts.iter_mut().find(|host| host.id == *id);
         let host = host.expect("the host is there");
-        host.unchanged = LONG;
+        host.unchanged_for = LONG;
         host
     }
 
--- a/crates/serving/tests/plan/kit.rs
+++ b/crates/serving/tests/plan/kit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId};
-use serving::plan::{FabricSituation, HostSituation, HostStay, PlanStep, plan_fabric};
+use serving::plan::{FabricState, HostLifecycle, HostState, PlanStep, plan_fabric};
 use serving::{MemberState, ModelConfig, ReplicaMembership};
 
 pub const LONG: Duration = Duration::from_mins(1);
@@ -23,37 +23,31 @@
     vec![model("large", 4, 0.67), model("small", 2, 0.33)]
 }
 
-pub fn host(id: &str) -> HostSituation {
-    HostSituation {
+pub fn host(id: &str) -> HostState {
+    HostState {
         id: id.parse().expect("a host"),
-        silent: None,
-        stay: HostStay::Stays,
-        ordered: false,
+        silent_for: None,
+        lifecycle: HostLifecycle::Active,
+        order_pending: false,
         loaded: None,
         staged: Vec::new(),
         staging: None,
         membership: None,
-        unchanged: LONG,
+        unchanged_for: LONG,
     }
 }
 
-pub fn warm(id: &str, model: &str) -> HostSituation {
+pub fn warm(id: &str, model: &str) -> HostState {
     let name: ModelName = model.parse().expect("a model");
-    HostSituation {
+    HostState {
         loaded: Some(name.clone()),
         staged: vec![name],
         ..host(id)
     }
 }
 
-pub fn member(
-    id: &str,
-    model: &str,
-    replica: &str,
-    rank: u32,
-    state: MemberState,
-) -> HostSituation {
-    HostSituation {
+pub fn member(id: &str, model: &str, replica: &str, rank: u32, state: MemberState) -> HostState {
+    HostState {
         membership: Some(ReplicaMembership {
             replica: replica.parse().expect("a replica"),
             epoch: 7,
@@ -65,7 +59,7 @@
 }
 
 /// Four members of the large model; the head in `state`.
-pub fn large_replica(state: MemberState) -> Vec<HostSituation> {
+pub fn large_replica(state: MemberState) -> Vec<HostState> {
     vec![
         member("a", "large", "r-1", 0, state),
         member("b", "large", "r-1", 1, MemberState::Ready),
@@ -75,7 +69,7 @@
 }
 
 pub struct Domain {
-    hosts: Vec<HostSituation>,
+    hosts: Vec<HostState>,
     wanted: BTreeMap<ModelName, usize>,
     spent: FastSet<(ReplicaId, u64)>,
     pub fleet: FastMap<ModelName, usize>,
@@ -84,7 +78,7 @@
 }
 
 impl Domain {
-    pub fn of(hosts: Vec<HostSituation>) -> Self {
+    pub fn of(hosts: Vec<HostState>) -> Self {
         let mut wanted = BTreeMap::new();
         wanted.insert("large".parse().expect("a model"), 1);
         wanted.insert("small".parse().expect("a model"), 1);
@@ -114,12 +108,12 @@
     }
 
     pub fn plan(&self) -> Vec<PlanStep> {
-        plan_fabric(&FabricSituation {
+        plan_fabric(&FabricState {
             models: &models(),
-            wanted: &self.wanted,
+            desired: &self.wanted,
             hosts: &self.hosts,
-            fleet: &self.fleet,
-            spent: &self.spent,
+            fleet_replicas: &self.fleet,
+            never_reopen: &self.spent,
             may_load_members: self.may_load,
             may_stage: self.may_stage,
         })
--- a/crates/serving/tests/plan/staged_hosts.rs
+++ b/crates/serving/tests/plan/staged_hosts.rs
@@ -4,13 +4,13 @@
 //! load from the weight store takes twelve to sixteen seconds and callers fill all replicas.
 
 use serving::MemberState;
-use serving::plan::{HostSituation, PlanStep, spare_prefix};
+use serving::plan::{HostState, PlanStep, spare_prefix};
 
 use crate::kit::{Domain, formed, host, member, warm};
 
 /// A host that holds one model in memory and the other one staged.
-fn universal(id: &str, model: &str, other: &str) -> HostSituation {
-    HostSituation {
+fn universal(id: &str, model: &str, other: &str) -> HostState {
+    HostState {
         staged: vec![other.parse().expect("a model")],
         ..warm(id, model)
     }
