--- a/crates/domain/src/claim.rs
+++ b/crates/domain/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims on non-idempotent calls: who may send a payment or an award, once.
+//! Claims on non-idempotent calls such as payments, which must run at most once.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,43 +6,45 @@
 
 /// The ledger row of one non-idempotent call.
 ///
-/// A row is inserted conditionally before the call is sent; only the node that inserted it sends.
+/// The row is inserted conditionally before the call is sent, and only the node whose insert
+/// succeeded sends the call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallClaim {
-    /// The node that may send.
+    /// The node that may send the call.
     pub claimant: NodeId,
-    /// The one attempt that may be sent.
+    /// The only attempt that may be sent.
     pub attempt: AttemptId,
-    /// SHA-256 of the request's body, so that a reused key with another body is noticed.
+    /// SHA-256 of the request body, to detect an idempotency key that is reused with another body.
     pub body_hash: String,
-    /// How far the call is.
+    /// Progress of the call.
     pub state: ClaimState,
 }
 
-/// How far a claimed call is.
+/// Progress of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Claimed; it may have been sent.
+    /// The call may or may not have been sent.
     Claimed,
-    /// The target answered.
+    /// The target responded; the response is kept to answer repeats of the call.
     Answered {
-        /// HTTP status of the answer.
+        /// HTTP status code of the response.
         status: u16,
-        /// Content type of the answer.
+        /// `Content-Type` header of the response.
         content_type: String,
-        /// Body of the answer, as text.
+        /// Response body as text.
         body: String,
     },
-    /// The claimant proved that no byte reached a target.
+    /// The claimant established that no byte reached a target.
     NotRun,
 }
 
 impl CallClaim {
-    /// Whether the row may be replaced by a new claim without a second run.
+    /// Whether a new claim may replace the row without risking that the call runs twice.
     ///
-    /// Only a call that the claimant itself proved unsent is free again; a mere claim never is,
-    /// however old, because a paused claimant could still send it.
+    /// This holds only once the claimant itself has recorded that the call was not sent. A
+    /// [`ClaimState::Claimed`] row is never replaceable, however old, because a paused claimant
+    /// could still send the call.
     #[must_use]
     pub fn is_replaceable(&self) -> bool {
         matches!(self.state, ClaimState::NotRun)
--- a/crates/domain/src/evidence.rs
+++ b/crates/domain/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that every host of a replica is there.
+//! Evidence that all hosts of a replica are up.
 
 use std::time::Duration;
 
@@ -7,32 +7,33 @@
 use crate::ids::{HostId, IncarnationNumber, ReplicaId};
 use crate::replica::ReplicaPlan;
 
-/// One observation of a replica's hosts.
+/// The result of one health check of a replica's hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthEvidence {
-    /// The replica.
+    /// The replica that was checked.
     pub replica: ReplicaId,
-    /// The incarnation that the hosts reported.
+    /// Incarnation that the hosts reported.
     pub incarnation: IncarnationNumber,
-    /// Every host that reported this incarnation, by rank.
+    /// Hosts that reported this incarnation, ordered by rank.
     pub hosts: Vec<HostId>,
-    /// Whether any host said that it is leaving.
+    /// Whether any host reported that it is leaving.
     pub leaving: bool,
-    /// Age of the oldest report in it; ages are passed on, never wall times.
+    /// Age of the oldest host report included. Nodes exchange ages, never wall clock times.
     pub age: Duration,
 }
 
 impl HealthEvidence {
-    /// Whether it allows dispatch to the replica as planned.
+    /// Whether requests may be dispatched to the replica described by `plan`.
     ///
-    /// It fails closed: another incarnation, a missing host, a leaving host or an old report each
-    /// deny, because a replica with a host missing would take the request and never answer it.
+    /// The check fails closed. It returns false for another incarnation, a missing or leaving host
+    /// and evidence older than `max_age`, because a replica that lacks a host accepts requests but
+    /// never answers them.
     #[must_use]
-    pub fn allows_dispatch(&self, plan: &ReplicaPlan, limit: Duration) -> bool {
+    pub fn allows_dispatch(&self, plan: &ReplicaPlan, max_age: Duration) -> bool {
         self.replica == plan.id
             && self.incarnation == plan.incarnation
             && self.hosts == plan.hosts
             && !self.leaving
-            && self.age <= limit
+            && self.age <= max_age
     }
 }
--- a/crates/domain/src/finding.rs
+++ b/crates/domain/src/finding.rs
@@ -1,29 +1,29 @@
-//! Findings about bad input, each with its place, collected and reported together.
+//! Validation findings: each names the path of an invalid value, and all are reported together.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that is wrong with an input.
+/// One problem found while validating an input.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordFinding {
-    /// Where: a JSON path such as `spec.grants[0].model`.
+    /// JSON path of the invalid value, such as `spec.grants[0].model`.
     #[serde(rename = "place")]
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub problem: String,
-    /// What to write instead; empty where nothing useful can be said.
+    /// How to fix it; empty if there is no useful advice.
     pub advice: String,
 }
 
-/// All findings about one input, in the order of their places.
+/// All findings about one input, in the order in which they were added.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingList {
     findings: Vec<RecordFinding>,
 }
 
 impl FindingList {
-    /// Adds a finding.
+    /// Appends a finding.
     pub fn add(
         &mut self,
         path: impl Into<String>,
@@ -37,23 +37,23 @@
         });
     }
 
-    /// Whether nothing was found.
+    /// Whether the input is valid so far.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The findings so far.
+    /// The findings in the order in which they were added.
     #[must_use]
     pub fn as_slice(&self) -> &[RecordFinding] {
         &self.findings
     }
 
-    /// Returns `value` when nothing was found.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
     ///
-    /// The list itself when it holds a finding.
+    /// The list itself if it is not empty.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             return Ok(value);
--- a/crates/domain/src/fleet.rs
+++ b/crates/domain/src/fleet.rs
@@ -1,53 +1,53 @@
-//! The replicas of one fabric domain, as one table row.
+//! The replicas of one fabric domain, stored as one table row.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{HostId, ReplicaId};
 use crate::replica::{ReplicaError, ReplicaPlan};
 
-/// All replicas of one fabric domain. Its row has one writer, the holder of the fabric's lease.
+/// All replicas of one fabric domain. Only the holder of the fabric's lease writes this row.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FabricFleet {
-    /// Number of the next replica; numbers are never used again, so that a late order or report
-    /// of a dissolved replica can't be taken for a new one.
+    /// Number of the next replica. Numbers are never reused, so a delayed order or report that
+    /// refers to a dissolved replica can't be mistaken for one that refers to a new replica.
     pub next_number: u64,
-    /// The replicas.
+    /// Plans of the existing replicas.
     pub plans: Vec<ReplicaPlan>,
 }
 
-/// Why a fleet stays as it is.
+/// Why a change to a fleet was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
-    /// The plan itself breaks a rule.
+    /// The plan itself is invalid.
     #[error(transparent)]
     Plan(#[from] ReplicaError),
-    /// A host belongs to another replica.
-    #[error("host {host} belongs to replica {replica}")]
+    /// A host is already part of another replica.
+    #[error("host {host} already belongs to replica {replica}")]
     HostTaken {
-        /// The host.
+        /// Host named by the rejected plan.
         host: HostId,
-        /// The replica that it belongs to.
+        /// Replica that the host belongs to.
         replica: ReplicaId,
     },
-    /// The replica exists already.
-    #[error("replica {0} exists already")]
+    /// A replica with this id already exists.
+    #[error("replica {0} already exists")]
     AlreadyExists(ReplicaId),
-    /// There is no such replica.
-    #[error("there is no replica {0}")]
+    /// No replica has this id.
+    #[error("replica {0} does not exist")]
     Unknown(ReplicaId),
-    /// Hosts, model or version changed without a higher incarnation.
-    #[error("replica {0} changed without a higher incarnation")]
+    /// The plan changed, other than in its drain flag, without a higher incarnation.
+    #[error("replica {0} was changed without raising its incarnation")]
     IncarnationNotRaised(ReplicaId),
 }
 
 impl FabricFleet {
-    /// The replica that a host belongs to.
+    /// Returns the replica that a host belongs to.
     #[must_use]
     pub fn replica_of(&self, host: &HostId) -> Option<&ReplicaPlan> {
         self.plans.iter().find(|plan| plan.hosts.contains(host))
     }
 
-    /// The replica with an id.
+    /// Returns the replica with the given id.
     #[must_use]
     pub fn plan(&self, id: &ReplicaId) -> Option<&ReplicaPlan> {
         self.plans.iter().find(|plan| plan.id == *id)
@@ -70,11 +70,12 @@
         Ok(())
     }
 
-    /// The fleet with one more replica.
+    /// Returns the fleet with one more replica.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] when the id is in use or a host belongs to another replica.
+    /// [`FleetError`] if the plan is invalid, the id is in use or a host belongs to another
+    /// replica.
     pub fn with_replica(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
         self.check_hosts(&plan)?;
         if self.plan(&plan.id).is_some() {
@@ -86,23 +87,23 @@
         Ok(fleet)
     }
 
-    /// The fleet with a replica changed.
+    /// Returns the fleet with the plan of one replica replaced.
     ///
     /// # Errors
     ///
-    /// [`FleetError`]; a change of hosts, model, version, adapters or role needs a higher
-    /// incarnation, because evidence and streams of the old one would pass for the new one.
+    /// [`FleetError`]. Any change except to `draining` needs a higher incarnation; otherwise
+    /// evidence and streams of the old plan would be accepted for the new one.
     pub fn with_changed(&self, plan: ReplicaPlan) -> Result<Self, FleetError> {
         self.check_hosts(&plan)?;
         let Some(index) = self.plans.iter().position(|other| other.id == plan.id) else {
             return Err(FleetError::Unknown(plan.id));
         };
         let old = &self.plans[index];
-        let same = ReplicaPlan {
+        let unchanged = ReplicaPlan {
             draining: plan.draining,
             ..old.clone()
         } == plan;
-        if !same && plan.incarnation <= old.incarnation {
+        if !unchanged && plan.incarnation <= old.incarnation {
             return Err(FleetError::IncarnationNotRaised(plan.id));
         }
         let mut fleet = self.clone();
@@ -110,8 +111,8 @@
         Ok(fleet)
     }
 
-    /// The fleet without a replica. The slots of its hosts stay as they are until each host itself
-    /// reports that it is empty.
+    /// Returns the fleet without the given replica. The slots of its hosts are not freed here but
+    /// once each host itself reports that it is empty.
     ///
     /// # Errors
     ///
--- a/crates/domain/src/host.rs
+++ b/crates/domain/src/host.rs
@@ -1,58 +1,58 @@
-//! A host's slot: which replica, if any, the host belongs to.
+//! Host slots: which replica, if any, a host belongs to.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{BootNumber, IncarnationNumber, LeaseEpoch, ReplicaId};
 
-/// The table row of a host. At most one replica ever stands in it.
+/// The table row of a host. It names at most one replica at a time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostSlot {
-    /// The replica that the host belongs to.
+    /// Replica that the host belongs to; none if the host is free.
     pub assignment: Option<SlotAssignment>,
-    /// Highest epoch under which the slot was written.
+    /// Highest lease epoch under which the slot was written.
     pub epoch: LeaseEpoch,
 }
 
-/// A host's part in a replica.
+/// The assignment of a host to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotAssignment {
-    /// The replica.
+    /// Replica that the host joins.
     pub replica: ReplicaId,
-    /// Its incarnation.
+    /// Incarnation of the replica.
     pub incarnation: IncarnationNumber,
-    /// The host's boot number when it was assigned.
+    /// Boot number of the host at the time of the assignment.
     pub boot: BootNumber,
 }
 
-/// Why a slot stays as it is.
+/// Why a change to a slot was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SlotError {
-    /// Another replica holds it.
-    #[error("the host belongs to replica {0}")]
+    /// The slot is assigned to another replica.
+    #[error("the host already belongs to replica {0}")]
     Taken(ReplicaId),
-    /// The writer's lease is out of date.
-    #[error("epoch {given} is older than the slot's {current}")]
+    /// The writer's lease has been taken over.
+    #[error("lease epoch {given} is older than epoch {current} of the slot")]
     StaleEpoch {
-        /// The writer's epoch.
+        /// Lease epoch of the writer.
         given: LeaseEpoch,
-        /// The slot's epoch.
+        /// Epoch stored in the slot.
         current: LeaseEpoch,
     },
-    /// The replica went on to a later incarnation already.
-    #[error("incarnation {given} is not newer than the slot's {current}")]
+    /// The slot already holds a later incarnation of the replica.
+    #[error("incarnation {given} is older than incarnation {current} of the slot")]
     StaleIncarnation {
-        /// The writer's incarnation.
+        /// Incarnation to be assigned.
         given: IncarnationNumber,
-        /// The slot's incarnation.
+        /// Incarnation stored in the slot.
         current: IncarnationNumber,
     },
-    /// The host still runs the old assignment.
+    /// The host may still run its old assignment.
     #[error("the host has not reported that it is empty")]
     HostNotEmpty,
 }
 
 impl HostSlot {
-    fn admit_epoch(&self, epoch: LeaseEpoch) -> Result<(), SlotError> {
+    fn check_epoch(&self, epoch: LeaseEpoch) -> Result<(), SlotError> {
         if epoch >= self.epoch {
             return Ok(());
         }
@@ -62,14 +62,15 @@
         })
     }
 
-    /// The slot after the host joins a replica.
+    /// Returns the slot after the host joins a replica.
     ///
     /// # Errors
     ///
-    /// [`SlotError::Taken`] while another replica holds it, [`SlotError::StaleEpoch`] for a writer
-    /// whose lease was taken over, [`SlotError::StaleIncarnation`] for a step back.
+    /// [`SlotError::Taken`] if the host belongs to another replica, [`SlotError::StaleEpoch`] if the
+    /// writer's lease was taken over, [`SlotError::StaleIncarnation`] if the slot holds a later
+    /// incarnation.
     pub fn assign(&self, assignment: SlotAssignment, epoch: LeaseEpoch) -> Result<Self, SlotError> {
-        self.admit_epoch(epoch)?;
+        self.check_epoch(epoch)?;
         if let Some(current) = &self.assignment {
             if current.replica != assignment.replica {
                 return Err(SlotError::Taken(current.replica.clone()));
@@ -87,17 +88,18 @@
         })
     }
 
-    /// The slot after the host left its replica.
+    /// Returns the slot after the host left its replica.
     ///
-    /// A host that still runs the old rank would answer for two replicas once the slot is given
-    /// away. So the slot is freed only when the host itself proves that it is empty: it reports no
-    /// assignment, or a boot number newer than the one it was assigned under.
+    /// A host that still runs its old rank would serve two replicas once the slot is reassigned.
+    /// The slot is therefore freed only if the host itself proves that it is empty: it reports no
+    /// assignment, or a boot number higher than the one at its assignment.
     ///
     /// # Errors
     ///
-    /// [`SlotError::HostNotEmpty`] without such a proof, [`SlotError::StaleEpoch`] as above.
+    /// [`SlotError::HostNotEmpty`] without such a proof, [`SlotError::StaleEpoch`] if the writer's
+    /// lease was taken over.
     pub fn release(&self, proof: EmptyProof, epoch: LeaseEpoch) -> Result<Self, SlotError> {
-        self.admit_epoch(epoch)?;
+        self.check_epoch(epoch)?;
         let Some(current) = &self.assignment else {
             return Ok(Self {
                 assignment: None,
@@ -118,11 +120,11 @@
     }
 }
 
-/// How a host proved that it runs no rank of its old replica.
+/// Proof that a host no longer runs a rank of its old replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EmptyProof {
-    /// It reported that it has no assignment.
+    /// The host reported that it has no assignment.
     ReportedEmpty,
-    /// It reported this boot number.
+    /// The host reported this boot number; it counts if it is higher than at the assignment.
     Rebooted(BootNumber),
 }
--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -5,41 +5,41 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest identifier that is accepted, in bytes; table keys and log lines stay short.
+/// Maximum length of an identifier in bytes, which keeps table keys and log lines short.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// Why a text is no identifier.
+/// Why a string is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
-    /// The text is empty.
+    /// The string is empty.
     #[error("an identifier must not be empty")]
     Empty,
-    /// The text is longer than [`MAX_ID_BYTES`].
-    #[error("an identifier has at most {MAX_ID_BYTES} bytes, this one has {0}")]
+    /// The string is longer than [`MAX_ID_BYTES`].
+    #[error("an identifier must not be longer than {MAX_ID_BYTES} bytes, got {0}")]
     TooLong(usize),
-    /// The text holds a character outside `a-z A-Z 0-9 . _ : -`.
-    #[error("an identifier holds letters, digits, '.', '_', ':' and '-' only, not {0:?}")]
-    BadCharacter(char),
+    /// The string contains a character other than `a-z A-Z 0-9 . _ : -`.
+    #[error("an identifier may contain only letters, digits, '.', '_', ':' and '-', not {0:?}")]
+    InvalidCharacter(char),
 }
 
-fn checked_text(text: &str) -> Result<Arc<str>, IdError> {
+fn validate_id(text: &str) -> Result<Arc<str>, IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
     if text.len() > MAX_ID_BYTES {
         return Err(IdError::TooLong(text.len()));
     }
-    for letter in text.chars() {
-        let fine = letter.is_ascii_alphanumeric() || matches!(letter, '.' | '_' | ':' | '-');
-        if fine {
+    for character in text.chars() {
+        let valid = character.is_ascii_alphanumeric() || matches!(character, '.' | '_' | ':' | '-');
+        if valid {
             continue;
         }
-        return Err(IdError::BadCharacter(letter));
+        return Err(IdError::InvalidCharacter(character));
     }
     Ok(Arc::from(text))
 }
 
-macro_rules! text_ids {
+macro_rules! string_ids {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -58,7 +58,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                checked_text(text).map(Self)
+                validate_id(text).map(Self)
             }
         }
 
@@ -66,7 +66,7 @@
             type Error = IdError;
 
             fn try_from(text: String) -> Result<Self, IdError> {
-                checked_text(&text).map(Self)
+                validate_id(&text).map(Self)
             }
         }
 
@@ -84,38 +84,39 @@
     )*};
 }
 
-text_ids! {
-    /// A host that runs one rank of a replica.
+string_ids! {
+    /// A machine that runs one rank of a replica.
     HostId;
-    /// A failure domain: what may be lost at once.
+    /// A failure domain: hosts that may fail together.
     DomainId;
-    /// A fabric domain: the hosts that share a fast interconnect.
+    /// A fabric domain: hosts that share a fast interconnect.
     FabricId;
-    /// A region of failure domains.
+    /// A region, which contains several failure domains.
     RegionId;
-    /// A customer.
+    /// A customer, the owner of API keys, grants and a share.
     CustomerId;
-    /// A replica of a model: one target made of several hosts.
+    /// A replica of a model: one target formed by several hosts.
     ReplicaId;
-    /// An entry host's process, renewed at every start.
+    /// An entry node process; a new id is generated at every start.
     NodeId;
-    /// A model that callers name in their requests.
+    /// A model as named in requests.
     ModelName;
     /// A version of a model's weights.
     VersionName;
-    /// An adapter of a model.
+    /// An adapter (fine-tuned weights) of a model.
     AdapterName;
-    /// A plain service beside the model engines.
+    /// A plain HTTP service, as opposed to a model engine.
     ServiceName;
     /// One attempt to run a request on a target.
     AttemptId;
-    /// A caller's request, the same over all its attempts.
+    /// A caller's request; shared by all its attempts.
     RequestId;
-    /// The name of a lease row.
+    /// The name of a lease, part of its table key.
     LeaseName;
-    /// A token that marks a write, so that a lost answer can be settled by reading back.
+    /// A token stored with a write. If the response is lost, reading the token back tells whether
+    /// the write took effect.
     WriteToken;
-    /// The name of an operator's record within its kind.
+    /// The name of an operator's record, unique within its kind.
     RecordName;
 }
 
@@ -130,7 +131,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The counter one higher.
+            /// Returns the counter plus one.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -146,14 +147,14 @@
 }
 
 counters! {
-    /// A lease's epoch, raised at every change of holder; orders carry it as fencing number.
+    /// A lease epoch, raised at every change of holder; orders carry it as their fencing token.
     LeaseEpoch;
-    /// A replica's incarnation, raised at every change of its hosts.
+    /// A replica's incarnation, raised when its hosts, model, version, adapters or role change.
     IncarnationNumber;
-    /// A revision of the configuration as a whole.
+    /// A revision of the whole configuration.
     ConfigRevision;
-    /// A host's boot number, new after every restart of its engine.
+    /// A host's boot number, which rises at every restart of its engine.
     BootNumber;
-    /// A table row's version, raised at every write to the table.
+    /// The version of a table row, taken from a counter that rises at every write to the table.
     RowVersion;
 }
--- a/crates/domain/src/lease.rs
+++ b/crates/domain/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: who may act for a fabric domain or a deployment.
+//! Leases: which node may act for a fabric domain or for the whole deployment.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 
 use crate::ids::{LeaseEpoch, NodeId};
 
-/// A lease as it is kept in the table.
+/// A lease as stored in the table.
 ///
-/// It holds no wall time. An observer takes it over only after it has seen the same `renewals` for a
-/// whole `ttl` on its own monotonic clock, so that clocks of two hosts are never compared.
+/// It holds no wall clock time. An observer takes the lease over only after `renewals` has stayed
+/// the same for a whole `ttl` on its own monotonic clock, so clocks of two hosts are never compared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The holder; none after a release.
+    /// Node that holds the lease; none after a release.
     pub holder: Option<NodeId>,
-    /// Raised at every change of holder.
+    /// Incremented at every change of holder.
     pub epoch: LeaseEpoch,
-    /// Raised at every renewal.
+    /// Incremented at every renewal and at the release; starts at 0 in each epoch.
     #[serde(rename = "beat")]
     pub renewals: u64,
-    /// Time that a holder may act after the start of its last renewal, in milliseconds.
+    /// How long the holder may act after the start of its last renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
 impl LeaseRecord {
-    /// Time that a holder may act after the start of its last renewal.
+    /// How long the holder may act after the start of its last renewal.
     #[must_use]
     pub fn ttl(&self) -> Duration {
         Duration::from_millis(self.ttl_ms)
     }
 
-    /// The term after `node` renews it; none when another node holds it.
+    /// Returns the lease after `node` renews it; none unless `node` holds it.
     #[must_use]
     pub fn renewed(&self, node: &NodeId) -> Option<Self> {
         if self.holder.as_ref() != Some(node) {
@@ -42,9 +42,10 @@
         })
     }
 
-    /// The term after `node` takes it; none while it may still be held.
+    /// Returns the lease after `node` acquires it; none while it may still be held.
     ///
-    /// `unchanged_for` is the observer's monotonic time since it first saw this holder and beat.
+    /// `unchanged_for` is the time on the observer's monotonic clock since it first saw this holder
+    /// and renewal count.
     #[must_use]
     pub fn acquired(&self, node: &NodeId, unchanged_for: Duration, ttl: Duration) -> Option<Self> {
         let free = self.holder.is_none() || unchanged_for >= self.ttl();
@@ -59,7 +60,7 @@
         })
     }
 
-    /// The term after `node` gives it up; none when another node holds it.
+    /// Returns the lease after `node` releases it; none unless `node` holds it.
     #[must_use]
     pub fn released(&self, node: &NodeId) -> Option<Self> {
         if self.holder.as_ref() != Some(node) {
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,8 +1,8 @@
-//! Records, replicas, hosts, leases and claims as aggregates with typed ids.
+//! Domain types: records, replicas, hosts, leases and claims, with typed ids.
 //!
-//! Everything here is plain data with rules: no input, output, clocks or randomness. Times are
-//! ages ([`std::time::Duration`]) on the monotonic clock of whoever holds the value, because the
-//! clocks of two hosts are never compared.
+//! This crate contains data types and their invariants, without I/O, clocks or randomness. Times
+//! are ages ([`std::time::Duration`]) on the monotonic clock of the process that holds the value,
+//! because the clocks of two hosts are never compared.
 
 pub mod arena;
 pub mod claim;
--- a/crates/domain/src/maps.rs
+++ b/crates/domain/src/maps.rs
@@ -1,7 +1,7 @@
-//! Hash collections with a fast hasher.
+//! Hash collections with a fast, non-cryptographic hasher.
 
-/// Hash map with a fast, randomly seeded hasher.
+/// Hash map with the `foldhash` hasher, seeded at random.
 pub type FastMap<K, V> = std::collections::HashMap<K, V, foldhash::fast::RandomState>;
 
-/// Hash set with a fast, randomly seeded hasher.
+/// Hash set with the `foldhash` hasher, seeded at random.
 pub type FastSet<K> = std::collections::HashSet<K, foldhash::fast::RandomState>;
--- a/crates/domain/src/record.rs
+++ b/crates/domain/src/record.rs
@@ -1,7 +1,7 @@
-//! Operators' records: which models, versions and adapters serve which customers.
+//! Operator records: customers, models, plain services and drains.
 //!
-//! These are the aggregates of the newest meaning. The wire forms of schema versions 1 and 2 live
-//! in the crate `wire` and are converted from and into these.
+//! These types follow the newest schema version. The wire formats of schema versions 1 and 2 are in
+//! the crate `wire`, which converts between them and these types.
 
 use std::net::SocketAddr;
 
@@ -12,44 +12,45 @@
     AdapterName, CustomerId, DomainId, HostId, ModelName, RecordName, ServiceName, VersionName,
 };
 
-/// Largest share of a customer; shares are weights, so more would only lose precision.
+/// Maximum share of a customer. Shares are relative weights, so larger values would only lose
+/// precision.
 pub const MAX_SHARE: u32 = 1_000;
 
-/// Largest number of hosts of one replica.
+/// Maximum number of hosts of one replica.
 pub const MAX_HOSTS_PER_REPLICA: u32 = 64;
 
-/// One operator's record.
+/// A record written by an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordSpec {
-    /// A customer with its keys and grants.
+    /// A customer with its API keys and grants.
     Customer(CustomerRecord),
     /// A model with its versions and adapters.
     Model(ModelRecord),
-    /// A plain service.
+    /// A plain service with its instances and calls.
     Service(ServiceRecord),
-    /// Hosts that shall leave.
+    /// Hosts to be drained.
     Drain(DrainRecord),
 }
 
-/// Kind of a record.
+/// The kinds of operator records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RecordKind {
-    /// See [`CustomerRecord`].
+    /// Kind of a [`CustomerRecord`].
     Customer,
-    /// See [`ModelRecord`].
+    /// Kind of a [`ModelRecord`].
     Model,
-    /// See [`ServiceRecord`].
+    /// Kind of a [`ServiceRecord`].
     Service,
-    /// See [`DrainRecord`].
+    /// Kind of a [`DrainRecord`].
     Drain,
 }
 
 impl RecordKind {
-    /// Every kind, in the order in which records are listed.
+    /// All kinds, in the order in which records are listed.
     pub const ALL: [Self; 4] = [Self::Customer, Self::Model, Self::Service, Self::Drain];
 
-    /// The kind as it stands in records, keys and on the command line.
+    /// Returns the name of the kind used in records, table keys and on the command line.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -71,94 +72,95 @@
             }
         }
         Err(format!(
-            "unknown kind {text:?}: write customer, model, service or drain"
+            "unknown kind {text:?}, expected customer, model, service or drain"
         ))
     }
 }
 
-/// A customer: who may call what, and with which share of a contended target.
+/// A customer: its API keys, what it may call, and its share under contention.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CustomerRecord {
-    /// The customer's name.
+    /// Name of the customer, which identifies the record.
     pub name: CustomerId,
-    /// SHA-256 hashes of the bearer keys, as 64 hexadecimal digits each.
+    /// SHA-256 hashes of the customer's bearer keys, 64 hexadecimal digits each.
     pub key_hashes: Vec<String>,
     /// Models and adapters that the customer may use.
     pub grants: Vec<ModelGrant>,
     /// Plain services that the customer may call.
     pub services: Vec<ServiceName>,
-    /// Weight against other customers under contention, from 1 to [`MAX_SHARE`].
+    /// Weight relative to other customers when a target is contended, from 1 to [`MAX_SHARE`].
     pub share: u32,
 }
 
-/// Leave to use one model.
+/// Permission to use one model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelGrant {
-    /// The model.
+    /// Model that the customer may use.
     pub model: ModelName,
-    /// The version that the customer is pinned to; none follows the model's record.
+    /// Version to which the customer is pinned; none means the versions of the model's record.
     pub version: Option<VersionName>,
-    /// Adapters that the customer may name; the bare model is always granted.
+    /// Adapters that the customer may request. The model without an adapter is always granted.
     pub adapters: Vec<AdapterName>,
 }
 
-/// A model: how many replicas of which versions to keep.
+/// A model: which versions to run, and with how many replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelRecord {
-    /// The model's name.
+    /// Name of the model, which identifies the record.
     pub name: ModelName,
-    /// Hosts of one replica.
+    /// Number of hosts that form one replica, from 1 to [`MAX_HOSTS_PER_REPLICA`].
     pub hosts_per_replica: u32,
-    /// Versions side by side, each with its count of replicas.
+    /// Versions that run side by side, each named once.
     pub versions: Vec<VersionPlan>,
-    /// Adapters that every replica loads.
+    /// Adapters that every replica of the model loads.
     pub adapters: Vec<AdapterName>,
 }
 
-/// How many replicas of one version to keep.
+/// The desired replica count of one version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionPlan {
-    /// The version.
+    /// Version of the model's weights.
     pub version: VersionName,
-    /// Replicas wanted.
+    /// Desired number of replicas.
     pub replicas: u32,
 }
 
-/// A plain service beside the model engines.
+/// A plain HTTP service, as opposed to a model engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRecord {
-    /// The service's name.
+    /// Name of the service, which identifies the record.
     pub name: ServiceName,
-    /// Addresses of its instances.
+    /// Addresses of the service's instances.
     pub targets: Vec<SocketAddr>,
-    /// Its calls.
+    /// Calls that the service offers, each path once.
     pub calls: Vec<ServiceCall>,
 }
 
 /// One call of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceCall {
-    /// Path below the service, without a leading slash.
+    /// Path relative to the service, without a leading slash.
     pub path: String,
-    /// Whether running it twice does no harm.
+    /// Whether the call may safely run more than once.
     pub idempotent: bool,
-    /// Path of a look-up that tells by idempotency key whether the call ran, where there is one.
+    /// Path of the endpoint that reports, by idempotency key, whether the call ran; none if the
+    /// service has no such endpoint.
     pub lookup: Option<String>,
 }
 
-/// Hosts that shall receive no new work.
+/// Hosts that must not receive new work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainRecord {
-    /// The record's name.
+    /// Name of the record.
     pub name: RecordName,
-    /// Hosts to drain.
+    /// Individual hosts to drain.
     pub hosts: Vec<HostId>,
-    /// Failure domains to drain whole.
+    /// Failure domains in which all hosts are drained.
     pub domains: Vec<DomainId>,
 }
 
 impl RecordSpec {
-    /// The record's kind.
+    /// Returns the kind of the record.
     #[must_use]
     pub fn kind(&self) -> RecordKind {
         match self {
@@ -169,7 +171,7 @@
         }
     }
 
-    /// The record's name within its kind.
+    /// Returns the record's name, unique within its kind.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -180,11 +182,11 @@
         }
     }
 
-    /// Checks the rules that hold within one record.
+    /// Validates the record by itself, without reference to other records.
     ///
     /// # Errors
     ///
-    /// Every breach with its place.
+    /// All violations, each with the path of the invalid value.
     pub fn check(&self) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         match self {
@@ -200,10 +202,10 @@
 impl CustomerRecord {
     fn check(&self, findings: &mut FindingList) {
         if self.share == 0 || self.share > MAX_SHARE {
-            let advice = format!("write a number from 1 to {MAX_SHARE}");
+            let advice = format!("use a number from 1 to {MAX_SHARE}");
             findings.add(
                 "spec.share",
-                format!("a share of {} is out of bounds", self.share),
+                format!("share {} is out of range", self.share),
                 advice,
             );
         }
@@ -215,20 +217,20 @@
             findings.add(
                 format!("spec.key_hashes[{index}]"),
                 "not a SHA-256 hash",
-                "write the 64 hexadecimal digits that `bramleyspring hash-key` prints",
+                "use the 64 hexadecimal digits that `bramleyspring hash-key` prints",
             );
         }
         for (index, grant) in self.grants.iter().enumerate() {
-            let twice = self.grants[..index]
+            let duplicate = self.grants[..index]
                 .iter()
                 .any(|other| other.model == grant.model);
-            if !twice {
+            if !duplicate {
                 continue;
             }
             findings.add(
                 format!("spec.grants[{index}].model"),
-                format!("{} is granted twice", grant.model),
-                "keep one grant for each model",
+                format!("duplicate grant for model {}", grant.model),
+                "keep one grant per model",
             );
         }
     }
@@ -239,28 +241,31 @@
         if self.hosts_per_replica == 0 || self.hosts_per_replica > MAX_HOSTS_PER_REPLICA {
             findings.add(
                 "spec.hosts_per_replica",
-                format!("{} hosts are out of bounds", self.hosts_per_replica),
-                format!("write a number from 1 to {MAX_HOSTS_PER_REPLICA}"),
+                format!(
+                    "{} hosts per replica is out of range",
+                    self.hosts_per_replica
+                ),
+                format!("use a number from 1 to {MAX_HOSTS_PER_REPLICA}"),
             );
         }
         if self.versions.is_empty() {
             findings.add(
                 "spec.versions",
-                "no version is named",
-                "name at least one version",
+                "the list of versions is empty",
+                "add at least one version",
             );
         }
         for (index, plan) in self.versions.iter().enumerate() {
-            let twice = self.versions[..index]
+            let duplicate = self.versions[..index]
                 .iter()
                 .any(|other| other.version == plan.version);
-            if !twice {
+            if !duplicate {
                 continue;
             }
             findings.add(
                 format!("spec.versions[{index}].version"),
-                format!("{} is named twice", plan.version),
-                "keep one plan for each version",
+                format!("duplicate version {}", plan.version),
+                "keep one entry per version",
             );
         }
     }
@@ -271,8 +276,8 @@
         if self.targets.is_empty() {
             findings.add(
                 "spec.targets",
-                "no address is named",
-                "name at least one ip:port",
+                "the list of targets is empty",
+                "add at least one ip:port address",
             );
         }
         for (index, call) in self.calls.iter().enumerate() {
@@ -280,19 +285,19 @@
                 findings.add(
                     format!("spec.calls[{index}].path"),
                     "a path must not be empty or start with '/'",
-                    "write it relative to the service, such as fees/pay",
+                    "use a path relative to the service, such as fees/pay",
                 );
             }
-            let twice = self.calls[..index]
+            let duplicate = self.calls[..index]
                 .iter()
                 .any(|other| other.path == call.path);
-            if !twice {
+            if !duplicate {
                 continue;
             }
             findings.add(
                 format!("spec.calls[{index}].path"),
-                format!("{} is named twice", call.path),
-                "keep one entry for each path",
+                format!("duplicate path {}", call.path),
+                "keep one entry per path",
             );
         }
     }
@@ -305,8 +310,8 @@
         }
         findings.add(
             "spec",
-            "nothing is named",
-            "name hosts or domains, or delete the record",
+            "the drain lists neither hosts nor domains",
+            "add hosts or domains, or delete the record",
         );
     }
 }
--- a/crates/domain/src/replica.rs
+++ b/crates/domain/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: one target that several hosts of one fabric domain form together.
+//! Replica plans. A replica is one target formed by several hosts of a fabric domain.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,63 +7,63 @@
 };
 use crate::maps::FastSet;
 
-/// What a replica's hosts do for a request.
+/// The part of inference that a replica performs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicaRole {
-    /// Reads prompts and generates tokens.
+    /// Prefill and decode on the same replica.
     #[default]
     Both,
-    /// Reads prompts and exports the KV cache.
+    /// Prefill only: processes prompts and exports the KV cache.
     Prefill,
-    /// Imports a KV cache and generates tokens.
+    /// Decode only: imports a KV cache and generates tokens.
     Decode,
 }
 
-/// A replica as it is kept in the table: which hosts serve what.
+/// A replica as stored in the table: which hosts serve which model.
 ///
-/// The first host is rank 0 and answers for all.
+/// The first host has rank 0 and receives the replica's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaPlan {
-    /// The replica's id, never used again.
+    /// Id of the replica; never reused.
     pub id: ReplicaId,
-    /// Raised at every change of hosts, model, version or role.
+    /// Raised when hosts, model, version, adapters or role change.
     pub incarnation: IncarnationNumber,
     /// Epoch of the lease under which this incarnation was written.
     pub epoch: LeaseEpoch,
-    /// Fabric domain of all the hosts.
+    /// Fabric domain that contains all hosts of the replica.
     pub fabric: FabricId,
-    /// All the hosts, by rank.
+    /// Hosts ordered by rank.
     pub hosts: Vec<HostId>,
-    /// The model.
+    /// Model that the replica serves.
     pub model: ModelName,
-    /// The version of its weights.
+    /// Version of the model's weights.
     pub version: VersionName,
-    /// Adapters loaded beside it.
+    /// Adapters loaded in addition to the model.
     pub adapters: Vec<AdapterName>,
-    /// What it does for a request.
+    /// Whether the replica performs prefill, decode or both.
     pub role: ReplicaRole,
-    /// Whether it takes no new work and shall be dissolved.
+    /// Whether the replica accepts no new work and is to be dissolved.
     pub draining: bool,
 }
 
-/// Why hosts form no replica.
+/// Why a replica plan is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
-    /// No host at all.
-    #[error("replica {0} has no host")]
+    /// The list of hosts is empty.
+    #[error("replica {0} has no hosts")]
     NoHost(ReplicaId),
-    /// One host twice.
-    #[error("replica {0} names host {1} twice")]
+    /// A host occurs more than once.
+    #[error("replica {0} lists host {1} more than once")]
     DuplicateHost(ReplicaId, HostId),
 }
 
 impl ReplicaPlan {
-    /// Checks the rules of the aggregate.
+    /// Validates the list of hosts.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError`] when it has no host or names one twice.
+    /// [`ReplicaError`] if it is empty or contains duplicates.
     pub fn check(&self) -> Result<(), ReplicaError> {
         if self.hosts.is_empty() {
             return Err(ReplicaError::NoHost(self.id.clone()));
@@ -78,13 +78,13 @@
         Ok(())
     }
 
-    /// The host that answers for all.
+    /// Returns the host with rank 0, which receives the replica's requests.
     #[must_use]
     pub fn leader(&self) -> Option<&HostId> {
         self.hosts.first()
     }
 
-    /// The rank of a host.
+    /// Returns the rank of a host; none if it is not part of the replica.
     #[must_use]
     pub fn rank(&self, host: &HostId) -> Option<usize> {
         self.hosts.iter().position(|other| other == host)
--- a/crates/domain/src/retention.rs
+++ b/crates/domain/src/retention.rs
@@ -1,4 +1,4 @@
-//! How old a table row is, counted without comparing the clocks of two hosts.
+//! Ages of table rows, determined without comparing the clocks of two hosts.
 
 use std::time::Duration;
 
@@ -6,31 +6,32 @@
 
 use crate::ids::RowVersion;
 
-/// Most checkpoints that are kept; older ones are merged away, which only makes rows look younger.
+/// Maximum number of checkpoints. Beyond it older ones are dropped, which only makes rows appear
+/// younger.
 const MAX_CHECKPOINTS: usize = 64;
 
-/// One moment: the table's version and the time counted up to it.
+/// A checkpoint: the table's version and the time counted so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionPoint {
-    /// Version of the table at that moment; rows with a lower one were written before it.
+    /// Version of the table at the checkpoint; rows with a lower version were written before it.
     pub version: RowVersion,
-    /// Time counted up to it, in milliseconds.
+    /// Time counted up to the checkpoint, in milliseconds.
     pub counted_ms: u64,
 }
 
-/// Time as the holders of one lease counted it, one after the other, on their own monotonic
-/// clocks. Time without a holder is not counted, so an age can only come out too low.
+/// Elapsed time as counted by the successive holders of one lease on their own monotonic clocks.
+/// Time without a holder is not counted, so ages can only be underestimated.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionLog {
-    /// Time counted in all, in milliseconds.
+    /// Total time counted, in milliseconds.
     pub counted_ms: u64,
-    /// Moments, oldest first.
+    /// Checkpoints, oldest first.
     pub points: Vec<RetentionPoint>,
 }
 
 impl RetentionLog {
-    /// The log after `elapsed` more. `version` is the one under which this log itself stands in
-    /// the table: rows up to it were written before the time counted so far ended.
+    /// Returns the log after another `elapsed`. `version` is the row version of this log in the
+    /// table; rows up to that version were written before the end of the time counted so far.
     #[must_use]
     pub fn advanced(&self, elapsed: Duration, version: RowVersion) -> Self {
         let mut log = self.clone();
@@ -41,7 +42,7 @@
         let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         log.counted_ms = log.counted_ms.saturating_add(elapsed_ms);
         if log.points.len() > MAX_CHECKPOINTS {
-            // Every second of the older half goes: the newest keep their resolution.
+            // Drop every other checkpoint of the older half, so the newer half keeps its resolution.
             let half = MAX_CHECKPOINTS / 2;
             let mut index = 0;
             log.points.retain(|_| {
@@ -52,16 +53,16 @@
         log
     }
 
-    /// Versions up to this one are certainly older than `age`; none when nothing is.
+    /// Returns the version up to which all rows are certainly older than `age`; none if no row is.
     #[must_use]
     pub fn older_than(&self, age: Duration) -> Option<RowVersion> {
         let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let limit = self.counted_ms.checked_sub(age_ms)?;
+        let cutoff_ms = self.counted_ms.checked_sub(age_ms)?;
         let point = self
             .points
             .iter()
             .rev()
-            .find(|point| point.counted_ms <= limit)?;
+            .find(|point| point.counted_ms <= cutoff_ms)?;
         Some(point.version)
     }
 }
--- a/crates/domain/tests/slot_rules.rs
+++ b/crates/domain/tests/domain_properties.rs
@@ -1,4 +1,5 @@
-//! Hosts, fleets and evidence under random steps, repeated and out of order.
+//! Property tests of host slots, fleets, health evidence and the retention log, with random steps
+//! that repeat and arrive out of order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -41,11 +42,11 @@
         .quickcheck(test);
 }
 
-/// A slot never passes from one replica to another without the host's own word in between, and
-/// never goes back to an older incarnation or epoch.
+/// A slot is never reassigned to another replica unless the host proved in between that it is
+/// empty, and it never returns to an older incarnation or epoch.
 #[test]
 fn slot_handover() {
-    fn holds(steps: Vec<(u8, u8, u8, u8)>) -> bool {
+    fn property(steps: Vec<(u8, u8, u8, u8)>) -> bool {
         let mut slot = HostSlot::default();
         for (kind, id, number, epoch) in steps {
             let before = slot.clone();
@@ -71,18 +72,18 @@
                 return false;
             }
             if let (Some(old), Some(new)) = (&before.assignment, &next.assignment) {
-                let same = old.replica == new.replica && old.incarnation <= new.incarnation;
-                if !same {
+                let allowed = old.replica == new.replica && old.incarnation <= new.incarnation;
+                if !allowed {
                     return false;
                 }
             }
             if let (Some(old), None) = (&before.assignment, &next.assignment) {
-                let proved = match proof {
+                let proven = match proof {
                     Some(EmptyProof::ReportedEmpty) => true,
                     Some(EmptyProof::Rebooted(boot)) => boot > old.boot,
                     None => false,
                 };
-                if !proved {
+                if !proven {
                     return false;
                 }
             }
@@ -90,20 +91,20 @@
         }
         true
     }
-    check(holds as fn(Vec<(u8, u8, u8, u8)>) -> bool);
+    check(property as fn(Vec<(u8, u8, u8, u8)>) -> bool);
 }
 
-/// Whatever is asked of a fleet, no host ever stands in two replicas or twice in one, and a change
+/// No sequence of changes to a fleet puts a host into two replicas or twice into one, and a change
 /// of hosts always raises the incarnation.
 #[test]
 fn fleet_hosts() {
-    fn holds(steps: Vec<(u8, u8, u8, Vec<u8>)>) -> bool {
+    fn property(steps: Vec<(u8, u8, u8, Vec<u8>)>) -> bool {
         let mut fleet = FabricFleet::default();
         for (kind, id, incarnation, hosts) in steps {
-            let asked = plan(id, incarnation, &hosts);
+            let requested = plan(id, incarnation, &hosts);
             let next = match kind % 3 {
-                0 => fleet.with_replica(asked),
-                1 => fleet.with_changed(asked),
+                0 => fleet.with_replica(requested),
+                1 => fleet.with_changed(requested),
                 _ => fleet.without_replica(&replica(id)),
             };
             let Ok(next) = next else { continue };
@@ -130,14 +131,14 @@
         }
         true
     }
-    check(holds as fn(Vec<(u8, u8, u8, Vec<u8>)>) -> bool);
+    check(property as fn(Vec<(u8, u8, u8, Vec<u8>)>) -> bool);
 }
 
-/// Evidence opens the gate only when it names exactly the plan's hosts in its incarnation, none of
-/// them leaving, and is young enough.
+/// Evidence allows dispatch only if it lists exactly the plan's hosts in the plan's incarnation,
+/// none of them is leaving, and it is recent enough.
 #[test]
-fn gate_fails_closed() {
-    fn holds(hosts: (Vec<u8>, Vec<u8>), numbers: (u8, u8, u8, u8), leaving: bool) -> bool {
+fn dispatch_check_fails_closed() {
+    fn property(hosts: (Vec<u8>, Vec<u8>), numbers: (u8, u8, u8, u8), leaving: bool) -> bool {
         let (planned, seen) = hosts;
         let plan = plan(numbers.0, numbers.1, &planned);
         let evidence = HealthEvidence {
@@ -150,28 +151,29 @@
         let limit = Duration::from_secs(3);
         let missing = plan.hosts.iter().any(|host| !evidence.hosts.contains(host));
         let wrong = evidence.replica != plan.id || evidence.incarnation != plan.incarnation;
-        let closed = missing || wrong || leaving || evidence.age > limit;
-        !(closed && evidence.allows_dispatch(&plan, limit))
+        let must_deny = missing || wrong || leaving || evidence.age > limit;
+        !(must_deny && evidence.allows_dispatch(&plan, limit))
     }
-    check(holds as fn((Vec<u8>, Vec<u8>), (u8, u8, u8, u8), bool) -> bool);
-    let whole = plan(1, 2, &[0, 1]);
+    check(property as fn((Vec<u8>, Vec<u8>), (u8, u8, u8, u8), bool) -> bool);
+    let healthy = plan(1, 2, &[0, 1]);
     let evidence = HealthEvidence {
-        replica: whole.id.clone(),
-        incarnation: whole.incarnation,
-        hosts: whole.hosts.clone(),
+        replica: healthy.id.clone(),
+        incarnation: healthy.incarnation,
+        hosts: healthy.hosts.clone(),
         leaving: false,
         age: Duration::from_secs(1),
     };
-    assert!(evidence.allows_dispatch(&whole, Duration::from_secs(3)));
+    assert!(evidence.allows_dispatch(&healthy, Duration::from_secs(3)));
 }
 
-/// A row is never taken for older than it is, however the time is split among holders and however
-/// many points were merged away: a payment's key would otherwise be free too early.
+/// A row's age is never overestimated, however the time is split among lease holders and however
+/// many checkpoints were dropped. Otherwise the idempotency key of a payment would be released too
+/// early.
 #[test]
-fn ages_undercount() {
-    fn holds(rounds: Vec<(u16, u8)>, age: u16) -> bool {
+fn ages_never_overestimated() {
+    fn property(rounds: Vec<(u16, u8)>, age: u16) -> bool {
         let mut log = RetentionLog::default();
-        // The truth: when each version of the table was written.
+        // The actual time at which each version of the table was written.
         let mut written: Vec<(u64, u64)> = Vec::new();
         let mut version = 0;
         let mut true_time = 0;
@@ -179,7 +181,7 @@
             version += 1;
             written.push((version, true_time));
             let row = RowVersion(version);
-            // The holder counts what it saw; time without a holder passes uncounted.
+            // The holder counts only its own time; time without a holder is not counted.
             true_time += u64::from(elapsed) + u64::from(idle);
             log = log.advanced(Duration::from_millis(u64::from(elapsed)), row);
         }
@@ -194,5 +196,5 @@
             .filter(|(version, _)| *version <= limit.0)
             .all(|entry| old_enough(&entry))
     }
-    check(holds as fn(Vec<(u16, u8)>, u16) -> bool);
+    check(property as fn(Vec<(u16, u8)>, u16) -> bool);
 }
