--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -1,125 +1,130 @@
-//! This entry's part of the slots of a model's replicas.
+//! Limits how many of a model's replica slots this entry uses.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use bon::Builder;
 
-/// Snapshots of the own use that are kept to compare with lagged reports.
+/// Number of snapshots of this entry's own usage, kept for comparison with delayed reports.
 ///
-/// One each 50 ms covers reports that lag by 6 s; older reports are compared with the oldest.
+/// At one snapshot per 50 ms they cover reports that are up to 6 s late; older reports are compared
+/// with the oldest snapshot.
 const MAX_SNAPSHOTS: usize = 128;
 
-/// Least distance of two snapshots.
+/// Minimum interval between two snapshots; later changes within it update the last snapshot.
 const SNAPSHOT_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time over which the own demand is averaged.
-const DEMAND_MEMORY: Duration = Duration::from_secs(10);
+/// Time constant of the exponential decay of the arrival rate.
+const DEMAND_DECAY: Duration = Duration::from_secs(10);
 
-/// Most that the window grows or shrinks in one round.
+/// Largest and smallest factor applied to the window per round of reports.
 ///
-/// A single wrong report (an engine that has just restarted and reports no work) must not make
-/// every entry send its whole demand at once.
-const MAX_GROWTH: f64 = 2.0;
-const MAX_SHRINK: f64 = 0.7;
+/// The limits keep a single wrong report, such as an engine that has just restarted and reports no
+/// work, from making every entry send its whole demand at once.
+const MAX_WINDOW_RATIO: f64 = 2.0;
+const MIN_WINDOW_RATIO: f64 = 0.7;
 
-/// What the window keeps when a target says that it is full.
-const FULL_SHRINK: f64 = 0.95;
+/// Factor applied to the window when a target answers that it is full.
+const FULL_DECREASE: f64 = 0.95;
 
-/// Least distance of two such cuts: one wave of refusals tells one thing, not fifty.
-const FULL_PERIOD: Duration = Duration::from_millis(250);
+/// Minimum interval between two such decreases. A burst of refusals is one congestion signal and
+/// must not be counted once per refused request.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of a [`CapacityShare`].
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct ShareSettings {
-    /// Entries in service, by the last membership that is known.
+    /// Number of entries in service according to the latest known membership.
     pub entries: u32,
-    /// Part of the own unmet demand that is claimed each round while targets are full.
+    /// Fraction of this entry's unmet demand that it claims each round while targets are full.
     ///
-    /// It sets how fast entries with much demand win slots from those with little: with 0.05 and
-    /// a report a second, most of an imbalance is gone after 20 s.
+    /// It sets how fast entries with high demand gain slots from those with low demand: at 0.05 and
+    /// one report per second, most of an imbalance is gone after 20 s.
     #[builder(default = 0.05)]
-    pub claim: f64,
-    /// Streams that may wait at the targets, as a part of their slots.
+    pub claim_fraction: f64,
+    /// Number of streams allowed to queue at the targets, as a fraction of their slots.
     ///
-    /// Requests that wait there can't be reordered or refused, and with several entries the
-    /// targets have short queues by chance anyway, so none are planned.
+    /// The default is 0: requests queued at a target can't be reordered or refused, and with
+    /// several entries short queues build up at targets by chance anyway.
     #[builder(default = 0.0)]
-    pub allowance: f64,
+    pub queue_fraction: f64,
 }
 
-/// Load of all usable replicas of a model together, from their newest reports.
+/// Aggregate load of all usable replicas of a model, from their latest reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolReport {
-    /// Streams that they can run at once.
+    /// Number of streams that the replicas can run concurrently; 0 closes the window.
     pub slots: u32,
-    /// Streams in their batches, of all entries.
+    /// Number of streams in the replicas' batches, from all entries.
     pub running: u32,
-    /// Streams that wait at them.
+    /// Number of streams queued at the replicas, from all entries.
     pub waiting: u32,
-    /// Mean age of the reports.
+    /// Age of the figures. Usage is compared with what this entry had in use that long ago.
     pub age: Duration,
 }
 
-/// How many streams of one model this entry may have at the targets.
+/// Limits how many streams of one model this entry may have at the targets.
 ///
-/// Made for 3 to 410 entries, each of which sees only its part of the demand and old reports of
-/// the load. If each took all free slots that a report shows, the targets would be sent as many
-/// times too much as there are entries; seen as long queues at engines and first tokens late for
-/// all. If each kept to an equal part, the slots of entries that the balancer passes over would
-/// idle; seen as refusals at one entry beside idle accelerators.
+/// Designed for 3 to 410 entries, each of which sees only its part of the demand and delayed load
+/// reports. If each entry took all free slots in a report, the targets would be oversubscribed by a
+/// factor of the number of entries, which causes long queues at the engines and late first tokens
+/// for all callers. If each kept to an equal share, the slots of entries that the load balancer
+/// favors less would stay idle, which causes refusals at one entry while accelerators are idle.
 ///
-/// So each entry scales what it had at the targets when the report was made by the same ratio of
-/// slots to occupied slots. The parts then add up to the slots whatever the balancer does, and no
-/// entry needs to know the others. While targets are full, each claims a little for its unmet
-/// demand and all give back in proportion to their use, so the parts move towards the demand.
+/// Each entry therefore scales what it had in use at the time of the report by the same ratio of
+/// slots to occupied slots. The windows then add up to the number of slots regardless of how the
+/// load balancer distributes requests, and entries need no knowledge of each other. While targets
+/// are full, each entry claims a little for its unmet demand and all entries give back in
+/// proportion to their usage, so the windows converge towards the demand.
 #[derive(Debug)]
 pub struct CapacityShare {
     settings: ShareSettings,
     window: f64,
     in_use: u32,
-    snapshots: VecDeque<UseSnapshot>,
-    demand: DemandMeter,
-    cut_at: Option<Duration>,
+    snapshots: VecDeque<UsageSnapshot>,
+    demand: DemandEstimator,
+    decreased_at: Option<Duration>,
     phase: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct UseSnapshot {
+struct UsageSnapshot {
     at: Duration,
     in_use: u32,
 }
 
-/// Streams that the offered requests would need at once: arrivals a second times time of stay.
+/// Estimates the concurrency that the offered requests need, as arrival rate times mean duration
+/// (Little's law).
 #[derive(Debug, Default)]
-struct DemandMeter {
+struct DemandEstimator {
     arrivals: f64,
-    time: f64,
+    seconds: f64,
     at: Duration,
-    stay: f64,
+    mean_duration: f64,
 }
 
-impl DemandMeter {
-    fn pass(&mut self, now: Duration) {
+impl DemandEstimator {
+    fn advance(&mut self, now: Duration) {
         let seconds = now.saturating_sub(self.at).as_secs_f64();
-        let kept = (-seconds / DEMAND_MEMORY.as_secs_f64()).exp();
+        let kept = (-seconds / DEMAND_DECAY.as_secs_f64()).exp();
         self.arrivals *= kept;
-        self.time = self.time * kept + seconds;
+        self.seconds = self.seconds * kept + seconds;
         self.at = now;
     }
 
-    fn streams(&self) -> f64 {
-        if self.time < 1.0 {
+    fn concurrent_streams(&self) -> f64 {
+        if self.seconds < 1.0 {
             return 0.0;
         }
-        self.arrivals / self.time * self.stay
+        self.arrivals / self.seconds * self.mean_duration
     }
 }
 
 impl CapacityShare {
-    /// A share that starts with one stream, until the first report.
+    /// Creates a share with a window of one stream, used until the first report.
     ///
-    /// `seed` differs between entries: it decides which of them round a broken window up first.
+    /// `seed` should differ between entries: it sets the phase at which an entry rounds a
+    /// fractional window up.
     #[must_use]
     pub fn new(settings: ShareSettings, seed: u64) -> Self {
         let phase = f64::from(u16::try_from(seed % 1_000).unwrap_or(0)) / 1_000.0;
@@ -128,33 +133,34 @@
             window: 1.0,
             in_use: 0,
             snapshots: VecDeque::new(),
-            demand: DemandMeter::default(),
-            cut_at: None,
+            demand: DemandEstimator::default(),
+            decreased_at: None,
             phase,
         }
     }
 
-    /// Tells how many entries are in service now.
+    /// Sets the number of entries in service.
     pub fn set_entries(&mut self, entries: u32) {
         self.settings.entries = entries;
     }
 
-    /// Streams that this entry has at the targets.
+    /// Returns the number of streams that this entry has at the targets.
     #[must_use]
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// Streams that this entry may have at the targets.
+    /// Returns the number of streams that this entry may have at the targets, which may be
+    /// fractional.
     #[must_use]
     pub fn window(&self) -> f64 {
         self.window
     }
 
-    /// How many more streams may be sent now.
+    /// Returns how many more streams may be sent now.
     ///
-    /// With more entries than slots a window is below one. It is then open for that part of the
-    /// rounds, at another time for each entry, instead of always or never.
+    /// With more entries than slots the window is below one. It then admits a stream in that
+    /// fraction of the rounds, at different times for each entry, instead of always or never.
     #[must_use]
     pub fn free(&self) -> usize {
         let rounded = (self.window + self.phase).floor();
@@ -167,66 +173,73 @@
         free
     }
 
-    /// A request was offered, admitted or not.
+    /// Records an offered request, whether it is admitted or not.
     pub fn record_offered(&mut self, now: Duration) {
-        self.demand.pass(now);
+        self.demand.advance(now);
         self.demand.arrivals += 1.0;
     }
 
-    /// A stream was sent to a target.
+    /// Records that a stream was sent to a target.
     pub fn record_sent(&mut self, now: Duration) {
         self.in_use += 1;
         self.snapshot(now);
     }
 
-    /// A stream ended after `stay` at the target.
-    pub fn record_finished(&mut self, now: Duration, stay: Duration) {
+    /// Records that a stream ended after it had spent `duration` at the target.
+    pub fn record_finished(&mut self, now: Duration, duration: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
-        let stay = stay.as_secs_f64();
-        let weight = if self.demand.stay == 0.0 { 1.0 } else { 0.1 };
-        self.demand.stay += (stay - self.demand.stay) * weight;
+        let duration = duration.as_secs_f64();
+        let weight = if self.demand.mean_duration == 0.0 {
+            1.0
+        } else {
+            0.1
+        };
+        self.demand.mean_duration += (duration - self.demand.mean_duration) * weight;
         self.snapshot(now);
     }
 
-    /// A target answered that it is full.
+    /// Records that a target answered that it is full, and decreases the window.
     ///
-    /// Made for a partition of the reports: the window is then old, and only answers tell that
-    /// others have taken the slots.
+    /// This matters when reports don't arrive: the window is then outdated, and such answers are
+    /// the only sign that other entries have taken the slots.
     pub fn record_full(&mut self, now: Duration) {
-        let recent = self.cut_at.is_some_and(|at| now < at + FULL_PERIOD);
+        let recent = self
+            .decreased_at
+            .is_some_and(|at| now < at + DECREASE_INTERVAL);
         if recent {
             return;
         }
-        self.cut_at = Some(now);
-        self.window = (self.window * FULL_SHRINK).max(self.least_window());
+        self.decreased_at = Some(now);
+        self.window = (self.window * FULL_DECREASE).max(self.min_window());
     }
 
-    /// New reports came in; call it once a round.
+    /// Recomputes the window from new reports; call it once per round of reports.
     pub fn record_report(&mut self, now: Duration, report: PoolReport) {
-        self.demand.pass(now);
+        self.demand.advance(now);
         self.phase = (self.phase + 0.618_034).fract();
         if report.slots == 0 {
             self.window = 0.0;
             return;
         }
         let slots = f64::from(report.slots);
-        let aim = slots * (1.0 + self.settings.allowance);
+        let goal = slots * (1.0 + self.settings.queue_fraction);
         let occupied = f64::from(report.running) + f64::from(report.waiting);
-        let used = f64::from(self.used_at(now.saturating_sub(report.age)));
-        // What all give back for claims is taken off first, so that the claims fill it again
-        // instead of piling up at the targets.
-        let kept = aim * (1.0 - self.settings.claim);
-        let ratio = (kept / occupied.max(1.0)).clamp(MAX_SHRINK, MAX_GROWTH);
-        let idle = (aim - occupied).max(0.0);
-        let even_part = idle / f64::from(self.settings.entries.max(1));
-        let unmet = (self.demand.streams() - used).max(0.0);
-        let claim = unmet.min(used.max(1.0)) * self.settings.claim;
-        let window = used * ratio + even_part.max(claim);
-        self.window = window.clamp(self.least_window(), aim);
+        let used = f64::from(self.in_use_at(now.saturating_sub(report.age)));
+        // The fraction that all entries give back for claims is subtracted first, so that the
+        // claims refill it instead of building up queues at the targets.
+        let unclaimed = goal * (1.0 - self.settings.claim_fraction);
+        let ratio = (unclaimed / occupied.max(1.0)).clamp(MIN_WINDOW_RATIO, MAX_WINDOW_RATIO);
+        let idle = (goal - occupied).max(0.0);
+        let even_share = idle / f64::from(self.settings.entries.max(1));
+        let unmet_demand = (self.demand.concurrent_streams() - used).max(0.0);
+        let claim = unmet_demand.min(used.max(1.0)) * self.settings.claim_fraction;
+        let window = used * ratio + even_share.max(claim);
+        self.window = window.clamp(self.min_window(), goal);
     }
 
-    /// Below this no entry falls, so that each can find out that there is room again.
-    fn least_window(&self) -> f64 {
+    /// Lower bound of the window while there are slots, so that each entry keeps sending and
+    /// detects free capacity.
+    fn min_window(&self) -> f64 {
         (1.0 / f64::from(self.settings.entries.max(1))).max(0.05)
     }
 
@@ -241,10 +254,10 @@
             self.snapshots.pop_front();
         }
         let in_use = self.in_use;
-        self.snapshots.push_back(UseSnapshot { at: now, in_use });
+        self.snapshots.push_back(UsageSnapshot { at: now, in_use });
     }
 
-    fn used_at(&self, at: Duration) -> u32 {
+    fn in_use_at(&self, at: Duration) -> u32 {
         for snapshot in self.snapshots.iter().rev() {
             if snapshot.at <= at {
                 return snapshot.in_use;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,32 +1,33 @@
-//! Whether and when an attempt is made again.
+//! Retry budget and backoff.
 
 use std::time::Duration;
 
 use bon::Builder;
 use rand::Rng;
 
-/// Settings of retries.
+/// Settings of the retry budget and of the backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct RetrySettings {
-    /// Retries that each success allows.
+    /// Number of retries that each success adds to the budget.
     ///
-    /// With a tenth, retries add at most 10% to the load however much fails.
+    /// At 0.1, retries add at most 10% to the load regardless of how many requests fail.
     #[builder(default = 0.1)]
     pub retries_per_success: f64,
-    /// Retries that may be saved up, for a failure after a quiet time.
+    /// Maximum number of retries that can be accumulated, available for failures after an idle
+    /// period.
     #[builder(default = 10.0)]
     pub max_balance: f64,
-    /// Retries allowed a second even without successes, so that a node that has just started, or
-    /// whose targets have just come back, finds out.
+    /// Number of retries per second that are allowed without any success, so that a node detects
+    /// recovery after its own start or after an outage of its targets.
     #[builder(default = 0.5)]
     pub min_per_second: f64,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     #[builder(default = 4)]
     pub max_attempts: u32,
-    /// Mean wait before the second attempt; doubled for each further one.
+    /// Mean delay before the second attempt; doubled for each further attempt.
     #[builder(default = Duration::from_millis(50))]
     pub backoff: Duration,
-    /// Longest wait before an attempt.
+    /// Maximum delay before an attempt.
     #[builder(default = Duration::from_secs(1))]
     pub max_backoff: Duration,
 }
@@ -37,30 +38,29 @@
     }
 }
 
-/// Retries that may still be made, as a part of recent successes.
+/// Limits retries to a fraction of the recent successes.
 ///
-/// Made for the moment at which everything fails: if each caller's request were sent four times,
-/// targets that struggle would get four times the load and never recover; seen as a failure that
-/// outlasts its cause.
+/// If each request were sent up to four times while everything fails, struggling targets would get
+/// four times the load and could not recover, and the outage would outlast its cause.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
     balance: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl RetryBudget {
-    /// A budget with its reserve full.
+    /// Creates a budget with the maximum balance.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
             balance: settings.max_balance,
-            at: Duration::ZERO,
+            updated_at: Duration::ZERO,
         }
     }
 
-    /// A request succeeded.
+    /// Records a successful request, which adds to the budget.
     pub fn record_success(&mut self) {
         self.deposit(self.settings.retries_per_success);
     }
@@ -69,15 +69,15 @@
         self.balance = (self.balance + amount).min(self.settings.max_balance);
     }
 
-    /// Decides what follows a failed attempt, and pays for a retry.
+    /// Decides whether a failed attempt is retried and, if so, charges the retry to the budget.
     pub fn decide<R: Rng>(
         &mut self,
         now: Duration,
         attempt: &FailedAttempt,
         rng: &mut R,
     ) -> RetryDecision {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
         self.deposit(elapsed * self.settings.min_per_second);
         if !attempt.idempotent && attempt.possibly_sent {
             return RetryDecision::GiveUp(GiveUpReason::MayHaveRun);
@@ -97,55 +97,57 @@
     }
 }
 
-/// An attempt that failed.
+/// A failed attempt that may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Builder)]
 pub struct FailedAttempt {
-    /// Its number, from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
-    /// Whether running it twice does no harm.
+    /// Whether the request can be executed twice without harm.
     pub idempotent: bool,
-    /// Whether a byte of it could have reached a target.
+    /// Whether any byte of the request could have reached a target.
     pub possibly_sent: bool,
-    /// When an answer is no longer of use, since the node's start.
+    /// Time after which an answer is of no use to the caller, since the node's start.
     pub deadline: Duration,
 }
 
-/// What follows a failed attempt.
+/// Whether a failed attempt is retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another attempt, on another target where there is one.
+    /// The request is attempted again, on another target if there is one.
     Retry {
-        /// How long to wait before it.
+        /// Delay before the next attempt.
         wait: Duration,
     },
-    /// The caller gets its final answer now.
+    /// The request has failed; the caller gets its final answer now.
     GiveUp(GiveUpReason),
 }
 
-/// Why no further attempt is made.
+/// Reason why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum GiveUpReason {
-    /// A non-idempotent call may have reached a target; a second one could pay twice.
-    #[error("the call may have run and must not be repeated")]
+    /// A non-idempotent call may have reached a target; repeating it could, for example, charge a
+    /// payment twice.
+    #[error("the call may have been executed and is not idempotent")]
     MayHaveRun,
-    /// Every attempt was used.
-    #[error("every attempt failed")]
+    /// The maximum number of attempts was made.
+    #[error("the maximum number of attempts was reached")]
     AttemptsExhausted,
     /// The next attempt would start after the deadline.
-    #[error("no time is left for another attempt")]
+    #[error("the deadline leaves no time for another attempt")]
     DeadlineExceeded,
-    /// Too much fails for more retries.
-    #[error("too many requests fail for another attempt")]
+    /// The retry budget is used up because too many requests fail.
+    #[error("the retry budget is exhausted")]
     BudgetExhausted,
 }
 
-/// Wait before the attempt that follows number `number`: anything up to twice the doubled mean.
+/// Returns the delay after attempt number `attempt`, uniformly distributed between zero and twice
+/// the exponentially growing mean.
 ///
-/// All callers of a lost target fail in the same moment. Equal waits would bring them to the next
-/// target in one wave.
-fn backoff<R: Rng>(settings: &RetrySettings, number: u32, rng: &mut R) -> Duration {
-    let doublings = number.saturating_sub(1).min(16);
+/// All callers of a lost target fail at the same time, and equal delays would send them to the next
+/// target in a single burst.
+fn backoff<R: Rng>(settings: &RetrySettings, attempt: u32, rng: &mut R) -> Duration {
+    let doublings = attempt.saturating_sub(1).min(16);
     let mean = settings.backoff * 2_u32.pow(doublings);
-    let part: f64 = rng.random_range(0.0..2.0);
-    mean.mul_f64(part).min(settings.max_backoff)
+    let factor: f64 = rng.random_range(0.0..2.0);
+    mean.mul_f64(factor).min(settings.max_backoff)
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,16 +1,18 @@
-//! Going over from one version of a model to another without a dip.
+//! Rollout from one version of a model to another without a loss of capacity.
 
-/// How many serving replicas of a model may be drained now because they are not wanted any more.
+/// Returns how many surplus serving replicas of a model may be drained now.
 ///
-/// Made for a record that names a new version instead of the old one. If every replica of the old
-/// one were drained at once, the model would serve nobody until the new one's weights are loaded;
-/// seen as refusals to all its callers for minutes. So old replicas go as new ones come to serve,
-/// with at most a small part missing at a time where no free hosts let the new ones come first.
+/// When a record replaces a version by a new one, draining all replicas of the old version at once
+/// would leave the model without a serving replica until the weights of the new version are loaded,
+/// and all callers would be refused for minutes. Old replicas are therefore drained as new ones
+/// start to serve. If there are no free hosts to start new replicas first, at most one part in
+/// `steps` of the desired replicas, rounded up, is missing at a time.
 ///
-/// `wanted` counts the model's wanted replicas and `serving` those that serve and do not drain,
-/// both over all its versions. A model that no record wants goes at once.
+/// `desired` is the number of desired replicas of the model and `serving` the number of replicas
+/// that serve and are not draining, both over all versions. If none is desired, all may be drained
+/// at once.
 #[must_use]
-pub fn allowed_drains(wanted: usize, serving: usize, steps: usize) -> usize {
-    let missing = wanted.div_ceil(steps.max(1));
-    (serving + missing).saturating_sub(wanted)
+pub fn allowed_drains(desired: usize, serving: usize, steps: usize) -> usize {
+    let unavailable = desired.div_ceil(steps.max(1));
+    (serving + unavailable).saturating_sub(desired)
 }
--- a/crates/policy/src/service.rs
+++ b/crates/policy/src/service.rs
@@ -1,79 +1,81 @@
-//! Choosing an instance of a plain service.
+//! Selection of an instance of a plain service.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Failures in a row after which an instance is left out for a while.
-const FAILURES: u32 = 2;
+/// Number of consecutive failures after which an instance is ejected.
+const EJECTION_THRESHOLD: u32 = 2;
 
-/// First time for which an instance is left out; doubled for each further failure.
-const SHORTEST: Duration = Duration::from_secs(1);
+/// Duration of the first ejection; doubled for each further failure.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
 
-/// Longest time for which an instance is left out.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Maximum duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(20);
 
-/// Weight of a new observation of an instance's time to answer.
-const ANSWER_WEIGHT: f64 = 0.2;
+/// Weight of a new observation in the moving average of an instance's latency.
+const LATENCY_WEIGHT: f64 = 0.2;
 
-/// What an entry knows of one instance of a plain service.
+/// Observed load, failures and latency of one instance of a plain service.
 #[derive(Debug, Clone, Default)]
 pub struct InstanceStats {
     in_flight: u32,
     failures: u32,
-    left_out_until: Option<Duration>,
-    answer: f64,
+    ejected_until: Option<Duration>,
+    latency: f64,
 }
 
-/// How a call to an instance ended.
+/// Result of a call to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It answered, whatever the answer.
+    /// The instance answered, with any status that the caller does not count as a failure.
     Answered,
-    /// It failed, or fell silent.
+    /// The call failed or timed out; consecutive failures eject the instance.
     Failed,
 }
 
 impl InstanceStats {
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A call ended after `elapsed`.
+    /// Records that a call ended after `elapsed`.
     pub fn record_ended(&mut self, now: Duration, elapsed: Duration, outcome: CallOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome == CallOutcome::Answered {
             self.failures = 0;
-            self.left_out_until = None;
-            self.answer += (elapsed.as_secs_f64() - self.answer) * ANSWER_WEIGHT;
+            self.ejected_until = None;
+            self.latency += (elapsed.as_secs_f64() - self.latency) * LATENCY_WEIGHT;
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        if self.failures < FAILURES {
+        if self.failures < EJECTION_THRESHOLD {
             return;
         }
-        let doublings = (self.failures - FAILURES).min(8);
-        let out = (SHORTEST * 2_u32.pow(doublings)).min(LONGEST);
-        self.left_out_until = Some(now + out);
+        let doublings = (self.failures - EJECTION_THRESHOLD).min(8);
+        let ejection_time = (BASE_EJECTION_TIME * 2_u32.pow(doublings)).min(MAX_EJECTION_TIME);
+        self.ejected_until = Some(now + ejection_time);
     }
 
-    fn is_open(&self, now: Duration) -> bool {
-        self.left_out_until.is_none_or(|until| now >= until)
+    fn is_available(&self, now: Duration) -> bool {
+        self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Expected wait: the calls before this one, at the pace of late.
-    fn expected(&self) -> f64 {
-        f64::from(self.in_flight + 1) * self.answer.max(0.001)
+    /// Estimated latency in seconds of one more call: calls in flight, including this one, times
+    /// the average latency.
+    fn expected_latency(&self) -> f64 {
+        f64::from(self.in_flight + 1) * self.latency.max(0.001)
     }
 }
 
-/// Chooses an instance by its index, none when `usable` admits none.
+/// Returns the index of the instance to call, or `None` if `usable` accepts none.
 ///
-/// Made for about 3 instances, one of them slow or failing. All are looked at, from a random one
-/// on, so that equal ones share the calls. An instance that fails in a row is left out, because
-/// fast failures would make it look idle; when all are left out the least bad is tried, because
-/// an instance that is back is found only so.
+/// Designed for about 3 instances, one of them slow or failing. All instances are compared,
+/// starting from a random one so that equal instances share the calls. An instance with consecutive
+/// failures is ejected, because fast failures would make it look idle. If all are ejected, the one
+/// with the lowest expected latency is tried, because only a call detects that an instance has
+/// recovered.
 pub fn choose_instance<R: Rng>(
     instances: &[InstanceStats],
     now: Duration,
@@ -91,12 +93,12 @@
             continue;
         }
         let instance = &instances[index];
-        let closed = !instance.is_open(now);
-        let expected = instance.expected();
-        let better =
-            best.is_none_or(|(_, other_closed, other)| (closed, expected) < (other_closed, other));
+        let ejected = !instance.is_available(now);
+        let expected = instance.expected_latency();
+        let better = best
+            .is_none_or(|(_, other_ejected, other)| (ejected, expected) < (other_ejected, other));
         if better {
-            best = Some((index, closed, expected));
+            best = Some((index, ejected, expected));
         }
     }
     best.map(|(index, _, _)| index)
