--- a/crates/policy/src/admission/class.rs
+++ b/crates/policy/src/admission/class.rs
@@ -1,38 +1,44 @@
-//! How long a queue a request accepts at its target.
+//! Queue limits by the class of a request.
 //!
-//! For targets that keep a queue of their own, ordered by rank, and tell its length. Nothing waits
-//! at the entry then; a request that does not accept the queue is refused at once.
+//! Used for targets that have their own queue, ordered by rank, and report its length. Nothing is
+//! queued at the entry then: a request that does not accept the length of the queue is refused
+//! immediately.
 
-/// Factor on the accepted queue for each rank that goes before the request's own.
+/// Factor on the queue limit for each rank above the request's own.
 ///
-/// Under overload a queue grows to what the most urgent accept. All others find it too long and
-/// come back later, so the least urgent are refused first and the slots go to the urgent ones;
-/// with one limit for all, arrivals of each rank would be refused alike.
+/// Under overload, a queue grows to the limit of the most urgent requests. It then exceeds the
+/// limits of all other requests, so the least urgent ones are refused first and the slots go to the
+/// urgent ones. With one limit for all, every rank would be refused alike.
 const RANK_FACTOR: f64 = 0.7;
 
-/// Factor on the accepted queue for a customer that uses more than its share.
+/// Factor on the queue limit for a customer that uses more than its share.
 ///
-/// A customer that sends many times its share fills each queue up to this part; the rest is left
-/// for customers that use less, who would otherwise be refused as often as the one that is the
-/// cause.
-const SHARE_FACTOR: f64 = 0.5;
+/// A customer that sends many times its share fills each queue only up to this fraction. The rest
+/// is left for customers within their share, who would otherwise be refused as often as the
+/// customer that causes the overload.
+const OVER_SHARE_FACTOR: f64 = 0.5;
 
-/// What a request is among those that compete with it. Its size is no part of it: at the same
-/// queue a large prompt is refused no sooner than a small one.
+/// Class of a request for admission. It does not depend on the size of the request: at the same
+/// queue length, a large prompt is refused no earlier than a small one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdmissionClass {
-    /// How many ranks in use at its service go before its own.
+    /// Number of ranks in use at the service that precede the request's own.
     pub higher_ranks: usize,
-    /// Whether its customer uses more than its share.
+    /// Whether the customer uses more than its share of the service.
     pub over_share: bool,
 }
 
 impl AdmissionClass {
-    /// Part of the longest queue that it accepts, above 0 and at most 1.
+    /// Returns the fraction of the longest accepted queue up to which the request is admitted,
+    /// above 0 and at most 1.
     #[must_use]
     pub fn queue_fraction(&self) -> f64 {
         let ranks = i32::try_from(self.higher_ranks).unwrap_or(i32::MAX);
-        let share = if self.over_share { SHARE_FACTOR } else { 1.0 };
+        let share = if self.over_share {
+            OVER_SHARE_FACTOR
+        } else {
+            1.0
+        };
         RANK_FACTOR.powi(ranks) * share
     }
 }
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -1,17 +1,18 @@
-//! Admission of requests: queueing, order and refusal.
+//! Admission control: queueing, ordering and refusal of requests.
 //!
-//! There are two kinds of targets. Engines that run what they are sent in the order of arrival get
-//! hardly more than they can run, and [`AdmissionQueue`] orders the rest at the entry. Engines that
-//! queue by rank themselves are sent every request that accepts their queue ([`AdmissionClass`]).
+//! There are two kinds of targets. Engines that run requests in the order of arrival are sent
+//! hardly more than they can run, and [`AdmissionQueue`] orders the remaining requests at the
+//! entry. Engines that queue by rank themselves are sent every request whose [`AdmissionClass`]
+//! accepts the length of their queue.
 
 mod class;
-mod drain;
+mod drain_rate;
+mod fair_queue;
 mod first_token;
-mod lane;
 mod queue;
 mod request;
+mod retry_after;
 mod shares;
-mod spread;
 
 pub use class::AdmissionClass;
 pub use queue::AdmissionQueue;
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one model at one entry.
+//! Queue of one model at one entry.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -9,188 +9,192 @@
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
 
-use super::drain::DrainRate;
+use super::drain_rate::DrainRate;
+use super::fair_queue::{FairQueue, OrderKey, QueuedRequest};
 use super::first_token::FirstTokenTime;
-use super::lane::{FairLane, LaneTicket, LineRank};
 use super::request::{AdmissionRequest, FinishedRequest, OfferOutcome, RefusalReason, RequestKey};
-use super::spread::ReturnSpread;
+use super::retry_after::RetrySchedule;
 
-/// Turns after which a background request goes even though others wait.
+/// Every how many dispatches a background request goes first even if others wait.
 ///
-/// Background work yields to everyone, but a customer's nightly drafts must end some day also in
-/// a week of full load: one turn in 16 costs the others 6% at most.
-const BACKGROUND_TURN: u64 = 16;
+/// Background work yields to all other requests, but must make progress even in a week of full
+/// load. One dispatch in 16 costs the others at most 6%.
+const BACKGROUND_INTERVAL: u64 = 16;
 
-/// Part of a request's patience that its predicted wait may fill.
+/// Maximum predicted wait, as a fraction of the time that a request can wait.
 ///
-/// Predictions miss by the length of the answers in progress. A request let in at the very edge
-/// is late half of the time, and its place is lost for one that would have been on time.
-const WAIT_PART: f64 = 0.85;
+/// Predictions are off by up to the duration of the answers in progress. A request admitted at the
+/// very limit is late half of the time and takes the place of one that would have been on time.
+const MAX_WAIT_FRACTION: f64 = 0.85;
 
-/// Largest part of a request's patience that is put aside for the target's own work.
+/// Maximum fraction of the time to a request's deadline that is reserved for the target's own work.
 ///
-/// When every first token is late for a while, the observed time to it would rule out every
-/// request, nothing would be sent, and no newer observation would ever end that. So each request
-/// keeps at least half of its patience for waiting.
-const TARGET_PART: f64 = 0.5;
+/// While every first token is late, the observed time to first token would rule out every request,
+/// nothing would be sent, and no new observation would ever correct it. So at least half of the
+/// time to the deadline remains for waiting.
+const MAX_TARGET_FRACTION: f64 = 0.5;
 
 #[derive(Debug)]
-struct WaitEntry {
-    ticket: LaneTicket,
+struct QueueEntry {
+    request: QueuedRequest,
     background: bool,
-    /// Latest moment at which sending it still makes sense.
+    /// Latest time at which the request can be sent and still meet its deadline.
     send_by: Duration,
 }
 
-/// Requests of one model that wait at one entry.
+/// Waiting requests of one model at one entry.
 ///
-/// The queue is here and not at the engines because only here a request can still be reordered,
-/// refused or sent elsewhere; an engine is given hardly more than it can run at once.
+/// Requests are queued here and not at the engines because only here they can still be reordered,
+/// refused or sent elsewhere; an engine is sent hardly more than it can run concurrently.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     max_waiting: usize,
-    entries: SlotMap<RequestKey, WaitEntry>,
-    normal: FairLane,
-    background: FairLane,
-    due: BTreeSet<(Duration, RequestKey)>,
-    drain: DrainRate,
-    spread: ReturnSpread,
+    requests: SlotMap<RequestKey, QueueEntry>,
+    normal: FairQueue,
+    background: FairQueue,
+    send_deadlines: BTreeSet<(Duration, RequestKey)>,
+    drain_rate: DrainRate,
+    retry_schedule: RetrySchedule,
     free: usize,
     first_token: FirstTokenTime,
     arrivals: u64,
-    turns: u64,
+    dispatches: u64,
 }
 
 #[bon::bon]
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     ///
-    /// `max_waiting` bounds its memory: at 13 requests a second of one entry and a patience of
-    /// some seconds the default is never reached unless the drain rate is unknown. `seed` spreads
-    /// the times at which refused callers return and should differ between entries.
+    /// `max_waiting` bounds its memory. At 13 requests per second per entry and deadlines of a few
+    /// seconds, the default is reached only while the drain rate is unknown. `seed` is for the
+    /// jitter of retry times and should differ between entries.
     #[builder]
     pub fn new(#[builder(default = 1_024)] max_waiting: usize, seed: u64) -> Self {
         Self {
             max_waiting,
-            entries: SlotMap::with_key(),
-            normal: FairLane::default(),
-            background: FairLane::default(),
-            due: BTreeSet::new(),
-            drain: DrainRate::default(),
-            spread: ReturnSpread::new(SmallRng::seed_from_u64(seed)),
+            requests: SlotMap::with_key(),
+            normal: FairQueue::default(),
+            background: FairQueue::default(),
+            send_deadlines: BTreeSet::new(),
+            drain_rate: DrainRate::default(),
+            retry_schedule: RetrySchedule::new(SmallRng::seed_from_u64(seed)),
             free: 0,
             first_token: FirstTokenTime::default(),
             arrivals: 0,
-            turns: 0,
+            dispatches: 0,
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.requests.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Units of cost that leave the queue a second while it is full; none before it was observed.
+    /// Returns the units of cost per second that leave the queue while it is blocked, or `None`
+    /// before this was observed.
     #[must_use]
     pub fn drain_rate(&self) -> Option<f64> {
-        self.drain.rate()
+        self.drain_rate.rate()
     }
 
-    /// Lets a request in, or refuses it at once.
+    /// Admits a request or refuses it immediately.
     ///
-    /// Made for a demand of 2 to 10 times the capacity. A request that waits and then is late
-    /// anyway has cost its caller the wait and the target the work; seen as targets that are busy
-    /// while hardly an answer is on time. So it is refused while its caller can still do
-    /// something else, with a time to return at which there will be room.
+    /// Designed for a demand of 2 to 10 times the capacity. A request that waits and is then late
+    /// costs its caller the wait and the target the work, which shows as busy targets while hardly
+    /// any answer is on time. It is therefore refused while its caller can still act, with a retry
+    /// time at which there will be capacity.
     pub fn offer(&mut self, now: Duration, request: AdmissionRequest) -> OfferOutcome {
-        self.pass(now);
+        self.advance(now);
         let cost = f64::from(request.cost.max(1));
-        let rank = self.next_rank(&request);
+        let order = self.next_order(&request);
         let wait = self.predict_wait(&request);
-        let patience = request.deadline.saturating_sub(now);
-        let room = patience.saturating_sub(self.target_time(patience));
-        let limit = room.mul_f64(WAIT_PART);
-        if patience.is_zero() || wait > limit {
-            let excess = wait.saturating_sub(limit);
-            return self.refuse(now, RefusalReason::TooLate, excess, cost);
+        let time_left = request.deadline.saturating_sub(now);
+        let wait_budget = time_left.saturating_sub(self.target_allowance(time_left));
+        let max_wait = wait_budget.mul_f64(MAX_WAIT_FRACTION);
+        if time_left.is_zero() || wait > max_wait {
+            let excess = wait.saturating_sub(max_wait);
+            return self.refuse(now, RefusalReason::WouldMissDeadline, excess, cost);
         }
         if self.is_full_for(request.customer) {
             return self.refuse(now, RefusalReason::QueueFull, wait, cost);
         }
-        OfferOutcome::Admitted(self.insert(request, rank, now + room, cost))
+        OfferOutcome::Admitted(self.insert(request, order, now + wait_budget, cost))
     }
 
-    /// A customer may hold at most as many places as are still free.
+    /// Returns whether the customer already holds as many places as are free.
     ///
-    /// Made for a burst of one customer before the drain rate is known. A plain bound would let
-    /// the burst take every place and turn all others away; this one always leaves some for them.
+    /// This guards against a burst of one customer before the drain rate is known. A plain limit
+    /// would let the burst take every place and refuse all other customers; this one always leaves
+    /// some places for them.
     fn is_full_for(&self, customer: CustomerKey) -> bool {
-        let left = self.max_waiting.saturating_sub(self.entries.len());
+        let free_places = self.max_waiting.saturating_sub(self.requests.len());
         let held = self.normal.waiting(customer) + self.background.waiting(customer);
-        held >= left
+        held >= free_places
     }
 
-    /// Forgets how fast the queue drains, because the capacity is another from now on.
+    /// Discards the drain rate because the capacity has changed.
     ///
-    /// While no target is there the queue stands still, and a rate taken from that time would
-    /// refuse everyone once the targets are back, as if they were still gone.
+    /// While there is no target the queue does not drain, and a rate from that time would cause
+    /// every request to be refused once the targets are back.
     pub fn reset_drain_rate(&mut self) {
-        self.drain = DrainRate::default();
+        self.drain_rate = DrainRate::default();
     }
 
-    fn pass(&mut self, now: Duration) {
-        self.drain.pass(now, self.free == 0, self.is_blocked());
+    fn advance(&mut self, now: Duration) {
+        self.drain_rate
+            .advance(now, self.free == 0, self.is_blocked());
     }
 
     fn is_blocked(&self) -> bool {
-        self.free == 0 && !self.entries.is_empty()
+        self.free == 0 && !self.requests.is_empty()
     }
 
-    fn next_rank(&mut self, request: &AdmissionRequest) -> LineRank {
+    fn next_order(&mut self, request: &AdmissionRequest) -> OrderKey {
         self.arrivals += 1;
-        LineRank {
+        OrderKey {
             priority: Reverse(request.priority),
             deadline: request.deadline,
             arrival: self.arrivals,
         }
     }
 
-    fn target_time(&self, patience: Duration) -> Duration {
+    fn target_allowance(&self, time_left: Duration) -> Duration {
         self.first_token
             .allowance()
-            .min(patience.mul_f64(TARGET_PART))
+            .min(time_left.mul_f64(MAX_TARGET_FRACTION))
     }
 
-    /// How long a request would wait now; zero while the drain rate is unknown, because then
-    /// nothing has waited yet.
+    /// Predicts how long a request would wait now. While the drain rate is unknown nothing has
+    /// waited yet, so the prediction is zero.
     fn predict_wait(&self, request: &AdmissionRequest) -> Duration {
-        if self.free > self.entries.len() {
+        if self.free > self.requests.len() {
             return Duration::ZERO;
         }
-        let Some(rate) = self.drain.rate() else {
+        let Some(rate) = self.drain_rate.rate() else {
             return Duration::ZERO;
         };
         let share = f64::from(request.share.max(1));
-        // Behind all of its customer's own requests, although a nearer deadline may go before
-        // them: else an urgent one would be let in at the cost of those let in before it.
-        let rank = LineRank {
+        // Ranked behind all other requests of its customer, even if its deadline would put it
+        // ahead. Otherwise an urgent request would be admitted at the expense of those admitted
+        // before it.
+        let order = OrderKey {
             priority: Reverse(request.priority),
             deadline: Duration::MAX,
             arrival: u64::MAX,
         };
         let mut ahead = 0.0;
         if request.priority < 0 {
-            ahead += self.background.work_ahead(request.customer, share, &rank);
+            ahead += self.background.work_ahead(request.customer, share, &order);
             ahead += self.normal.backlog();
         } else {
-            ahead += self.normal.work_ahead(request.customer, share, &rank);
+            ahead += self.normal.work_ahead(request.customer, share, &order);
         }
         Duration::try_from_secs_f64(ahead / rate).unwrap_or(Duration::MAX)
     }
@@ -202,7 +206,9 @@
         excess: Duration,
         cost: f64,
     ) -> OfferOutcome {
-        let retry_after = self.spread.book(now, excess, cost, self.drain.rate());
+        let retry_after = self
+            .retry_schedule
+            .reserve(now, excess, cost, self.drain_rate.rate());
         OfferOutcome::Refused {
             reason,
             retry_after,
@@ -212,110 +218,112 @@
     fn insert(
         &mut self,
         request: AdmissionRequest,
-        rank: LineRank,
+        order: OrderKey,
         send_by: Duration,
         cost: f64,
     ) -> RequestKey {
         let customer = request.customer;
         let background = request.priority < 0;
-        let key = self.entries.insert_with_key(|key| WaitEntry {
-            ticket: LaneTicket {
+        let key = self.requests.insert_with_key(|key| QueueEntry {
+            request: QueuedRequest {
                 key,
                 customer,
-                rank,
+                order,
                 cost,
             },
             background,
             send_by,
         });
-        let ticket = self.entries[key].ticket;
+        let queued = self.requests[key].request;
         let share = f64::from(request.share.max(1));
-        self.lane(background).push(ticket, share);
-        self.due.insert((send_by, key));
+        self.fair_queue(background).push(queued, share);
+        self.send_deadlines.insert((send_by, key));
         key
     }
 
-    fn lane(&mut self, background: bool) -> &mut FairLane {
+    fn fair_queue(&mut self, background: bool) -> &mut FairQueue {
         if background {
             return &mut self.background;
         }
         &mut self.normal
     }
 
-    /// The request that goes next, when `free` more may be sent; call it until it gives none.
+    /// Returns the next request to send if `free` more may be sent. Call it until it returns
+    /// `None`.
     ///
-    /// It gives one whenever one waits and `free` is not zero: a slot is never held back for a
-    /// customer that has nothing to run.
+    /// It is work-conserving: it returns a request whenever one waits and `free` is not zero, so no
+    /// slot is reserved for a customer that has nothing to run.
     pub fn next(&mut self, now: Duration, free: usize) -> Option<RequestKey> {
-        self.pass(now);
+        self.advance(now);
         self.free = free;
         if free == 0 {
             return None;
         }
-        self.turns += 1;
-        let background_turn = self.turns.is_multiple_of(BACKGROUND_TURN);
+        self.dispatches += 1;
+        let background_turn = self.dispatches.is_multiple_of(BACKGROUND_INTERVAL);
         let from_background = self.normal.is_empty() || background_turn;
-        let ticket = if from_background {
+        let request = if from_background {
             self.background.pop().or_else(|| self.normal.pop())
         } else {
             self.normal.pop()
         }?;
-        let entry = self.entries.remove(ticket.key)?;
-        self.due.remove(&(entry.send_by, ticket.key));
-        self.drain.record_dispatched(ticket.cost);
+        let entry = self.requests.remove(request.key)?;
+        self.send_deadlines.remove(&(entry.send_by, request.key));
+        self.drain_rate.record_dispatched(request.cost);
         self.free -= 1;
-        self.pass(now);
-        Some(ticket.key)
+        self.advance(now);
+        Some(request.key)
     }
 
-    /// Takes out the requests whose deadline can't be met any more.
+    /// Removes and returns the requests that can't meet their deadline any more.
     ///
-    /// They get their final answer at once: a caller that learns of it early can still act, and
-    /// a request that is sent although it is late takes the place of one that is not.
+    /// They get their final answer immediately: a caller that learns of the failure early can still
+    /// act, and sending a request that is already late would take the slot of one that is not.
     pub fn expire(&mut self, now: Duration) -> Vec<RequestKey> {
         let mut expired = Vec::new();
-        while let Some((send_by, key)) = self.due.first().copied() {
+        while let Some((send_by, key)) = self.send_deadlines.first().copied() {
             if send_by > now {
                 break;
             }
             self.cancel(key);
             expired.push(key);
         }
-        self.pass(now);
+        self.advance(now);
         expired
     }
 
-    /// When the caller of an expired request of this cost shall come back.
+    /// Returns when the caller of an expired request of this cost should retry.
     pub fn retry_after(&mut self, now: Duration, cost: u32) -> Duration {
         let backlog = self.normal.backlog() + self.background.backlog();
-        let rate = self.drain.rate();
+        let rate = self.drain_rate.rate();
         let wait = rate.map_or(0.0, |rate| backlog / rate);
         let excess = Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX);
         let cost = f64::from(cost.max(1));
-        self.spread
-            .book(now, excess.min(Duration::from_hours(1)), cost, rate)
+        self.retry_schedule
+            .reserve(now, excess.min(Duration::from_hours(1)), cost, rate)
     }
 
-    /// Takes a request out whose caller has gone; false when it does not wait.
+    /// Removes a request whose caller has disconnected; returns false if it is not waiting.
     pub fn cancel(&mut self, key: RequestKey) -> bool {
-        let Some(entry) = self.entries.remove(key) else {
+        let Some(entry) = self.requests.remove(key) else {
             return false;
         };
-        self.due.remove(&(entry.send_by, key));
-        let ticket = entry.ticket;
-        self.lane(entry.background)
-            .remove(ticket.customer, &ticket.rank);
+        self.send_deadlines.remove(&(entry.send_by, key));
+        let request = entry.request;
+        self.fair_queue(entry.background)
+            .remove(request.customer, &request.order);
         true
     }
 
-    /// A target finished a request that [`Self::next`] had named.
+    /// Records that a target finished a request returned by [`Self::next`].
     pub fn record_finished(&mut self, now: Duration, request: FinishedRequest) {
-        self.pass(now);
-        self.drain.record_finished(f64::from(request.actual_cost));
+        self.advance(now);
+        self.drain_rate
+            .record_finished(f64::from(request.actual_cost));
         let difference = f64::from(request.actual_cost) - f64::from(request.predicted_cost);
-        self.normal.correct(request.customer, difference);
+        self.normal.adjust_charge(request.customer, difference);
         if let Some(first_token) = request.first_token {
-            self.first_token.note(first_token);
+            self.first_token.record(first_token);
         }
     }
 }
--- a/crates/policy/src/admission/request.rs
+++ b/crates/policy/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! What is offered to a queue, and what becomes of it.
+//! Requests as the admission queue sees them, and its decisions.
 
 use std::time::Duration;
 
@@ -10,58 +10,59 @@
     pub struct RequestKey;
 }
 
-/// A request that asks to be let in.
+/// A request to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct AdmissionRequest {
-    /// The customer.
+    /// The customer whose fair share the request counts against.
     pub customer: CustomerKey,
-    /// The customer's weight against others, at least 1.
+    /// The customer's weight relative to other customers, at least 1.
     #[builder(default = 1)]
     pub share: u32,
-    /// Order among the customer's own requests, higher first. Below 0 it is background work,
-    /// which yields to every customer. A customer can't raise itself above others by it.
+    /// Priority among the customer's own requests, highest first. Requests below 0 are background
+    /// work, which yields to every customer. It does not raise a customer above others.
     #[builder(default = 0)]
     pub priority: i32,
-    /// When the first token is due, since the node's start.
+    /// Time by which the first token is due, since the node's start.
     pub deadline: Duration,
-    /// Predicted tokens, of prompt and answer together.
+    /// Predicted number of tokens, prompt and answer together.
     pub cost: u32,
 }
 
-/// What becomes of an offered request.
+/// Decision on an offered request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It waits for its turn; [`AdmissionQueue::next`](super::AdmissionQueue::next) will name it.
+    /// The request waits until [`AdmissionQueue::next`](super::AdmissionQueue::next) returns its
+    /// key.
     Admitted(RequestKey),
-    /// It gets its final answer now; nothing of it was run.
+    /// The request gets its final answer now; nothing was executed.
     Refused {
-        /// Why.
+        /// Reason for the refusal, reported to the caller.
         reason: RefusalReason,
-        /// When the caller shall come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// Why a request is refused at arrival.
+/// Reason for refusing a request on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum RefusalReason {
-    /// The queue has no room left for this customer.
-    #[error("too many requests of this customer wait already")]
+    /// The customer already holds as many places as are left.
+    #[error("the queue is full for this customer")]
     QueueFull,
-    /// It would wait beyond its deadline.
-    #[error("the first token would be late")]
-    TooLate,
+    /// The predicted wait exceeds the time to the deadline.
+    #[error("the first token would miss the deadline")]
+    WouldMissDeadline,
 }
 
-/// A request that a target has finished, or given up.
+/// A request that a target has finished or given up.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct FinishedRequest {
-    /// The customer.
+    /// The customer that is charged for the difference in cost.
     pub customer: CustomerKey,
-    /// Tokens that were predicted.
+    /// Number of tokens that was predicted at admission.
     pub predicted_cost: u32,
-    /// Tokens that it took.
+    /// Number of tokens that were actually processed.
     pub actual_cost: u32,
-    /// Time from sending to the first token; none when none came.
+    /// Time from sending to the first token, or `None` if there was none.
     pub first_token: Option<Duration>,
 }
--- a/crates/policy/src/admission/shares.rs
+++ b/crates/policy/src/admission/shares.rs
@@ -1,83 +1,89 @@
-//! Which customers use more than their share of a service at one entry.
+//! Detection of customers that use more than their share of a service at one entry.
 
 use std::time::Duration;
 
 use domain::{CustomerId, FastMap};
 
-/// How long a customer counts as one that shares the service after its last request. Small
-/// customers send a request every few seconds to one entry; forgotten between two of them, they
-/// would leave the whole queue to the large ones.
-const PRESENCE: Duration = Duration::from_secs(10);
+/// Time after its last request for which a customer counts as active. Small customers send a
+/// request to one entry every few seconds; if they became inactive in between, the whole queue
+/// would be left to the large ones.
+const ACTIVE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Even parts that a customer may use before it counts as one that uses too much. Customers differ
-/// in size on the calmest day, and refusing the larger ones in order to hold places for others who
-/// do not come costs answers.
-const FREE_PARTS: u32 = 2;
+/// Number of even shares that a customer may use before it counts as over its share. Customers
+/// differ in size even on a quiet day, and refusing the larger ones to reserve places for customers
+/// that send nothing reduces the number of answers.
+const ALLOWED_SHARES: u32 = 2;
 
-/// Customers from which on two even parts are less than half of everything.
-const HALF_FROM: u32 = 4;
+/// Minimum number of customers that even shares are computed for. With fewer customers two even
+/// shares would exceed half of all running requests.
+const MIN_SHARE_COUNT: u32 = 4;
 
-/// Requests that are taken to run at least. Of two or three requests one is no sign of anything.
-const FREE_RUNNING: u32 = 2;
+/// Minimum total of running requests that shares are computed from. One out of two or three
+/// requests is not significant.
+const MIN_RUNNING: u32 = 2;
 
-/// Customers that are remembered before those that left are looked for.
-const MAX_LINES: usize = 1_024;
+/// Number of known customers from which inactive ones are removed.
+const MAX_CUSTOMERS: usize = 1_024;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct CustomerLine {
+struct CustomerUsage {
     running: u32,
-    seen: Duration,
+    last_arrival: Duration,
 }
 
-/// Requests of each customer that run at a service for one entry.
+/// Running requests of each customer at a service, sent by one entry.
 #[derive(Debug, Default)]
 pub struct CustomerShares {
-    lines: FastMap<CustomerId, CustomerLine>,
+    customers: FastMap<CustomerId, CustomerUsage>,
     running: u32,
 }
 
 impl CustomerShares {
-    /// A customer's request arrived, whatever becomes of it.
+    /// Records the arrival of a request, whether it is admitted or not.
     pub fn record_arrival(&mut self, customer: &CustomerId, now: Duration) {
-        if self.lines.len() >= MAX_LINES {
-            self.lines.retain(|_, line| is_present(line, now));
+        if self.customers.len() >= MAX_CUSTOMERS {
+            self.customers.retain(|_, usage| is_active(usage, now));
         }
-        let line = self.lines.entry(customer.clone()).or_default();
-        line.seen = now;
+        let usage = self.customers.entry(customer.clone()).or_default();
+        usage.last_arrival = now;
     }
 
-    /// A customer's request was sent.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, customer: &CustomerId) {
-        self.lines.entry(customer.clone()).or_default().running += 1;
+        self.customers.entry(customer.clone()).or_default().running += 1;
         self.running += 1;
     }
 
-    /// A request that was sent has ended.
+    /// Records that a request that was sent has ended.
     pub fn record_ended(&mut self, customer: &CustomerId) {
-        let Some(line) = self.lines.get_mut(customer) else {
+        let Some(usage) = self.customers.get_mut(customer) else {
             return;
         };
-        line.running = line.running.saturating_sub(1);
+        usage.running = usage.running.saturating_sub(1);
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Whether a customer uses more than [`FREE_PARTS`] even parts among those that are present, or
-    /// more than half. A customer that is alone may use everything.
+    /// Returns whether a customer uses more than [`ALLOWED_SHARES`] even shares among the active
+    /// customers, or more than half of all running requests. A customer that is alone may use
+    /// everything.
     #[must_use]
     pub fn is_over_share(&self, customer: &CustomerId, now: Duration) -> bool {
-        let Some(line) = self.lines.get(customer) else {
+        let Some(usage) = self.customers.get(customer) else {
             return false;
         };
-        let present = self.lines.values().filter(|line| is_present(line, now));
-        let present = u32::try_from(present.count()).unwrap_or(u32::MAX);
-        if present < 2 {
+        let active = self
+            .customers
+            .values()
+            .filter(|usage| is_active(usage, now));
+        let active = u32::try_from(active.count()).unwrap_or(u32::MAX);
+        if active < 2 {
             return false;
         }
-        let allowed = self.running.max(FREE_RUNNING).saturating_mul(FREE_PARTS);
-        line.running.saturating_mul(present.max(HALF_FROM)) > allowed
+        let allowed = self.running.max(MIN_RUNNING).saturating_mul(ALLOWED_SHARES);
+        usage.running.saturating_mul(active.max(MIN_SHARE_COUNT)) > allowed
     }
 }
 
-fn is_present(line: &CustomerLine, now: Duration) -> bool {
-    line.running > 0 || now.saturating_sub(line.seen) < PRESENCE
+fn is_active(usage: &CustomerUsage, now: Duration) -> bool {
+    usage.running > 0 || now.saturating_sub(usage.last_arrival) < ACTIVE_PERIOD
 }
