--- a/crates/policy/examples/compare/baseline/mod.rs
+++ b/crates/policy/examples/compare/baseline/mod.rs
@@ -53,7 +53,7 @@
 
 impl Entry {
     pub fn new(setup: &Setup, index: usize) -> Self {
-        let mut pool = TargetPool::new(PlacementSettings::builder().draws(setup.draws).build());
+        let mut pool = TargetPool::new(PlacementSettings::builder().samples(setup.draws).build());
         let mut targets = Vec::new();
         for engine in &setup.engines {
             targets.push(pool.insert(TargetProperties::builder().slots(engine.slots).build()));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions under load, without I/O, clocks or hidden randomness.
+//! Load-dependent decisions, without I/O, clocks or hidden randomness.
 //!
-//! Every time is a [`std::time::Duration`] since the node's start, on the node's own monotonic
-//! clock. Randomness is an `Rng` or a seed that the caller passes in, so that each decision can
-//! be replayed in a test.
+//! All times are [`std::time::Duration`]s since the node's start, on the node's own monotonic
+//! clock. Randomness comes from an `Rng` or a seed that the caller passes in, so that every
+//! decision can be reproduced in a test.
 
 pub mod admission;
 pub mod capacity;
--- a/crates/policy/src/placement/affinity.rs
+++ b/crates/policy/src/placement/affinity.rs
@@ -1,22 +1,23 @@
-//! Which targets probably hold which prompt prefixes in their cache.
+//! Index of the targets that probably hold a prompt prefix in their cache.
 
 use domain::{FastMap, TargetKey};
 
-/// Targets remembered for one prefix; with more holders it counts as held everywhere.
+/// Number of targets kept per prefix; a prefix with more holders counts as held by all targets.
 const MAX_HOLDERS: usize = 8;
 
-/// Prompts are looked up at lengths of 1, 2, 3, 4, 6, 8, 12, 16, … blocks.
+/// Returns the prefix lengths that are looked up: 1, 2, 3, 4, 6, 8, 12, 16, … blocks.
 ///
-/// Every block would cost a look-up for each 64 bytes of prompt on the request path; two lengths
-/// in each doubling find at least two thirds of what is held, in about 20 look-ups at most.
-fn depths(blocks: usize) -> Vec<usize> {
+/// Looking up every block would take one look-up per 64 bytes of prompt on the request path. Two
+/// lengths per doubling find at least two thirds of the longest held prefix, with at most about 20
+/// look-ups.
+fn lookup_depths(blocks: usize) -> Vec<usize> {
     let mut depths = Vec::new();
     let mut depth = 1;
     while depth <= blocks {
         depths.push(depth);
-        let between = depth + depth / 2;
-        if depth > 1 && between <= blocks {
-            depths.push(between);
+        let midpoint = depth + depth / 2;
+        if depth > 1 && midpoint <= blocks {
+            depths.push(midpoint);
         }
         depth *= 2;
     }
@@ -29,31 +30,31 @@
     common: bool,
 }
 
-/// What the index says of a prompt.
+/// Result of looking up a prompt in the index.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PrefixMatch {
-    /// Targets that hold a prefix, with its length in blocks, the longest first.
+    /// Targets that hold a prefix, with its length, longest first.
     pub holders: Vec<PrefixHolder>,
-    /// Blocks that nearly every target holds, such as a shared system prompt.
+    /// Number of blocks that nearly every target holds, such as a shared system prompt.
     pub common_blocks: usize,
 }
 
-/// A target that probably holds a prefix.
+/// A target that probably holds a prefix of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixHolder {
-    /// The target.
+    /// The target, which may no longer be a candidate.
     pub target: TargetKey,
-    /// Length of the prefix in blocks.
+    /// Length of the longest known prefix, in blocks.
     pub blocks: usize,
 }
 
-/// Index from prefix hashes to targets, in bounded memory.
+/// Index from prefix hashes to targets, with bounded memory.
 ///
-/// Engines publish their cache events late and with gaps, so everything here is a hint that may
-/// only change a prediction, never a gate. It also learns from this entry's own sends, because
-/// a prompt that was sent is held before any event says so. Two generations bound the memory:
-/// when the young one is full the old one is forgotten, which keeps what was asked for lately
-/// without a list to reorder on each look-up.
+/// Engines publish cache events late and incompletely, so the index is only a hint: it may change a
+/// prediction but never excludes a target. It also learns from the requests that this entry sends,
+/// because a prompt is cached before any event reports it. Two generations bound the memory: when
+/// the young one is full, the old one is dropped. This keeps recently used prefixes without
+/// reordering a list on each look-up.
 #[derive(Debug)]
 pub struct PrefixIndex {
     capacity: usize,
@@ -62,7 +63,7 @@
 }
 
 impl PrefixIndex {
-    /// An empty index of at most `capacity` prefixes; about 150 bytes each.
+    /// Creates an empty index of at most `capacity` prefixes, about 150 bytes each.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Prefixes remembered.
+    /// Returns the number of prefixes in both generations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether the index holds no prefix.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -88,7 +89,7 @@
         self.young.get(&prefix).or_else(|| self.old.get(&prefix))
     }
 
-    fn touch(&mut self, prefix: u64) -> &mut HolderList {
+    fn promote(&mut self, prefix: u64) -> &mut HolderList {
         if !self.young.contains_key(&prefix) {
             if self.young.len() >= self.capacity / 2 {
                 self.old = std::mem::take(&mut self.young);
@@ -99,9 +100,9 @@
         self.young.entry(prefix).or_default()
     }
 
-    /// A target holds a prefix.
+    /// Records that a target holds a prefix.
     pub fn insert(&mut self, prefix: u64, target: TargetKey) {
-        let list = self.touch(prefix);
+        let list = self.promote(prefix);
         if list.common || list.targets.contains(&target) {
             return;
         }
@@ -113,7 +114,7 @@
         list.targets.push(target);
     }
 
-    /// A target no longer holds a prefix.
+    /// Records that a target no longer holds a prefix.
     pub fn remove(&mut self, prefix: u64, target: TargetKey) {
         for map in [&mut self.young, &mut self.old] {
             let Some(list) = map.get_mut(&prefix) else {
@@ -123,20 +124,20 @@
         }
     }
 
-    /// A prompt with these prefix hashes, one a block, was sent to a target.
+    /// Records that a prompt with these prefix hashes, one per block, was sent to a target.
     pub fn insert_prompt(&mut self, prefixes: &[u64], target: TargetKey) {
-        for depth in depths(prefixes.len()) {
+        for depth in lookup_depths(prefixes.len()) {
             if let Some(prefix) = prefixes.get(depth - 1) {
                 self.insert(*prefix, target);
             }
         }
     }
 
-    /// Who holds the longest prefixes of a prompt; at most `limit` targets.
+    /// Finds the holders of the longest prefixes of a prompt, at most `limit` targets.
     #[must_use]
     pub fn look_up(&self, prefixes: &[u64], limit: usize) -> PrefixMatch {
         let mut found = PrefixMatch::default();
-        for depth in depths(prefixes.len()).into_iter().rev() {
+        for depth in lookup_depths(prefixes.len()).into_iter().rev() {
             let Some(list) = prefixes.get(depth - 1).and_then(|hash| self.find(*hash)) else {
                 continue;
             };
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -1,4 +1,4 @@
-//! The choice between targets.
+//! Selection among the candidate targets.
 
 use std::time::Duration;
 
@@ -7,51 +7,54 @@
 use rand::seq::IndexedRandom;
 
 use super::affinity::PrefixMatch;
-use super::health::HealthVerdict;
+use super::health::HealthStatus;
 use super::pool::TargetPool;
 use super::request::{CandidateList, PlacementChoice, PlacementRequest};
 use super::state::TargetState;
 
-/// Draws before a search falls back to looking at every candidate in turn.
-const MAX_DRAWS: usize = 24;
+/// Maximum number of random samples before all candidates are scanned in turn.
+const MAX_SAMPLES: usize = 24;
 
-/// Draws that suffice when each of them is full.
+/// Number of samples that suffice if all of them are full.
 ///
-/// A gap that a report shows among full targets is taken by the time it is known, and every entry
-/// would run to the same one; seen as engines that queue beside idle slots.
-const FULL_DRAWS: usize = 2;
+/// A free slot that a report shows among full targets is taken by the time the report arrives, and
+/// every entry would send to the same target. This shows as engines that queue requests while slots
+/// elsewhere are idle.
+const FULL_SAMPLES: usize = 2;
 
-/// Holders of a prompt's prefix that are weighed besides the drawn targets.
-const MAX_HOLDERS: usize = 4;
+/// Number of holders of the prompt's prefix that are considered in addition to the samples.
+const MAX_PREFIX_HOLDERS: usize = 4;
 
-/// Holders of the adapter that are drawn besides.
+/// Number of random holders of the adapter that are considered in addition to the samples.
 ///
-/// With an adapter on 3 of 1,500 engines hardly any drawn target would have it, and the caller
-/// would wait until it is loaded.
-const ADAPTER_DRAWS: usize = 3;
+/// With an adapter on 3 of 1,500 engines, hardly any sample would have it, and the caller would
+/// wait until it is loaded.
+const ADAPTER_SAMPLES: usize = 3;
 
-/// Lately freed targets that are weighed besides the drawn ones.
+/// Number of recently freed targets that are considered in addition to the samples.
 ///
-/// Made for full targets: the slot that an own stream has just left is free for certain, while
-/// nearly every drawn target is full, and a request sent there waits beside an idle slot.
-const FREED_WEIGHED: usize = 3;
+/// When nearly all targets are full, the slot that one of this entry's own streams has just left is
+/// certain to be free, while a request sent to a random target would wait there next to an idle
+/// slot.
+const MAX_FREED_CANDIDATES: usize = 3;
 
-/// Longest prediction in seconds; beyond it targets are equally hopeless.
-const LONGEST_PREDICTED: f64 = 3_600.0;
+/// Upper limit of predictions in seconds; beyond it, targets are not distinguished.
+const MAX_PREDICTED_SECONDS: f64 = 3_600.0;
 
-/// Time to the first token, with and without the target's own slowness.
+/// Predicted time to first token, with and without the target's measured slowness.
 struct TimeEstimate {
     predicted: Duration,
     nominal: Duration,
 }
 
 impl TargetPool {
-    /// Chooses a target, none when no candidate is usable.
+    /// Chooses a target, or returns `None` if no candidate is usable.
     ///
-    /// `usable` is the caller's gate (evidence of wholeness, not leaving, not tried before); it
-    /// is asked only for the few targets that are looked at. Targets are drawn by chance, so the
-    /// cost does not grow with 1,500 engines, and the holders of the prompt's longest prefix are
-    /// weighed besides. The least predicted time to the first token wins.
+    /// `usable` is the caller's filter (evidence that the replica is whole, not leaving, not tried
+    /// before); it is called only for the few targets that are considered. Targets are sampled at
+    /// random, so the cost does not grow with 1,500 engines, and the holders of the prompt's
+    /// longest prefix are considered in addition. The target with the lowest predicted time to
+    /// first token is chosen.
     pub fn choose<R: Rng>(
         &mut self,
         candidates: &CandidateList,
@@ -60,69 +63,79 @@
         usable: impl Fn(TargetKey) -> bool,
         rng: &mut R,
     ) -> Option<PlacementChoice> {
-        self.survey(now);
-        let prefix = self.prefixes.look_up(request.prefixes, MAX_HOLDERS);
+        self.eject_stragglers(now);
+        let prefix = self.prefixes.look_up(request.prefixes, MAX_PREFIX_HOLDERS);
         let mut best: Option<PlacementChoice> = None;
         for holder in &prefix.holders {
             let listed = candidates.contains(holder.target);
-            if !listed || !self.is_open(holder.target, now) || !usable(holder.target) {
+            if !listed || !self.is_available(holder.target, now) || !usable(holder.target) {
                 continue;
             }
-            self.weigh(holder.target, &prefix, request, now, &mut best);
+            self.consider(holder.target, &prefix, request, now, &mut best);
         }
-        let mut drawn = 0;
+        let mut sampled = 0;
         let mut full = 0;
-        for draw in 0..MAX_DRAWS {
-            let all_full = full == drawn && drawn >= FULL_DRAWS;
-            if drawn >= self.settings.draws || all_full {
+        for sample in 0..MAX_SAMPLES {
+            let all_full = full == sampled && sampled >= FULL_SAMPLES;
+            if sampled >= self.settings.samples || all_full {
                 break;
             }
-            let Some(target) = candidates.draw(draw, rng) else {
+            let Some(target) = candidates.sample(sample, rng) else {
                 break;
             };
-            if !self.is_open(target, now) || !usable(target) {
+            if !self.is_available(target, now) || !usable(target) {
                 continue;
             }
-            drawn += 1;
+            sampled += 1;
             full += usize::from(self.is_full(target, now));
-            self.weigh(target, &prefix, request, now, &mut best);
+            self.consider(target, &prefix, request, now, &mut best);
         }
-        for _ in 0..ADAPTER_DRAWS {
+        for _ in 0..ADAPTER_SAMPLES {
             let holders = request.adapter.and_then(|name| self.adapters.get(name));
             let Some(target) = holders.and_then(|holders| holders.choose(rng)).copied() else {
                 break;
             };
             let listed = candidates.contains(target);
-            if listed && self.is_open(target, now) && usable(target) {
-                self.weigh(target, &prefix, request, now, &mut best);
+            if listed && self.is_available(target, now) && usable(target) {
+                self.consider(target, &prefix, request, now, &mut best);
             }
         }
-        for target in self.freed.iter().rev().copied().take(FREED_WEIGHED) {
+        for target in self
+            .recently_freed
+            .iter()
+            .rev()
+            .copied()
+            .take(MAX_FREED_CANDIDATES)
+        {
             let listed = candidates.contains(target);
-            if !listed || !self.is_open(target, now) || !usable(target) {
+            if !listed || !self.is_available(target, now) || !usable(target) {
                 continue;
             }
-            self.weigh(target, &prefix, request, now, &mut best);
+            self.consider(target, &prefix, request, now, &mut best);
         }
         if best.is_none() {
-            best = self.search(candidates, &prefix, request, now, &usable, rng);
+            best = self.scan(candidates, &prefix, request, now, &usable, rng);
         }
         let choice = best?;
-        if let Some(place) = self.freed.iter().rposition(|freed| *freed == choice.target) {
-            self.freed.remove(place);
+        if let Some(position) = self
+            .recently_freed
+            .iter()
+            .rposition(|freed| *freed == choice.target)
+        {
+            self.recently_freed.remove(position);
         }
         if let Some(state) = self.targets.get_mut(choice.target)
-            && state.health.verdict(now) == HealthVerdict::Trial
+            && state.health.status(now) == HealthStatus::ProbeDue
         {
-            state.health.start_trial(now, &self.settings.health);
+            state.health.start_probe(now, &self.settings.health);
         }
         Some(choice)
     }
 
-    /// Looks at every candidate from a random place on, for when hardly one is usable.
+    /// Scans all candidates from a random position, for the case that hardly any is usable.
     ///
-    /// Ejected targets are taken as the last resort: to try one costs less than to refuse.
-    fn search<R: Rng>(
+    /// Ejected targets are a last resort: trying one costs less than refusing the request.
+    fn scan<R: Rng>(
         &self,
         candidates: &CandidateList,
         prefix: &PrefixMatch,
@@ -136,14 +149,14 @@
             return None;
         }
         let start = rng.random_range(0..count);
-        for open_only in [true, false] {
+        for available_only in [true, false] {
             for step in 0..count {
                 let target = candidates.as_slice()[(start + step) % count];
-                if open_only && !self.is_open(target, now) || !usable(target) {
+                if available_only && !self.is_available(target, now) || !usable(target) {
                     continue;
                 }
                 let mut best = None;
-                self.weigh(target, prefix, request, now, &mut best);
+                self.consider(target, prefix, request, now, &mut best);
                 if best.is_some() {
                     return best;
                 }
@@ -159,14 +172,14 @@
         })
     }
 
-    fn is_open(&self, target: TargetKey, now: Duration) -> bool {
+    fn is_available(&self, target: TargetKey, now: Duration) -> bool {
         let Some(state) = self.targets.get(target) else {
             return false;
         };
-        state.health.verdict(now) != HealthVerdict::Ejected
+        state.health.status(now) != HealthStatus::Ejected
     }
 
-    fn weigh(
+    fn consider(
         &self,
         target: TargetKey,
         prefix: &PrefixMatch,
@@ -204,12 +217,13 @@
         let tokens = blocks.saturating_mul(self.settings.block_tokens);
         let tokens = tokens.min(request.prompt_tokens);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let trusted = (f64::from(tokens) * state.cache_trust) as u32;
-        trusted
+        let expected = (f64::from(tokens) * state.cache_accuracy) as u32;
+        expected
     }
 
-    /// Time to the first token: the way there, the wait for a slot, the prompts before this one
-    /// and this one's part that is not cached, scaled by how slow the target was lately.
+    /// Predicts the time to first token: the round trip, the wait for a slot, the prefill of
+    /// earlier prompts and of the uncached part of this one, scaled by the target's recent
+    /// slowness.
     fn predict(
         &self,
         state: &TargetState,
@@ -219,37 +233,38 @@
     ) -> TimeEstimate {
         let load = state.estimate(now);
         let slots = f64::from(state.properties.slots.max(1));
-        let over = load.streams + 1.0 - slots;
-        let wait = if state.properties.slots > 0 && over > 0.0 {
-            over * self.stay / slots
+        let excess = load.streams + 1.0 - slots;
+        let wait = if state.properties.slots > 0 && excess > 0.0 {
+            excess * self.stream_duration / slots
         } else {
             0.0
         };
-        let unread = f64::from(request.prompt_tokens.saturating_sub(cached_tokens));
-        let reading = load.reading + unread / load.prompt_rate.max(1.0);
-        // Streams in the batch slow each other a little; it also tells idle targets apart.
-        let crowding = load.streams / slots * 0.05;
-        let missing = request
+        let uncached = f64::from(request.prompt_tokens.saturating_sub(cached_tokens));
+        let prefill = load.prefill_seconds + uncached / load.prompt_rate.max(1.0);
+        // Streams in a batch slow each other down slightly; this also differentiates idle targets.
+        let batch_contention = load.streams / slots * 0.05;
+        let adapter_missing = request
             .adapter
             .is_some_and(|adapter| !state.properties.adapters.contains(adapter));
-        let loading = if missing {
-            self.settings.adapter_load.as_secs_f64()
+        let adapter_load = if adapter_missing {
+            self.settings.adapter_load_time.as_secs_f64()
         } else {
             0.0
         };
-        // A target on trial is weighed as if it were well, or its past would keep it from one.
-        let slowness = match state.health.verdict(now) {
-            HealthVerdict::Trial => 1.0,
-            HealthVerdict::Open | HealthVerdict::Ejected => state.health.slowness(now),
+        // A target due for a probe is treated as healthy; its past slowness would otherwise keep it
+        // from being probed.
+        let slowness = match state.health.status(now) {
+            HealthStatus::ProbeDue => 1.0,
+            HealthStatus::Healthy | HealthStatus::Ejected => state.health.slowness(now),
         };
-        let wait = wait + reading + crowding;
-        let at_pace = |slowness: f64| {
-            let seconds = (wait * slowness + loading).min(LONGEST_PREDICTED);
+        let wait = wait + prefill + batch_contention;
+        let with_slowness = |slowness: f64| {
+            let seconds = (wait * slowness + adapter_load).min(MAX_PREDICTED_SECONDS);
             state.properties.round_trip + Duration::from_secs_f64(seconds)
         };
         TimeEstimate {
-            predicted: at_pace(slowness),
-            nominal: at_pace(1.0),
+            predicted: with_slowness(slowness),
+            nominal: with_slowness(1.0),
         }
     }
 }
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -1,118 +1,118 @@
-//! Whether a target may be given work, by how it answered lately.
+//! Health of targets and their ejection.
 
 use std::time::Duration;
 
 use bon::Builder;
 
-/// Settings of ejection.
+/// Settings of outlier ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct HealthSettings {
-    /// Failures in a row after which a target is left out. One or two may be the caller's doing
-    /// or a lost connection.
+    /// Number of consecutive failures after which a target is ejected. One or two failures may be
+    /// due to the caller or to a lost connection.
     #[builder(default = 3)]
-    pub failures: u32,
-    /// How many times slower than the median target a straggler is.
+    pub consecutive_failures: u32,
+    /// Factor above the median slowness from which a target counts as a straggler.
     ///
-    /// Below 2 the usual spread between long and short answers would eject healthy targets.
+    /// Below 2, the normal variation between long and short answers would eject healthy targets.
     #[builder(default = 2.5)]
-    pub straggler: f64,
-    /// Answers before a target counts as a straggler.
+    pub straggler_ratio: f64,
+    /// Minimum number of answers before a target can count as a straggler.
     #[builder(default = 4)]
-    pub least_samples: u32,
-    /// First time for which a target is left out; doubled each time, up to `longest`.
+    pub min_samples: u32,
+    /// Duration of the first ejection; doubled each time, up to `max_ejection_time`.
     #[builder(default = Duration::from_secs(2))]
-    pub shortest: Duration,
-    /// Longest time for which a target is left out. A recovered target must not idle for long.
+    pub base_ejection_time: Duration,
+    /// Maximum duration of an ejection. A recovered target must not stay idle for long.
     #[builder(default = Duration::from_secs(30))]
-    pub longest: Duration,
-    /// Largest part of a model's targets that may be left out at once.
+    pub max_ejection_time: Duration,
+    /// Maximum fraction of a model's targets that may be ejected at the same time.
     ///
-    /// When more seem bad it is mostly the network or the entry itself, and to send everything
-    /// to the few others would bring these down too.
+    /// If more seem unhealthy, the cause is usually the network or the entry itself, and sending
+    /// all requests to the remaining targets would overload these too.
     #[builder(default = 0.3)]
-    pub max_ejected: f64,
+    pub max_ejected_fraction: f64,
 }
 
-/// Time after which a target's slowness is half forgotten without new answers.
+/// Half-life of a target's measured slowness without new answers.
 ///
-/// A straggler gets hardly any work, so without forgetting it would stay one for ever.
-const FORGET: Duration = Duration::from_secs(20);
+/// A straggler gets hardly any requests, so without decay it would remain a straggler forever.
+const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(20);
 
-/// Weight of a new answer in the slowness.
+/// Weight of a new answer in the moving average of the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
-/// Bounds of a single observation, against one absurd answer.
+/// Bounds of a single observation, to limit the effect of outliers.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.2, 20.0);
 
-/// How one target answered lately.
+/// Recent failures, ejections and slowness of one target.
 #[derive(Debug, Clone, Default)]
 pub struct TargetHealth {
     failures: u32,
     ejections: u32,
     ejected_until: Option<Duration>,
-    trial: bool,
+    probing: bool,
     slowness: f64,
     samples: u32,
-    slowness_at: Duration,
+    slowness_updated_at: Duration,
 }
 
-/// Whether a target may be given work.
+/// Whether requests may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HealthVerdict {
-    /// As usual.
-    Open,
-    /// One request at a time, to see whether it has recovered.
-    Trial,
-    /// None.
+pub enum HealthStatus {
+    /// Not ejected; requests are sent without restriction.
+    Healthy,
+    /// The ejection has ended; a single request is sent to test whether the target has recovered.
+    ProbeDue,
+    /// Ejected, or a probe is in progress; no requests are sent unless no other target is usable.
     Ejected,
 }
 
 impl TargetHealth {
-    /// Observed time to the first token over the predicted one; 1 for a target as predicted.
+    /// Returns the ratio of the observed to the predicted time to first token; 1 is as predicted.
     #[must_use]
     pub fn slowness(&self, now: Duration) -> f64 {
         if self.samples == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.slowness_at);
-        let kept = 0.5_f64.powf(age.as_secs_f64() / FORGET.as_secs_f64());
+        let age = now.saturating_sub(self.slowness_updated_at);
+        let kept = 0.5_f64.powf(age.as_secs_f64() / SLOWNESS_HALF_LIFE.as_secs_f64());
         (self.slowness.ln() * kept).exp()
     }
 
-    /// Whether it may be given work.
+    /// Returns whether requests may be sent to the target at time `now`.
     #[must_use]
-    pub fn verdict(&self, now: Duration) -> HealthVerdict {
+    pub fn status(&self, now: Duration) -> HealthStatus {
         match self.ejected_until {
-            Some(until) if now < until => HealthVerdict::Ejected,
-            Some(_) => HealthVerdict::Trial,
-            None => HealthVerdict::Open,
+            Some(until) if now < until => HealthStatus::Ejected,
+            Some(_) => HealthStatus::ProbeDue,
+            None => HealthStatus::Healthy,
         }
     }
 
-    /// A trial was sent; until it is answered there is no other.
-    pub(super) fn start_trial(&mut self, now: Duration, settings: &HealthSettings) {
-        self.trial = true;
-        self.ejected_until = Some(now + settings.longest);
+    /// Records that a probe was sent; no other one is sent until it is answered.
+    pub(super) fn start_probe(&mut self, now: Duration, settings: &HealthSettings) {
+        self.probing = true;
+        self.ejected_until = Some(now + settings.max_ejection_time);
     }
 
-    /// A first token came after `ratio` times the predicted time.
-    pub(super) fn record_answer(&mut self, now: Duration, ratio: f64, settings: &HealthSettings) {
+    /// Records a first token that arrived after `ratio` times the predicted time.
+    pub(super) fn record_ratio(&mut self, now: Duration, ratio: f64, settings: &HealthSettings) {
         let ratio = ratio.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
         let current = self.slowness(now);
-        let weight = if self.samples == 0 || self.trial {
+        let weight = if self.samples == 0 || self.probing {
             1.0
         } else {
             SLOWNESS_WEIGHT
         };
         self.slowness = current * (ratio / current).powf(weight);
-        self.slowness_at = now;
+        self.slowness_updated_at = now;
         self.samples = self.samples.saturating_add(1);
         self.failures = 0;
-        if !self.trial {
+        if !self.probing {
             return;
         }
-        self.trial = false;
-        if ratio > settings.straggler {
+        self.probing = false;
+        if ratio > settings.straggler_ratio {
             self.eject(now, settings);
             return;
         }
@@ -120,30 +120,32 @@
         self.ejections = self.ejections.saturating_sub(1);
     }
 
-    /// An attempt failed; true when the target should now be left out.
+    /// Records a failed attempt; returns true if the target must be ejected right away, because it
+    /// failed a probe or was already ejected.
     pub(super) fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
-        std::mem::take(&mut self.trial) || self.ejected_until.is_some()
+        std::mem::take(&mut self.probing) || self.ejected_until.is_some()
     }
 
-    /// Whether it failed too often in a row.
+    /// Returns whether the consecutive failures have reached the limit.
     #[must_use]
-    pub fn is_failing(&self, settings: &HealthSettings) -> bool {
-        self.failures >= settings.failures
+    pub fn has_failed_repeatedly(&self, settings: &HealthSettings) -> bool {
+        self.failures >= settings.consecutive_failures
     }
 
-    /// Whether it is far slower than the median target.
+    /// Returns whether the target is much slower than the median target.
     #[must_use]
     pub fn is_straggler(&self, now: Duration, median: f64, settings: &HealthSettings) -> bool {
-        self.samples >= settings.least_samples
-            && self.slowness(now) > settings.straggler * median.max(0.5)
+        self.samples >= settings.min_samples
+            && self.slowness(now) > settings.straggler_ratio * median.max(0.5)
     }
 
-    /// Leaves it out, for twice as long as the last time.
+    /// Ejects the target, for twice as long as the previous time.
     pub(super) fn eject(&mut self, now: Duration, settings: &HealthSettings) {
-        let doubled = settings.shortest * 2_u32.saturating_pow(self.ejections.min(10));
-        self.ejected_until = Some(now + doubled.min(settings.longest));
+        let ejection_time =
+            settings.base_ejection_time * 2_u32.saturating_pow(self.ejections.min(10));
+        self.ejected_until = Some(now + ejection_time.min(settings.max_ejection_time));
         self.ejections = self.ejections.saturating_add(1);
-        self.trial = false;
+        self.probing = false;
     }
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,12 +1,12 @@
-//! Choosing the target for an attempt by its predicted time to the first token.
+//! Selection of the target for an attempt by its predicted time to first token.
 
 mod affinity;
 mod choose;
 mod health;
+mod outliers;
 mod pool;
 mod request;
 mod state;
-mod survey;
 
 pub use affinity::PrefixIndex;
 pub use health::{HealthSettings, TargetHealth};
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -1,4 +1,4 @@
-//! The targets of an entry and what is noted of each.
+//! The targets of an entry and the observations of each.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,17 +10,18 @@
 use super::request::{CandidateList, PlacementChoice, PlacementRequest, PlacementSettings};
 use super::state::{AttemptOutcome, TargetLoad, TargetProperties, TargetState};
 
-/// Weight of a new observation in the pool's means.
+/// Weight of a new observation in the pool's moving averages.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// Freed targets that are remembered; more would be taken by others before they are looked at.
-const MAX_FREED: usize = 8;
+/// Number of recently freed targets to keep; with more, others would take the slots before they are
+/// considered.
+const MAX_RECENTLY_FREED: usize = 8;
 
-/// Shortest time to a first token that slowness is judged by, in seconds; below it the noise of
-/// the network would look like slowness.
-const LEAST_EXPECTED: f64 = 0.05;
+/// Minimum time to first token, in seconds, that slowness is computed from. Below it, network
+/// jitter would look like slowness.
+const MIN_EXPECTED_SECONDS: f64 = 0.05;
 
-/// The targets of one entry with all that is known of their load, caches and health.
+/// The targets of one entry with their known load, cache contents and health.
 #[derive(Debug)]
 pub struct TargetPool {
     pub(super) settings: PlacementSettings,
@@ -28,53 +29,53 @@
     pub(super) prefixes: PrefixIndex,
     /// Targets by the adapters that they have loaded.
     pub(super) adapters: FastMap<AdapterName, Vec<TargetKey>>,
-    /// Targets on which own streams ended lately, the newest last.
-    pub(super) freed: VecDeque<TargetKey>,
-    pub(super) stay: f64,
+    /// Targets on which own streams ended recently, newest last.
+    pub(super) recently_freed: VecDeque<TargetKey>,
+    pub(super) stream_duration: f64,
     pub(super) median_slowness: f64,
-    pub(super) surveyed_at: Option<Duration>,
+    pub(super) outliers_checked_at: Option<Duration>,
 }
 
 impl TargetPool {
-    /// An empty pool.
+    /// Creates a pool without targets.
     #[must_use]
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
             targets: SlotMap::with_key(),
-            prefixes: PrefixIndex::new(settings.prefixes),
+            prefixes: PrefixIndex::new(settings.max_prefixes),
             adapters: FastMap::default(),
-            freed: VecDeque::new(),
-            stay: settings.stay.as_secs_f64(),
+            recently_freed: VecDeque::new(),
+            stream_duration: settings.stream_duration.as_secs_f64(),
             median_slowness: 1.0,
-            surveyed_at: None,
+            outliers_checked_at: None,
             settings,
         }
     }
 
-    /// Adds a target.
+    /// Adds a target with no known load.
     pub fn insert(&mut self, properties: TargetProperties) -> TargetKey {
         let state = TargetState::new(properties, self.settings.prompt_rate);
         let target = self.targets.insert(state);
-        self.list_adapters(target);
+        self.index_adapters(target);
         target
     }
 
-    /// Changes what is fixed about a target; its load and health stay.
+    /// Replaces the properties of a target; its load and health are kept.
     pub fn set_properties(&mut self, target: TargetKey, properties: TargetProperties) {
-        self.unlist_adapters(target);
+        self.unindex_adapters(target);
         if let Some(state) = self.targets.get_mut(target) {
             state.properties = properties;
         }
-        self.list_adapters(target);
+        self.index_adapters(target);
     }
 
-    /// Forgets a target.
+    /// Removes a target; its entries in the prefix index age out.
     pub fn remove(&mut self, target: TargetKey) {
-        self.unlist_adapters(target);
+        self.unindex_adapters(target);
         self.targets.remove(target);
     }
 
-    fn list_adapters(&mut self, target: TargetKey) {
+    fn index_adapters(&mut self, target: TargetKey) {
         let Some(state) = self.targets.get(target) else {
             return;
         };
@@ -84,7 +85,7 @@
         }
     }
 
-    fn unlist_adapters(&mut self, target: TargetKey) {
+    fn unindex_adapters(&mut self, target: TargetKey) {
         let Some(state) = self.targets.get(target) else {
             return;
         };
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Orders targets for [`Self::choose`]; call it when targets change, not for each request.
+    /// Prepares a list of candidates for [`Self::choose`]. Call it when the targets change, not for
+    /// each request.
     #[must_use]
     pub fn candidates(&self, targets: impl IntoIterator<Item = TargetKey>) -> CandidateList {
         CandidateList::new(targets.into_iter().collect(), |target| {
@@ -108,14 +110,14 @@
         })
     }
 
-    /// A target reported its load.
+    /// Records the load that a target reported.
     pub fn record_load(&mut self, target: TargetKey, now: Duration, load: TargetLoad) {
         if let Some(state) = self.targets.get_mut(target) {
             state.record_load(now, load);
         }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent to the chosen target.
     pub fn record_sent(
         &mut self,
         choice: &PlacementChoice,
@@ -125,12 +127,12 @@
         let Some(state) = self.targets.get_mut(choice.target) else {
             return;
         };
-        let unread = request.prompt_tokens.saturating_sub(choice.cached_tokens);
-        state.record_sent(now, unread);
+        let uncached = request.prompt_tokens.saturating_sub(choice.cached_tokens);
+        state.record_sent(now, uncached);
         self.prefixes.insert_prompt(request.prefixes, choice.target);
     }
 
-    /// The first token of an attempt came after `elapsed`.
+    /// Records that the first token of an attempt arrived after `elapsed`.
     pub fn record_first_token(
         &mut self,
         choice: &PlacementChoice,
@@ -141,34 +143,41 @@
         let Some(state) = self.targets.get_mut(choice.target) else {
             return;
         };
-        let expected = choice.nominal.as_secs_f64().max(LEAST_EXPECTED);
-        let ratio = elapsed.as_secs_f64().max(LEAST_EXPECTED) / expected;
-        state.health.record_answer(now, ratio, &settings);
+        let expected = choice.nominal.as_secs_f64().max(MIN_EXPECTED_SECONDS);
+        let ratio = elapsed.as_secs_f64().max(MIN_EXPECTED_SECONDS) / expected;
+        state.health.record_ratio(now, ratio, &settings);
     }
 
-    /// An attempt was cancelled, or a second target is asked, after `elapsed` without a token.
+    /// Records that an attempt was cancelled, or a second target was asked, after `elapsed` without
+    /// a first token.
     ///
-    /// The attempt that is cancelled tells no time to its first token. Without this a target that
-    /// stalls loses every hedge and is never seen to be slow.
-    pub fn record_late(&mut self, choice: &PlacementChoice, now: Duration, elapsed: Duration) {
+    /// A cancelled attempt yields no time to first token. Without this, a target that stalls would
+    /// lose to every hedged request and its slowness would never be detected.
+    pub fn record_unanswered(
+        &mut self,
+        choice: &PlacementChoice,
+        now: Duration,
+        elapsed: Duration,
+    ) {
         let Some(state) = self.targets.get(choice.target) else {
             return;
         };
-        let expected = choice.nominal.as_secs_f64().max(LEAST_EXPECTED);
+        let expected = choice.nominal.as_secs_f64().max(MIN_EXPECTED_SECONDS);
         if elapsed.as_secs_f64() > expected * state.health.slowness(now) {
             self.record_first_token(choice, now, elapsed);
         }
     }
 
-    /// An attempt ended after `stay` at the target.
+    /// Records that an attempt ended after it had spent `duration` at the target.
     ///
-    /// A target that fails at once has no load and would look like the best one for every
-    /// request; seen as a large share of attempts that end there. So failures in a row eject it.
+    /// A target that fails immediately has no load and would look best for every request, so that a
+    /// large fraction of the attempts would end there. It is therefore ejected after consecutive
+    /// failures.
     pub fn record_ended(
         &mut self,
         target: TargetKey,
         now: Duration,
-        stay: Duration,
+        duration: Duration,
         outcome: AttemptOutcome,
     ) {
         let Some(state) = self.targets.get_mut(target) else {
@@ -177,11 +186,12 @@
         state.record_ended(now);
         match outcome {
             AttemptOutcome::Finished => {
-                self.freed.push_back(target);
-                if self.freed.len() > MAX_FREED {
-                    self.freed.pop_front();
+                self.recently_freed.push_back(target);
+                if self.recently_freed.len() > MAX_RECENTLY_FREED {
+                    self.recently_freed.pop_front();
                 }
-                self.stay += (stay.as_secs_f64() - self.stay) * MEAN_WEIGHT;
+                self.stream_duration +=
+                    (duration.as_secs_f64() - self.stream_duration) * MEAN_WEIGHT;
             }
             AttemptOutcome::Full => state.record_full(now),
             AttemptOutcome::Failed => self.record_failure(target, now),
@@ -191,17 +201,17 @@
 
     fn record_failure(&mut self, target: TargetKey, now: Duration) {
         let settings = self.settings.health;
-        let room = self.ejection_room(now);
+        let allowed = self.allowed_ejections(now);
         let Some(state) = self.targets.get_mut(target) else {
             return;
         };
-        let again = state.health.record_failure();
-        if again || state.health.is_failing(&settings) && room > 0 {
+        let eject_now = state.health.record_failure();
+        if eject_now || state.health.has_failed_repeatedly(&settings) && allowed > 0 {
             state.health.eject(now, &settings);
         }
     }
 
-    /// An engine published that a prefix entered or left its cache.
+    /// Records an engine's cache event: a prefix was stored in its cache or evicted from it.
     pub fn record_cache_event(&mut self, target: TargetKey, prefix: u64, stored: bool) {
         if stored {
             self.prefixes.insert(prefix, target);
@@ -210,10 +220,10 @@
         }
     }
 
-    /// A target told how many prompt tokens it really had cached.
+    /// Records how many prompt tokens a target actually had cached.
     ///
-    /// Where events of evictions are lost, the index promises too much; the target's trust then
-    /// falls, and affinity stops drawing requests to a queue for nothing.
+    /// If eviction events are lost, the index predicts too many cached tokens. The target's cache
+    /// accuracy then falls, and affinity no longer directs requests to a queue without benefit.
     pub fn record_cached_tokens(&mut self, choice: &PlacementChoice, cached_tokens: u32) {
         if choice.cached_tokens == 0 {
             return;
@@ -221,9 +231,9 @@
         let Some(state) = self.targets.get_mut(choice.target) else {
             return;
         };
-        let predicted = f64::from(choice.cached_tokens) / state.cache_trust.max(0.05);
-        let part = (f64::from(cached_tokens) / predicted).min(1.0);
-        state.cache_trust += (part - state.cache_trust) * 0.2;
-        state.cache_trust = state.cache_trust.clamp(0.05, 1.0);
+        let predicted = f64::from(choice.cached_tokens) / state.cache_accuracy.max(0.05);
+        let accuracy = (f64::from(cached_tokens) / predicted).min(1.0);
+        state.cache_accuracy += (accuracy - state.cache_accuracy) * 0.2;
+        state.cache_accuracy = state.cache_accuracy.clamp(0.05, 1.0);
     }
 }
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a choice, and what it answers.
+//! Settings, requests and results of target selection.
 
 use std::time::Duration;
 
@@ -8,67 +8,69 @@
 
 use super::health::HealthSettings;
 
-/// Targets that are at most this much farther than the nearest count as near.
+/// Maximum round trip beyond that of the nearest target for a target to count as near.
 ///
-/// Between the failure domains of one region lies about a millisecond, between regions tens.
-const NEAR_LIMIT: Duration = Duration::from_millis(5);
+/// The round trip is about a millisecond between failure domains of one region and tens of
+/// milliseconds between regions.
+const NEAR_MARGIN: Duration = Duration::from_millis(5);
 
 /// Settings of a [`TargetPool`].
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct PlacementSettings {
-    /// Candidates drawn for a choice, fewer while all of them are full.
+    /// Number of candidates sampled per choice, fewer if all of them are full.
     ///
-    /// The best of a few spreads requests so that lagged reports can't make every entry run to the
-    /// same idle target; docs/DECISIONS.md has the figures for other numbers.
+    /// Choosing the best of a few samples spreads requests, so that delayed reports don't make
+    /// every entry send to the same idle target; docs/DECISIONS.md has the figures for other
+    /// values.
     #[builder(default = 4)]
-    pub draws: usize,
-    /// Prompt tokens a second that a target reads when nothing is known of it.
+    pub samples: usize,
+    /// Assumed prefill rate in prompt tokens per second of a target whose rate is unknown.
     #[builder(default = 8_000.0)]
     pub prompt_rate: f64,
-    /// Time that a stream holds a slot, until some have been observed.
+    /// Assumed time that a stream holds a slot, until streams have been observed.
     #[builder(default = Duration::from_secs(8))]
-    pub stay: Duration,
-    /// Time to load an adapter that the target does not have.
+    pub stream_duration: Duration,
+    /// Assumed time to load an adapter that the target does not have.
     #[builder(default = Duration::from_secs(3))]
-    pub adapter_load: Duration,
-    /// Prompt tokens of one block of the prefix cache.
+    pub adapter_load_time: Duration,
+    /// Number of prompt tokens per block of the prefix cache.
     #[builder(default = 16)]
     pub block_tokens: u32,
-    /// Prefixes that are remembered.
+    /// Maximum number of prefixes in the prefix index.
     #[builder(default = 65_536)]
-    pub prefixes: usize,
-    /// Ejection.
+    pub max_prefixes: usize,
+    /// Settings of outlier ejection.
     #[builder(default = HealthSettings::builder().build())]
     pub health: HealthSettings,
 }
 
-/// What is asked of a target.
+/// A request to be placed on a target.
 #[derive(Debug, Clone, Copy, Default, Builder)]
 pub struct PlacementRequest<'a> {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt, cached or not.
     #[builder(default)]
     pub prompt_tokens: u32,
-    /// Hashes of the prompt's prefixes, one a block, as the engines publish them.
+    /// Hashes of the prompt's prefixes, one per block, as the engines publish them.
     #[builder(default)]
     pub prefixes: &'a [u64],
-    /// The adapter.
+    /// Adapter that the request needs, if any.
     pub adapter: Option<&'a AdapterName>,
 }
 
-/// The chosen target.
+/// The chosen target and the prediction that it was chosen by.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementChoice {
-    /// The target.
+    /// Key of the target in the pool.
     pub target: TargetKey,
-    /// Predicted time to the first token; hand it back to [`TargetPool::record_first_token`].
+    /// Predicted time to first token. Pass the choice back to [`TargetPool::record_first_token`].
     pub predicted: Duration,
-    /// The same, had the target been as fast as its load allows.
+    /// Prediction without the target's measured slowness, which observations are compared with.
     pub nominal: Duration,
-    /// Prompt tokens that the target probably has cached.
+    /// Expected number of prompt tokens in the target's cache.
     pub cached_tokens: u32,
 }
 
-/// The targets that may serve a request, near ones first; built once for each change of targets.
+/// Targets that may serve a request, nearest first; built once per change of targets.
 #[derive(Debug, Clone, Default)]
 pub struct CandidateList {
     targets: Vec<TargetKey>,
@@ -85,7 +87,7 @@
         let nearest = targets
             .first()
             .map_or(Duration::ZERO, |target| round_trip(*target));
-        let limit = nearest.saturating_add(NEAR_LIMIT);
+        let limit = nearest.saturating_add(NEAR_MARGIN);
         let near = targets.partition_point(|target| round_trip(*target) <= limit);
         let members = targets.iter().copied().collect();
         Self {
@@ -95,35 +97,36 @@
         }
     }
 
-    /// Whether a target is one of them.
+    /// Returns whether a target is a candidate.
     #[must_use]
     pub fn contains(&self, target: TargetKey) -> bool {
         self.members.contains(&target)
     }
 
-    /// How many there are.
+    /// Returns the number of candidates.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no candidates.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The targets, the nearest first.
+    /// Returns the candidates, nearest first.
     #[must_use]
     pub fn as_slice(&self) -> &[TargetKey] {
         &self.targets
     }
 
-    /// Draws a candidate; every other draw is among the near ones only.
+    /// Samples a candidate at random; every other sample is taken from the near ones only.
     ///
-    /// A region away the first token comes tens of milliseconds later, so far targets are drawn
-    /// less often, but still enough to take work over when the near ones are loaded or lost.
-    pub(super) fn draw<R: Rng>(&self, number: usize, rng: &mut R) -> Option<TargetKey> {
+    /// From another region the first token arrives tens of milliseconds later, so distant targets
+    /// are sampled less often, but often enough to take over load when the near ones are busy or
+    /// lost.
+    pub(super) fn sample<R: Rng>(&self, number: usize, rng: &mut R) -> Option<TargetKey> {
         let count = if number.is_multiple_of(2) {
             self.near
         } else {
--- a/crates/policy/src/placement/state.rs
+++ b/crates/policy/src/placement/state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one target.
+//! Load, health and properties of one target as this entry knows them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,53 +8,55 @@
 
 use super::health::TargetHealth;
 
-/// Sends and ends that are kept to correct the reported load; older ones are in the report.
+/// Maximum number of own sends and ends kept to correct the reported load. Older ones are part of
+/// the report.
 const MAX_CHANGES: usize = 512;
 
-/// What is fixed about a target.
+/// Properties of a target that don't depend on its load.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Builder)]
 pub struct TargetProperties {
-    /// Streams that it runs at once; 0 while it is unknown.
+    /// Number of streams that it runs concurrently; 0 if unknown.
     #[builder(default)]
     pub slots: u32,
-    /// Round trip to it from this entry.
+    /// Round-trip time between this entry and the target.
     #[builder(default)]
     pub round_trip: Duration,
-    /// Adapters that it has loaded.
+    /// Adapters that the target has loaded; any other must be loaded before a request that needs
+    /// it.
     #[builder(default)]
     pub adapters: Vec<AdapterName>,
 }
 
-/// A target's load as it was reported.
+/// Load of a target according to a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TargetLoad {
-    /// Streams in the batch.
+    /// Number of streams in the batch, from all entries.
     pub running: u32,
-    /// Streams that wait for a place in it.
+    /// Number of streams queued for a place in the batch, from all entries.
     pub waiting: u32,
-    /// Prompt tokens that wait to be read.
+    /// Number of prompt tokens waiting for prefill.
     pub prompt_backlog: u64,
-    /// Prompt tokens read a second; 0 when unknown, as for an idle engine.
+    /// Prefill rate in prompt tokens per second; 0 if unknown, as for an idle engine.
     pub prompt_rate: f64,
-    /// Age of the figures when they arrived.
+    /// Age of the figures on arrival.
     pub age: Duration,
 }
 
-/// How an attempt on a target ended.
+/// Result of an attempt on a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The target gave all it was asked for.
+    /// The target completed the request.
     Finished,
-    /// The target said that it has no room. It is healthy, but its report was out of date.
+    /// The target had no capacity. It is healthy, but its last report was out of date.
     Full,
-    /// It failed, refused or fell silent.
+    /// The attempt failed, was refused or timed out; counts against the target's health.
     Failed,
-    /// The caller left or the attempt was no longer wanted; it says nothing about the target.
+    /// The caller disconnected or the attempt was no longer needed; says nothing about the target.
     Cancelled,
 }
 
-/// Longest time in seconds that a prompt backlog is believed to take.
-const LONGEST_READING: f64 = 600.0;
+/// Upper limit in seconds of the estimated prefill time of a backlog.
+const MAX_PREFILL_SECONDS: f64 = 600.0;
 
 #[derive(Debug, Clone, Copy)]
 struct LoadChange {
@@ -63,7 +65,7 @@
     prompt_tokens: u32,
 }
 
-/// What an entry knows of one target.
+/// What this entry knows about one target.
 #[derive(Debug, Default)]
 pub(super) struct TargetState {
     pub properties: TargetProperties,
@@ -71,23 +73,23 @@
     load: TargetLoad,
     reported_at: Duration,
     changes: VecDeque<LoadChange>,
-    changed_streams: i32,
-    /// Prompt tokens read a second, as far as it is known.
+    stream_delta: i32,
+    /// Highest prefill rate seen so far, in prompt tokens per second.
     prompt_rate: f64,
-    /// When the prompts that were sent before now will have been read.
-    reads_until: Duration,
+    /// Time at which the prefill of all prompts sent so far is expected to be done.
+    prefill_done_at: Duration,
     pub in_flight: u32,
-    /// Part of the predicted cached tokens that were really cached; fades towards trust.
-    pub cache_trust: f64,
+    /// Moving average of actually cached tokens as a fraction of predicted ones; starts at 1.
+    pub cache_accuracy: f64,
 }
 
-/// Streams and prompts at a target, as far as an entry can tell.
+/// Estimated load of a target at a point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LoadEstimate {
     pub streams: f64,
-    /// Seconds until the prompts that are there have been read.
-    pub reading: f64,
-    /// Prompt tokens read a second.
+    /// Seconds until the prefill of the prompts at the target is done.
+    pub prefill_seconds: f64,
+    /// Prefill rate in prompt tokens per second.
     pub prompt_rate: f64,
 }
 
@@ -96,12 +98,12 @@
         Self {
             properties,
             prompt_rate,
-            cache_trust: 1.0,
+            cache_accuracy: 1.0,
             ..Self::default()
         }
     }
 
-    /// Takes a report in and forgets the own changes that it already shows.
+    /// Applies a report and drops the own sends and ends that it already includes.
     pub fn record_load(&mut self, now: Duration, load: TargetLoad) {
         let at = now.saturating_sub(load.age);
         if at < self.reported_at {
@@ -115,44 +117,45 @@
                 break;
             }
             self.changes.pop_front();
-            self.changed_streams -= change.streams;
+            self.stream_delta -= change.streams;
         }
         #[allow(clippy::cast_precision_loss)]
         let backlog = load.prompt_backlog as f64;
-        self.reads_until = at + self.reading_time(backlog);
+        self.prefill_done_at = at + self.prefill_time(backlog);
         for index in 0..self.changes.len() {
-            self.queue_prompt(self.changes[index]);
+            self.enqueue_prefill(self.changes[index]);
         }
     }
 
-    fn reading_time(&self, tokens: f64) -> Duration {
+    fn prefill_time(&self, tokens: f64) -> Duration {
         let seconds = tokens / self.prompt_rate.max(1.0);
-        Duration::from_secs_f64(seconds.clamp(0.0, LONGEST_READING))
+        Duration::from_secs_f64(seconds.clamp(0.0, MAX_PREFILL_SECONDS))
     }
 
-    /// Prompts are read one after another, each not before it was sent.
-    fn queue_prompt(&mut self, change: LoadChange) {
+    /// Adds a prompt to the prefill backlog. Prompts are processed one after another, each no
+    /// earlier than it was sent.
+    fn enqueue_prefill(&mut self, change: LoadChange) {
         if change.prompt_tokens == 0 {
             return;
         }
-        let time = self.reading_time(f64::from(change.prompt_tokens));
-        self.reads_until = self.reads_until.max(change.at) + time;
+        let time = self.prefill_time(f64::from(change.prompt_tokens));
+        self.prefill_done_at = self.prefill_done_at.max(change.at) + time;
     }
 
-    fn change(&mut self, change: LoadChange) {
+    fn apply(&mut self, change: LoadChange) {
         if self.changes.len() == MAX_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
-            self.changed_streams -= oldest.streams;
+            self.stream_delta -= oldest.streams;
         }
-        self.changed_streams += change.streams;
-        self.queue_prompt(change);
+        self.stream_delta += change.streams;
+        self.enqueue_prefill(change);
         self.changes.push_back(change);
     }
 
     pub fn record_sent(&mut self, now: Duration, prompt_tokens: u32) {
         self.in_flight += 1;
-        self.change(LoadChange {
+        self.apply(LoadChange {
             at: now,
             streams: 1,
             prompt_tokens,
@@ -161,30 +164,32 @@
 
     pub fn record_ended(&mut self, now: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.change(LoadChange {
+        self.apply(LoadChange {
             at: now,
             streams: -1,
             prompt_tokens: 0,
         });
     }
 
-    /// A target that refuses for want of room is full, whatever its last report says.
+    /// Marks the target as full, whatever its last report says, because it refused a request for
+    /// lack of capacity.
     pub fn record_full(&mut self, now: Duration) {
         self.load.running = self.load.running.max(self.properties.slots);
         self.load.waiting += 1;
         self.reported_at = now;
     }
 
-    /// The reported load with the own sends and ends since, and never below the own streams.
+    /// Returns the reported load corrected by this entry's own sends and ends since then, but no
+    /// less than its own streams.
     ///
-    /// Made for reports that lag by a second while dozens of requests arrive: without the own
-    /// sends every request until the next report would go to the same idle-looking target.
+    /// Reports may be a second old while dozens of requests arrive. Without the correction, all
+    /// requests until the next report would be sent to the same target that appears idle.
     pub fn estimate(&self, now: Duration) -> LoadEstimate {
         let reported = f64::from(self.load.running) + f64::from(self.load.waiting);
-        let streams = (reported + f64::from(self.changed_streams)).max(f64::from(self.in_flight));
+        let streams = (reported + f64::from(self.stream_delta)).max(f64::from(self.in_flight));
         LoadEstimate {
             streams,
-            reading: self.reads_until.saturating_sub(now).as_secs_f64(),
+            prefill_seconds: self.prefill_done_at.saturating_sub(now).as_secs_f64(),
             prompt_rate: self.prompt_rate,
         }
     }
