--- a/crates/control/src/amend/step.rs
+++ b/crates/control/src/amend/attempt.rs
@@ -7,11 +7,11 @@
 use super::{AmendError, ChangeEntry, ConfigHead, RecordAmendment, StoredRecord};
 
 /// Sends of one transaction before its outcome is reported as unknown.
-const COMMIT_TRIES: u32 = 5;
+const COMMIT_ATTEMPTS: u32 = 5;
 
 /// One try of an amendment against one head.
 #[derive(Debug)]
-pub(super) struct AmendStep {
+pub(super) struct AmendAttempt {
     pub(super) revision: ConfigRevision,
     record_key: String,
     change_key: String,
@@ -19,21 +19,21 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StepOutcome {
+pub(super) enum AttemptOutcome {
     /// It took effect.
     Accepted,
     /// Another record was amended first.
-    HeadMoved,
+    HeadChanged,
     /// This record was amended first.
-    RecordMoved,
+    RecordChanged,
 }
 
-impl AmendStep {
+impl AmendAttempt {
     pub(super) fn new(
         amendment: &RecordAmendment,
-        begun: &RecordRead,
+        initial: &RecordRead,
         head: &HeadRead,
-        round: u32,
+        number: u32,
     ) -> Result<Self, AmendError> {
         let revision = head.head.revision.next();
         let record_key = keys::record_key(amendment.kind, &amendment.name);
@@ -46,7 +46,7 @@
             operator: amendment.operator.clone(),
         };
         let head_value = to_value(keys::CONFIG_HEAD, &ConfigHead { revision })?;
-        let batch = WriteBatch::new(step_token(&amendment.token, round)?)
+        let batch = WriteBatch::new(attempt_token(&amendment.token, number)?)
             .put(keys::CONFIG_HEAD, head.expectation, head_value)
             .put(
                 change_key.clone(),
@@ -60,9 +60,9 @@
                     record: record.clone(),
                 };
                 let value = to_value(&record_key, &stored)?;
-                batch.put(record_key.clone(), begun.expectation, value)
+                batch.put(record_key.clone(), initial.expectation, value)
             }
-            None => batch.delete(record_key.clone(), begun.expectation),
+            None => batch.delete(record_key.clone(), initial.expectation),
         };
         Ok(Self {
             revision,
@@ -72,28 +72,31 @@
         })
     }
 
-    pub(super) async fn commit<T: TableStore>(&self, table: &T) -> Result<StepOutcome, AmendError> {
-        let conflicts = match settled_commit(table, &self.batch, COMMIT_TRIES).await {
-            Ok(CommitOutcome::Committed(_)) => return Ok(StepOutcome::Accepted),
+    pub(super) async fn commit<T: TableStore>(
+        &self,
+        table: &T,
+    ) -> Result<AttemptOutcome, AmendError> {
+        let conflicts = match settled_commit(table, &self.batch, COMMIT_ATTEMPTS).await {
+            Ok(CommitOutcome::Committed(_)) => return Ok(AttemptOutcome::Accepted),
             Ok(CommitOutcome::Conflict(conflicts)) => conflicts,
             Err(error) if error.is_unwritten() => return Err(error.into()),
             Err(error) => return Err(self.unsettled(error.to_string())),
         };
-        let log_row = conflicts
+        let log_conflict = conflicts
             .iter()
             .find(|conflict| conflict.key == self.change_key);
-        if log_row.is_none() && self.is_compacted(table).await? {
+        if log_conflict.is_none() && self.is_compacted(table).await? {
             // The head went past this revision, yet the row that would tell whose it is has been
             // compacted: a conflict here may be with an earlier send of this very amendment.
             return Err(self.unsettled("the change log no longer keeps it".to_owned()));
         }
-        let record_moved = conflicts
+        let record_changed = conflicts
             .iter()
             .any(|conflict| conflict.key == self.record_key);
-        if record_moved {
-            return Ok(StepOutcome::RecordMoved);
+        if record_changed {
+            return Ok(AttemptOutcome::RecordChanged);
         }
-        Ok(StepOutcome::HeadMoved)
+        Ok(AttemptOutcome::HeadChanged)
     }
 
     async fn is_compacted<T: TableStore>(&self, table: &T) -> Result<bool, AmendError> {
@@ -114,8 +117,8 @@
 }
 
 /// A token for each round: a batch's token marks that batch alone.
-fn step_token(token: &WriteToken, round: u32) -> Result<WriteToken, AmendError> {
-    format!("{token}.{round}")
+fn attempt_token(token: &WriteToken, number: u32) -> Result<WriteToken, AmendError> {
+    format!("{token}.{number}")
         .parse()
-        .map_err(|_| AmendError::BadRow(format!("token {token} is too long")))
+        .map_err(|_| AmendError::MalformedRow(format!("token {token} is too long")))
 }
--- a/crates/control/src/amend/mod.rs
+++ b/crates/control/src/amend/mod.rs
@@ -4,8 +4,8 @@
 //! log, and the record's row is written, each under its own expectation. The change-log row is
 //! never written twice, so the token in it proves the acceptance for as long as the log keeps it.
 
+mod attempt;
 mod rows;
-mod step;
 
 use domain::record::RecordKind;
 use domain::{ConfigRevision, FindingList, WriteToken};
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use wire::record::RecordFrame;
 
+use attempt::{AmendAttempt, AttemptOutcome};
 use rows::{read_head, read_record};
-use step::{AmendStep, StepOutcome};
 
 use crate::review::schema_findings;
 
@@ -24,7 +24,7 @@
 ///
 /// At 2,300 changes a day two operators hardly ever meet; a script that applies hundreds of
 /// records beside another one does. Each lost round means that another amendment was accepted.
-const HEAD_TRIES: u32 = 20;
+const HEAD_ATTEMPTS: u32 = 20;
 
 /// The configuration's head row.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -128,11 +128,11 @@
         cause: String,
     },
     /// Other amendments were accepted all the time.
-    #[error("{HEAD_TRIES} other amendments were faster; nothing took effect, try again")]
-    Crowded,
+    #[error("{HEAD_ATTEMPTS} other amendments were faster; nothing took effect, try again")]
+    Contention,
     /// A row of the table holds something else than it should.
     #[error("row {0} can't be read")]
-    BadRow(String),
+    MalformedRow(String),
 }
 
 /// Writes or deletes a record.
@@ -148,30 +148,30 @@
     table: &T,
     amendment: &RecordAmendment,
 ) -> Result<AmendOutcome, AmendError> {
-    let begun = read_record(table, amendment.kind, &amendment.name).await?;
-    if !begun.fulfils(amendment.expect) {
-        return conflict(table, amendment, begun.stored).await;
+    let initial = read_record(table, amendment.kind, &amendment.name).await?;
+    if !initial.satisfies(amendment.expect) {
+        return conflict(table, amendment, initial.stored).await;
     }
     let findings = schema_findings(
-        begun.stored.as_ref().map(|stored| &stored.record),
+        initial.stored.as_ref().map(|stored| &stored.record),
         amendment.record.as_ref(),
     );
     if !findings.is_empty() {
         return Ok(AmendOutcome::Refused(findings));
     }
-    for round in 0..HEAD_TRIES {
+    for number in 0..HEAD_ATTEMPTS {
         let head = read_head(table).await?;
-        let step = AmendStep::new(amendment, &begun, &head, round)?;
-        match step.commit(table).await? {
-            StepOutcome::Accepted => return Ok(AmendOutcome::Accepted(step.revision)),
-            StepOutcome::HeadMoved => {}
-            StepOutcome::RecordMoved => {
+        let attempt = AmendAttempt::new(amendment, &initial, &head, number)?;
+        match attempt.commit(table).await? {
+            AttemptOutcome::Accepted => return Ok(AmendOutcome::Accepted(attempt.revision)),
+            AttemptOutcome::HeadChanged => {}
+            AttemptOutcome::RecordChanged => {
                 let now = read_record(table, amendment.kind, &amendment.name).await?;
                 return conflict(table, amendment, now.stored).await;
             }
         }
     }
-    Err(AmendError::Crowded)
+    Err(AmendError::Contention)
 }
 
 async fn conflict<T: TableStore>(
--- a/crates/control/src/amend/rows.rs
+++ b/crates/control/src/amend/rows.rs
@@ -15,7 +15,7 @@
 }
 
 impl RecordRead {
-    pub(super) fn fulfils(&self, expect: Expect) -> bool {
+    pub(super) fn satisfies(&self, expect: Expect) -> bool {
         match expect {
             Expect::Any => true,
             Expect::Absent => self.stored.is_none(),
@@ -47,14 +47,14 @@
     key: &str,
     value: serde_json::Value,
 ) -> Result<V, AmendError> {
-    serde_json::from_value(value).map_err(|_| AmendError::BadRow(key.to_owned()))
+    serde_json::from_value(value).map_err(|_| AmendError::MalformedRow(key.to_owned()))
 }
 
 pub(super) fn to_value<V: Serialize>(
     key: &str,
     value: &V,
 ) -> Result<serde_json::Value, AmendError> {
-    serde_json::to_value(value).map_err(|_| AmendError::BadRow(key.to_owned()))
+    serde_json::to_value(value).map_err(|_| AmendError::MalformedRow(key.to_owned()))
 }
 
 pub(super) async fn read_head<T: TableStore>(table: &T) -> Result<HeadRead, AmendError> {
--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -11,17 +11,17 @@
 use target::EnginePort;
 use tokio::sync::watch;
 
-use super::journal::StepJournal;
 use super::orders::send_orders;
+use super::step_events::StepEvents;
 use super::{
-    AssemblySettings, FabricHealth, FabricRows, HostChooser, HostHealth, RoundInput,
-    ServingReplicas, StepError, VersionTarget, plan_round, wanted_orders,
+    AssemblySettings, DesiredVersion, FabricHealth, FabricRows, HostChooser, HostHealth,
+    RoundInput, ServingReplicas, StepError, plan_round, required_orders,
 };
+use crate::backoff::with_jitter;
 use crate::directory::HostDirectory;
 use crate::drains::DrainSet;
 use crate::evidence_store::EvidenceStore;
 use crate::lease::LeaseGrant;
-use crate::pause::spread;
 use crate::view::{ConfigView, TargetView};
 
 /// What a controller works with.
@@ -49,23 +49,23 @@
 
 /// Acts for a fabric domain whenever its lease is held; runs until the lease's keeper ends.
 pub async fn run_controller<T: TableStore, E: EnginePort, C: HostChooser>(
-    parts: AssemblyContext<T, E, C>,
+    context: AssemblyContext<T, E, C>,
     fabric: FabricId,
     mut grants: watch::Receiver<Option<LeaseGrant>>,
 ) {
-    let pause = Duration::from_millis(parts.settings.round_ms);
-    let mut controller = FabricController::new(parts, fabric);
+    let period = Duration::from_millis(context.settings.round_ms);
+    let mut controller = FabricController::new(context, fabric);
     loop {
         let grant = grants.borrow_and_update().clone();
         let Some(grant) = grant else {
-            controller.forget();
+            controller.reset();
             if grants.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        controller.round(&grant).await;
-        tokio::time::sleep(spread(pause, 0.2)).await;
+        controller.run_round(&grant).await;
+        tokio::time::sleep(with_jitter(period, 0.2)).await;
         if grants.has_changed().is_err() {
             return;
         }
@@ -75,7 +75,7 @@
 /// The state that a controller keeps between rounds; all of it can be read anew.
 #[derive(Debug)]
 pub struct FabricController<T, E, C> {
-    parts: AssemblyContext<T, E, C>,
+    context: AssemblyContext<T, E, C>,
     fabric: FabricId,
     rows: Option<(LeaseEpoch, FabricRows)>,
     refreshed: Instant,
@@ -85,9 +85,9 @@
 impl<T: TableStore, E: EnginePort, C: HostChooser> FabricController<T, E, C> {
     /// A controller that has read nothing yet.
     #[must_use]
-    pub fn new(parts: AssemblyContext<T, E, C>, fabric: FabricId) -> Self {
+    pub fn new(context: AssemblyContext<T, E, C>, fabric: FabricId) -> Self {
         Self {
-            parts,
+            context,
             fabric,
             rows: None,
             refreshed: Instant::now(),
@@ -96,14 +96,14 @@
     }
 
     /// Forgets what was read, because another node may act now.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.rows = None;
         self.health = FabricHealth::default();
     }
 
     /// One round under a lease.
-    pub async fn round(&mut self, grant: &LeaseGrant) {
-        let config = Arc::clone(&self.parts.config.borrow());
+    pub async fn run_round(&mut self, grant: &LeaseGrant) {
+        let config = Arc::clone(&self.context.config.borrow());
         // A node that has not read any record yet would take every replica for a surplus.
         if config.revision.0 == 0 {
             return;
@@ -111,16 +111,16 @@
         let Ok(mut rows) = self.current_rows(grant).await else {
             return;
         };
-        let done = self.work(grant, &config, &mut rows).await;
-        let current = !matches!(done, Err(StepError::Store(_) | StepError::Conflict));
+        let result = self.reconcile(grant, &config, &mut rows).await;
+        let current = !matches!(result, Err(StepError::Store(_) | StepError::Conflict));
         self.rows = current.then_some((grant.epoch, rows));
     }
 
     /// The rows, read anew after a take-over, a conflict or a lost answer, and looked at every
     /// few seconds for a write of one's own that took effect after its answer was given up.
     async fn current_rows(&mut self, grant: &LeaseGrant) -> Result<FabricRows, StoreError> {
-        let table = &self.parts.table;
-        let period = Duration::from_millis(self.parts.settings.refresh_ms);
+        let table = &self.context.table;
+        let period = Duration::from_millis(self.context.settings.refresh_ms);
         if let Some((epoch, mut rows)) = self.rows.take()
             && epoch == grant.epoch
         {
@@ -128,7 +128,7 @@
                 return Ok(rows);
             }
             if !rows.is_stale(table).await? {
-                rows.load_census(table).await?;
+                rows.load_replica_counts(table).await?;
                 self.refreshed = Instant::now();
                 return Ok(rows);
             }
@@ -138,56 +138,60 @@
         Ok(rows)
     }
 
-    async fn work(
+    async fn reconcile(
         &mut self,
         grant: &LeaseGrant,
         config: &ConfigView,
         rows: &mut FabricRows,
     ) -> Result<(), StepError> {
-        let settings = self.parts.settings;
-        let directory = Arc::clone(&self.parts.directory.borrow());
-        let names = self.host_names(&directory, rows);
-        rows.load_slots(&self.parts.table, names.iter()).await?;
+        let settings = self.context.settings;
+        let directory = Arc::clone(&self.context.directory.borrow());
+        let hosts_to_check = self.host_names(&directory, rows);
+        rows.load_slots(&self.context.table, hosts_to_check.iter())
+            .await?;
         let trusted = self.trusted_hosts(rows);
         let drains = DrainSet::new(config);
-        let mut hosts = self.ask_hosts(&names, &trusted, &directory, &drains).await;
+        let mut hosts = self
+            .probe_hosts(&hosts_to_check, &trusted, &directory, &drains)
+            .await;
         let now = Instant::now();
-        self.health.note_round(&mut hosts, &trusted, settings, now);
+        self.health.update_lost(&mut hosts, &trusted, settings, now);
         let drained = self.drained_replicas(rows, &hosts, now);
         let slots = rows
             .slots
             .iter()
             .map(|(host, (slot, _))| (host.clone(), slot.clone()))
             .collect::<FastMap<HostId, HostSlot>>();
-        self.health.note_empty(&mut hosts, &slots, settings, now);
-        let targets = self.parts.targets.as_ref();
+        self.health
+            .update_cooldown(&mut hosts, &slots, settings, now);
+        let targets = self.context.targets.as_ref();
         let targets = targets.map(|targets| Arc::clone(&targets.borrow()));
         let steps = plan_round(&RoundInput {
             serving: &ServingReplicas::new(rows, targets.as_deref(), now),
             fleet: &rows.fleet.0,
             slots: &slots,
             hosts: &hosts,
-            targets: &version_targets(config, rows),
+            versions: &desired_versions(config, rows),
             drained: &drained,
-            chooser: &self.parts.chooser,
+            chooser: &self.context.chooser,
         });
-        let journal = StepJournal::new(&self.parts.recorder);
+        let step_events = StepEvents::new(&self.context.recorder);
         for step in steps {
             let known = rows.fleet.0.clone();
             match rows
-                .commit_step(&self.parts.table, grant, &step, &hosts)
+                .commit_step(&self.context.table, grant, &step, &hosts)
                 .await
             {
-                Ok(()) => journal.note_step(&step, &known, &rows.fleet.0, &hosts),
+                Ok(()) => step_events.record(&step, &known, &rows.fleet.0, &hosts),
                 Err(error @ (StepError::Store(_) | StepError::Conflict)) => return Err(error),
                 Err(StepError::Slot(_) | StepError::Fleet(_) | StepError::Id(_)) => {}
             }
         }
-        let orders = wanted_orders(&rows.fleet.0, &hosts, &directory, settings.loads_at_once);
-        for host in send_orders(&self.parts.engine, grant, &orders, settings).await {
+        let orders = required_orders(&rows.fleet.0, &hosts, &directory, settings.loads_at_once);
+        for host in send_orders(&self.context.engine, grant, &orders, settings).await {
             let subject = EventSubject::host(&host);
             let detail = format!("epoch {}", grant.epoch);
-            self.parts
+            self.context
                 .recorder
                 .note(EventCode::OrderFenced, subject, detail);
         }
@@ -206,20 +210,21 @@
             .iter()
             .filter(|(_, (slot, _))| slot.assignment.is_some())
             .map(|(host, _)| host);
-        let mut names: Vec<HostId> = listed.chain(planned).chain(assigned).cloned().collect();
-        names.sort_unstable();
-        names.dedup();
-        names
+        let mut hosts_to_check: Vec<HostId> =
+            listed.chain(planned).chain(assigned).cloned().collect();
+        hosts_to_check.sort_unstable();
+        hosts_to_check.dedup();
+        hosts_to_check
     }
 
     /// Hosts of replicas that some node found whole a moment ago. They need no question of the
     /// controller, and a controller that is cut off from them does not take them for lost.
     fn trusted_hosts(&self, rows: &FabricRows) -> FastMap<HostId, Instant> {
-        let limit = Duration::from_millis(self.parts.settings.trust_ms);
+        let limit = Duration::from_millis(self.context.settings.trust_ms);
         let now = Instant::now();
         let mut trusted = FastMap::default();
         for plan in &rows.fleet.0.plans {
-            let Some(entry) = self.parts.evidence_store.newest_for(&plan.id) else {
+            let Some(entry) = self.context.evidence_store.newest_for(&plan.id) else {
                 continue;
             };
             let mut evidence = entry.evidence.clone();
@@ -233,19 +238,19 @@
         trusted
     }
 
-    async fn ask_hosts(
+    async fn probe_hosts(
         &self,
-        names: &[HostId],
+        hosts_to_check: &[HostId],
         trusted: &FastMap<HostId, Instant>,
         directory: &HostDirectory,
         drains: &DrainSet,
     ) -> BTreeMap<HostId, HostHealth> {
-        let timeout = Duration::from_millis(self.parts.settings.probe_timeout_ms);
-        let questions = names.iter().map(|host| async move {
+        let timeout = Duration::from_millis(self.context.settings.probe_timeout_ms);
+        let probes = hosts_to_check.iter().map(|host| async move {
             let entry = directory.hosts.get(host);
             let state = match entry {
                 Some(entry) if !trusted.contains_key(host) => {
-                    let answer = self.parts.engine.state(entry.address, timeout).await;
+                    let answer = self.context.engine.state(entry.address, timeout).await;
                     answer.ok().filter(|state| state.host == *host)
                 }
                 Some(_) | None => None,
@@ -258,7 +263,7 @@
             };
             (host.clone(), health)
         });
-        join_all(questions).await.into_iter().collect()
+        join_all(probes).await.into_iter().collect()
     }
 
     fn drained_replicas(
@@ -279,8 +284,8 @@
                 .and_then(|health| health.state.as_ref())
                 .map(|state| state.load);
             let idle = load.is_some_and(|load| load.running == 0 && load.waiting == 0);
-            let settings = self.parts.settings;
-            if self.health.note_drain(&plan.id, idle, settings, now) {
+            let settings = self.context.settings;
+            if self.health.update_drain(&plan.id, idle, settings, now) {
                 drained.insert(plan.id.clone());
             }
         }
@@ -290,20 +295,22 @@
 }
 
 /// What the records ask for, with the counts in the table.
-fn version_targets(config: &ConfigView, rows: &FabricRows) -> Vec<VersionTarget> {
-    let standing = |model: &domain::ModelName, version: &domain::VersionName| {
+fn desired_versions(config: &ConfigView, rows: &FabricRows) -> Vec<DesiredVersion> {
+    let active = |model: &domain::ModelName, version: &domain::VersionName| {
         let name = (model.clone(), version.clone());
-        rows.census.get(&name).map_or(0, |(row, _)| row.replicas)
+        rows.replica_counts
+            .get(&name)
+            .map_or(0, |(row, _)| row.replicas)
     };
-    let mut targets = Vec::new();
+    let mut desired = Vec::new();
     for model in config.models.values() {
         for version in &model.versions {
-            targets.push(VersionTarget {
+            desired.push(DesiredVersion {
                 model: model.name.clone(),
                 version: version.version.clone(),
-                wanted: version.replicas,
-                standing: standing(&model.name, &version.version),
-                size: model.hosts_per_replica as usize,
+                desired: version.replicas,
+                active: active(&model.name, &version.version),
+                hosts_per_replica: model.hosts_per_replica as usize,
                 adapters: model.adapters.clone(),
             });
         }
@@ -313,21 +320,21 @@
     for plan in &rows.fleet.0.plans {
         let key =
             platform::keys::record_key(domain::record::RecordKind::Model, plan.model.as_str());
-        let known = targets
+        let known = desired
             .iter()
-            .any(|target| target.model == plan.model && target.version == plan.version);
+            .any(|wanted| wanted.model == plan.model && wanted.version == plan.version);
         if known || !config.unknown.contains(&key) {
             continue;
         }
-        let count = standing(&plan.model, &plan.version);
-        targets.push(VersionTarget {
+        let count = active(&plan.model, &plan.version);
+        desired.push(DesiredVersion {
             model: plan.model.clone(),
             version: plan.version.clone(),
-            wanted: count,
-            standing: count,
-            size: plan.hosts.len(),
+            desired: count,
+            active: count,
+            hosts_per_replica: plan.hosts.len(),
             adapters: plan.adapters.clone(),
         });
     }
-    targets
+    desired
 }
--- a/crates/control/src/assembly/mod.rs
+++ b/crates/control/src/assembly/mod.rs
@@ -22,22 +22,22 @@
 mod chooser;
 mod controller;
 mod health;
-mod journal;
 mod orders;
 mod round;
 mod rows;
 mod serving;
 mod step;
+mod step_events;
 mod supervise;
 
 pub use chooser::{FirstHosts, HostChooser};
 pub use controller::{AssemblyContext, FabricController, run_controller};
 pub use health::{FabricHealth, HostHealth};
-pub use orders::{HostOrder, wanted_orders};
+pub use orders::{HostOrder, required_orders};
 pub use round::{RoundInput, plan_round};
-pub use rows::{CensusRow, FabricRows, StepError};
+pub use rows::{FabricRows, ReplicaCountRow, StepError};
 pub use serving::{ModelCounts, ServingReplicas};
-pub use step::{AssemblyStep, VersionTarget};
+pub use step::{AssemblyStep, DesiredVersion};
 pub use supervise::{SupervisorInputs, supervise_leases};
 
 use std::time::Duration;
--- a/crates/control/src/assembly/orders.rs
+++ b/crates/control/src/assembly/orders.rs
@@ -30,50 +30,50 @@
 /// `loads_at_once` replicas load weights at the same time, because the weight store's rate is
 /// shared: many loads at once would all be slow, and none would serve early.
 #[must_use]
-pub fn wanted_orders(
+pub fn required_orders(
     fleet: &FabricFleet,
     hosts: &BTreeMap<HostId, HostHealth>,
     directory: &HostDirectory,
     loads_at_once: usize,
 ) -> Vec<HostOrder> {
-    let mut orders = empty_orders(fleet, hosts, directory);
+    let mut orders = clear_orders(fleet, hosts, directory);
     let mut loading = 0;
     for plan in &fleet.plans {
         let Some(assignments) = plan_assignments(plan, directory) else {
             continue;
         };
-        let PlanOrders {
-            strayed,
-            wanted,
-            loads,
-        } = plan_orders(plan, assignments, hosts);
-        orders.extend(strayed);
-        if !loads || loading >= loads_at_once {
+        let ReplicaOrders {
+            misassigned,
+            assign,
+            loading_weights,
+        } = replica_orders(plan, assignments, hosts);
+        orders.extend(misassigned);
+        if !loading_weights || loading >= loads_at_once {
             continue;
         }
         loading += 1;
-        orders.extend(wanted);
+        orders.extend(assign);
     }
     orders
 }
 
 /// Orders for the hosts of one replica.
 #[derive(Debug, Default)]
-struct PlanOrders {
+struct ReplicaOrders {
     /// They empty hosts that a late order took elsewhere.
-    strayed: Vec<HostOrder>,
+    misassigned: Vec<HostOrder>,
     /// They make hosts run their ranks.
-    wanted: Vec<HostOrder>,
+    assign: Vec<HostOrder>,
     /// Whether any host loads weights, or will once it is ordered.
-    loads: bool,
+    loading_weights: bool,
 }
 
-fn plan_orders(
+fn replica_orders(
     plan: &ReplicaPlan,
     assignments: Vec<RankAssignment>,
     hosts: &BTreeMap<HostId, HostHealth>,
-) -> PlanOrders {
-    let mut orders = PlanOrders::default();
+) -> ReplicaOrders {
+    let mut orders = ReplicaOrders::default();
     for (host, address, assignment) in assignments {
         let Some(health) = hosts.get(&host) else {
             continue;
@@ -82,13 +82,13 @@
             continue;
         };
         if state.assignment.as_ref() == Some(&assignment) {
-            orders.loads |= !state.ready;
+            orders.loading_weights |= !state.ready;
             continue;
         }
-        if runs_other(state, plan) {
+        if runs_other_replica(state, plan) {
             // It is emptied and rests before it comes back.
             let assignment = None;
-            orders.strayed.push(HostOrder {
+            orders.misassigned.push(HostOrder {
                 host,
                 address,
                 assignment,
@@ -96,25 +96,25 @@
             continue;
         }
         if health
-            .left
+            .previous_replica
             .as_ref()
             .is_some_and(|replica| *replica != plan.id)
         {
             continue;
         }
         let assignment = Some(assignment);
-        orders.wanted.push(HostOrder {
+        orders.assign.push(HostOrder {
             host,
             address,
             assignment,
         });
     }
-    orders.loads |= !orders.wanted.is_empty();
+    orders.loading_weights |= !orders.assign.is_empty();
     orders
 }
 
 /// Empties hosts that run something though no replica names them.
-fn empty_orders(
+fn clear_orders(
     fleet: &FabricFleet,
     hosts: &BTreeMap<HostId, HostHealth>,
     directory: &HostDirectory,
@@ -125,7 +125,7 @@
             .state
             .as_ref()
             .is_some_and(|state| state.assignment.is_some());
-        if !runs || fleet.replica_of(host).is_some() || leader_runs(host, health, hosts) {
+        if !runs || fleet.replica_of(host).is_some() || leader_may_answer(host, health, hosts) {
             continue;
         }
         let Some(entry) = directory.hosts.get(host) else {
@@ -140,7 +140,7 @@
     orders
 }
 
-fn runs_other(state: &EngineState, plan: &ReplicaPlan) -> bool {
+fn runs_other_replica(state: &EngineState, plan: &ReplicaPlan) -> bool {
     state
         .assignment
         .as_ref()
@@ -153,7 +153,11 @@
 /// requests; were another host emptied first, those requests would hang on it. So the leader goes
 /// first (specification `assembly`, 8 steps), and a silent one counts as running until it is lost.
 /// A leader that went on in a newer incarnation takes none of the old one's requests.
-fn leader_runs(host: &HostId, health: &HostHealth, hosts: &BTreeMap<HostId, HostHealth>) -> bool {
+fn leader_may_answer(
+    host: &HostId,
+    health: &HostHealth,
+    hosts: &BTreeMap<HostId, HostHealth>,
+) -> bool {
     let assignment = health
         .state
         .as_ref()
--- a/crates/control/src/assembly/round.rs
+++ b/crates/control/src/assembly/round.rs
@@ -4,7 +4,7 @@
 
 use domain::{FabricFleet, FastMap, FastSet, HostId, HostSlot, ModelName, ReplicaId, ReplicaPlan};
 
-use super::{AssemblyStep, HostChooser, HostHealth, ServingReplicas, VersionTarget};
+use super::{AssemblyStep, DesiredVersion, HostChooser, HostHealth, ServingReplicas};
 use crate::drains::DrainCause;
 
 /// What a round goes by.
@@ -17,7 +17,7 @@
     /// The hosts that are listed or were assigned.
     pub hosts: &'round BTreeMap<HostId, HostHealth>,
     /// What the records ask for.
-    pub targets: &'round [VersionTarget],
+    pub versions: &'round [DesiredVersion],
     /// Which replicas stand and serve.
     pub serving: &'round ServingReplicas,
     /// Draining replicas whose hosts may be taken.
@@ -35,24 +35,24 @@
     let mut round = Round {
         input,
         free: free_hosts(input),
-        targets: input.targets.to_vec(),
-        short: Vec::new(),
-        room: FastMap::default(),
+        versions: input.versions.to_vec(),
+        waiting: Vec::new(),
+        drains: FastMap::default(),
         steps: Vec::new(),
     };
-    round.free_slots();
+    round.free_empty_slots();
     for plan in &input.fleet.plans {
         if !plan.draining {
-            round.mend(plan);
+            round.reconcile_active(plan);
         }
     }
     for plan in &input.fleet.plans {
         if plan.draining {
-            round.finish_drain(plan);
+            round.reconcile_draining(plan);
         }
     }
-    round.regroup();
-    round.form();
+    round.dissolve_for_spares();
+    round.form_replicas();
     round.steps
 }
 
@@ -68,7 +68,7 @@
             .state
             .as_ref()
             .is_some_and(|state| state.assignment.is_none());
-        if slot_taken || !empty || health.resting || health.drain.is_some() {
+        if slot_taken || !empty || health.cooling_down || health.drain.is_some() {
             continue;
         }
         free.push(host.clone());
@@ -79,16 +79,16 @@
 struct Round<'round, C> {
     input: &'round RoundInput<'round, C>,
     free: Vec<HostId>,
-    targets: Vec<VersionTarget>,
+    versions: Vec<DesiredVersion>,
     /// Broken replicas that are wanted and find no spares.
-    short: Vec<&'round ReplicaPlan>,
+    waiting: Vec<&'round ReplicaPlan>,
     /// How many replicas of a model may still be drained in this round.
-    room: FastMap<ModelName, usize>,
+    drains: FastMap<ModelName, usize>,
     steps: Vec<AssemblyStep>,
 }
 
 impl<'round, C: HostChooser> Round<'round, C> {
-    fn free_slots(&mut self) {
+    fn free_empty_slots(&mut self) {
         for (host, slot) in self.input.slots {
             let Some(assignment) = &slot.assignment else {
                 continue;
@@ -108,14 +108,14 @@
         }
     }
 
-    fn target(&mut self, plan: &ReplicaPlan) -> Option<&mut VersionTarget> {
-        self.targets
+    fn version(&mut self, plan: &ReplicaPlan) -> Option<&mut DesiredVersion> {
+        self.versions
             .iter_mut()
-            .find(|target| target.model == plan.model && target.version == plan.version)
+            .find(|version| version.model == plan.model && version.version == plan.version)
     }
 
     /// A replica that takes work: it goes on, is mended, or drains.
-    fn mend(&mut self, plan: &ReplicaPlan) {
+    fn reconcile_active(&mut self, plan: &ReplicaPlan) {
         let lost = plan.hosts.iter().any(|host| self.is_lost(host));
         let restarted = plan.hosts.iter().any(|host| self.is_restarted(host));
         if lost || restarted {
@@ -125,8 +125,8 @@
         let Some(cause) = self.drain_cause(plan) else {
             return;
         };
-        if let Some(target) = self.target(plan) {
-            target.standing = target.standing.saturating_sub(1);
+        if let Some(version) = self.version(plan) {
+            version.active = version.active.saturating_sub(1);
         }
         self.steps.push(AssemblyStep::Drain(plan.id.clone(), cause));
     }
@@ -165,44 +165,52 @@
                 return cause;
             }
         }
-        let cause = self.record_cause(plan)?;
+        let cause = self.config_drain_cause(plan)?;
         // One that serves nobody can go at once.
-        let free = !self.input.serving.serves(&plan.id) || self.take_room(&plan.model);
+        let free = !self.input.serving.serves(&plan.id) || self.consume_drain(&plan.model);
         free.then_some(cause)
     }
 
     /// Why the records want the replica gone or formed anew.
-    fn record_cause(&mut self, plan: &ReplicaPlan) -> Option<DrainCause> {
-        let Some(target) = self.target(plan) else {
+    fn config_drain_cause(&mut self, plan: &ReplicaPlan) -> Option<DrainCause> {
+        let Some(version) = self.version(plan) else {
             return Some(DrainCause::Surplus);
         };
-        if target.standing > target.wanted {
+        if version.active > version.desired {
             return Some(DrainCause::Surplus);
         }
-        let changed = target.adapters != plan.adapters || target.size != plan.hosts.len();
+        let changed =
+            version.adapters != plan.adapters || version.hosts_per_replica != plan.hosts.len();
         changed.then_some(DrainCause::Changed)
     }
 
-    fn take_room(&mut self, model: &ModelName) -> bool {
-        let room = self.room.get(model).copied().unwrap_or_else(|| {
-            let of_model = self.targets.iter().filter(|target| target.model == *model);
+    fn consume_drain(&mut self, model: &ModelName) -> bool {
+        let drains = self.drains.get(model).copied().unwrap_or_else(|| {
+            let of_model = self
+                .versions
+                .iter()
+                .filter(|version| version.model == *model);
             let mut lacking = of_model
                 .clone()
-                .filter(|target| target.standing < target.wanted);
+                .filter(|version| version.active < version.desired);
             let chooser = self.input.chooser;
-            let formable = lacking.any(|target| chooser.choose(&self.free, target.size).is_some());
-            let wanted = of_model.map(|target| target.wanted as usize).sum();
+            let formable = lacking.any(|version| {
+                chooser
+                    .choose(&self.free, version.hosts_per_replica)
+                    .is_some()
+            });
+            let desired = of_model.map(|version| version.desired as usize).sum();
             self.input
                 .serving
                 .counts(model)
-                .drain_room(wanted, formable)
+                .allowed_drains(desired, formable)
         });
-        self.room.insert(model.clone(), room.saturating_sub(1));
-        room > 0
+        self.drains.insert(model.clone(), drains.saturating_sub(1));
+        drains > 0
     }
 
     /// The hosts that go on, filled up from the free ones; none when they do not suffice.
-    fn refill(&mut self, plan: &ReplicaPlan, size: usize) -> Option<Vec<HostId>> {
+    fn fill_hosts(&mut self, plan: &ReplicaPlan, size: usize) -> Option<Vec<HostId>> {
         let mut hosts: Vec<HostId> = plan
             .hosts
             .iter()
@@ -227,13 +235,19 @@
     }
 
     fn replace_hosts(&mut self, plan: &ReplicaPlan) {
-        let wanted = self.target(plan).map(|target| {
-            let fits = target.standing <= target.wanted;
-            (fits, target.size, target.adapters.clone())
+        let desired = self.version(plan).map(|version| {
+            let within_desired = version.active <= version.desired;
+            (
+                within_desired,
+                version.hosts_per_replica,
+                version.adapters.clone(),
+            )
         });
-        let fits = wanted.as_ref().map(|(fits, ..)| *fits);
-        let refilled = match wanted {
-            Some((true, size, adapters)) => self.refill(plan, size).map(|hosts| (hosts, adapters)),
+        let within_desired = desired.as_ref().map(|(within_desired, ..)| *within_desired);
+        let refilled = match desired {
+            Some((true, size, adapters)) => {
+                self.fill_hosts(plan, size).map(|hosts| (hosts, adapters))
+            }
             Some((false, ..)) | None => None,
         };
         if let Some((hosts, adapters)) = refilled {
@@ -244,12 +258,12 @@
             });
             return;
         }
-        if let Some(target) = self.target(plan) {
-            target.standing = target.standing.saturating_sub(1);
+        if let Some(version) = self.version(plan) {
+            version.active = version.active.saturating_sub(1);
         }
         // It keeps its hosts, which hold their weights, and goes on when the lost one is back.
         // Since it does not count as standing any more, another fabric domain may form one.
-        let step = match fits {
+        let step = match within_desired {
             Some(true) => AssemblyStep::Drain(plan.id.clone(), DrainCause::HostLost),
             Some(false) | None => AssemblyStep::Dissolve(plan.id.clone()),
         };
@@ -257,35 +271,35 @@
     }
 
     /// A replica that takes no new work: it takes work again, waits, is formed anew or ends.
-    fn finish_drain(&mut self, plan: &'round ReplicaPlan) {
+    fn reconcile_draining(&mut self, plan: &'round ReplicaPlan) {
         let broken = plan
             .hosts
             .iter()
             .any(|host| self.is_lost(host) || self.is_restarted(host));
-        let asked = plan.hosts.iter().any(|host| self.is_draining(host));
-        let target = self.target(plan).cloned();
-        let wanted = target.filter(|target| target.standing < target.wanted);
-        let same = wanted.as_ref().is_some_and(|target| {
-            target.adapters == plan.adapters && target.size == plan.hosts.len()
+        let host_draining = plan.hosts.iter().any(|host| self.is_draining(host));
+        let version = self.version(plan).cloned();
+        let desired = version.filter(|version| version.active < version.desired);
+        let same = desired.as_ref().is_some_and(|version| {
+            version.adapters == plan.adapters && version.hosts_per_replica == plan.hosts.len()
         });
-        if !broken && !asked && same {
-            self.raise_standing(plan);
+        if !broken && !host_draining && same {
+            self.count_active(plan);
             self.steps.push(AssemblyStep::Undrain(plan.id.clone()));
             return;
         }
         if !broken && !self.input.drained.contains(&plan.id) {
             return;
         }
-        if let Some(target) = wanted {
-            let Some(hosts) = self.refill(plan, target.size) else {
+        if let Some(version) = desired {
+            let Some(hosts) = self.fill_hosts(plan, version.hosts_per_replica) else {
                 self.wait_for_hosts(plan, broken);
                 return;
             };
-            self.raise_standing(plan);
+            self.count_active(plan);
             self.steps.push(AssemblyStep::Reform {
                 replica: plan.id.clone(),
                 hosts,
-                adapters: target.adapters,
+                adapters: version.adapters,
             });
             return;
         }
@@ -295,9 +309,9 @@
     /// A broken replica waits for its hosts; one whose host leaves ends, since that host is gone
     /// for good.
     fn wait_for_hosts(&mut self, plan: &'round ReplicaPlan, broken: bool) {
-        let leaves = plan.hosts.iter().any(|host| self.is_draining(host));
-        if broken && !leaves {
-            self.short.push(plan);
+        let host_draining = plan.hosts.iter().any(|host| self.is_draining(host));
+        if broken && !host_draining {
+            self.waiting.push(plan);
             return;
         }
         self.steps.push(AssemblyStep::Dissolve(plan.id.clone()));
@@ -307,10 +321,10 @@
     ///
     /// With one host lost in each of two 16-host replicas, 30 hosts would wait for two. Taken
     /// apart alone it would help nobody, and its hosts would load their weights anew.
-    fn regroup(&mut self) {
-        let mut short = std::mem::take(&mut self.short);
-        short.sort_by_key(|plan| self.lost_hosts(plan));
-        let [first, .., donor] = short.as_slice() else {
+    fn dissolve_for_spares(&mut self) {
+        let mut waiting = std::mem::take(&mut self.waiting);
+        waiting.sort_by_key(|plan| self.lost_hosts(plan));
+        let [first, .., donor] = waiting.as_slice() else {
             return;
         };
         let survivors = donor.hosts.len() - self.lost_hosts(donor);
@@ -323,29 +337,33 @@
         plan.hosts.iter().filter(|host| self.is_lost(host)).count()
     }
 
-    fn raise_standing(&mut self, plan: &ReplicaPlan) {
-        if let Some(target) = self.target(plan) {
-            target.standing += 1;
+    fn count_active(&mut self, plan: &ReplicaPlan) {
+        if let Some(version) = self.version(plan) {
+            version.active += 1;
         }
     }
 
     /// New replicas, the version that lacks the largest share first: a model without any replica
     /// answers nobody, one that lacks the third of three answers a little later.
-    fn form(&mut self) {
-        let mut lacking: Vec<VersionTarget> = self.targets.clone();
-        lacking.retain(|target| target.standing < target.wanted && target.size > 0);
-        lacking.sort_by_key(|target| {
-            let share = u64::from(target.standing) * 1_000 / u64::from(target.wanted);
-            (share, target.model.clone(), target.version.clone())
+    fn form_replicas(&mut self) {
+        let mut lacking: Vec<DesiredVersion> = self.versions.clone();
+        lacking.retain(|version| version.active < version.desired && version.hosts_per_replica > 0);
+        lacking.sort_by_key(|version| {
+            let share = u64::from(version.active) * 1_000 / u64::from(version.desired);
+            (share, version.model.clone(), version.version.clone())
         });
-        for target in lacking {
-            for _ in target.standing..target.wanted {
-                let Some(hosts) = self.input.chooser.choose(&self.free, target.size) else {
+        for version in lacking {
+            for _ in version.active..version.desired {
+                let Some(hosts) = self
+                    .input
+                    .chooser
+                    .choose(&self.free, version.hosts_per_replica)
+                else {
                     break;
                 };
                 self.free.retain(|host| !hosts.contains(host));
                 self.steps.push(AssemblyStep::Form {
-                    target: target.clone(),
+                    version: version.clone(),
                     hosts,
                 });
             }
--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -19,17 +19,17 @@
 use crate::token::random_token;
 
 /// Sends of one transaction before its outcome is left to the next round.
-const COMMIT_TRIES: u32 = 3;
+const COMMIT_ATTEMPTS: u32 = 3;
 
 /// Most slots that are read one by one.
-const SINGLE_READS: usize = 8;
+const MAX_SINGLE_READS: usize = 8;
 
 /// Count of the replicas of one version that stand and do not drain, over all fabric domains.
 ///
 /// Controllers of several fabric domains see the same replica missing. The row makes the second
 /// one's transaction fail instead of giving the model a replica too many.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CensusRow {
+pub struct ReplicaCountRow {
     /// The count.
     pub replicas: u32,
 }
@@ -67,7 +67,7 @@
     /// Slots of its hosts.
     pub slots: FastMap<HostId, VersionedRow<HostSlot>>,
     /// Counts of replicas.
-    pub census: FastMap<(ModelName, VersionName), VersionedRow<CensusRow>>,
+    pub replica_counts: FastMap<(ModelName, VersionName), VersionedRow<ReplicaCountRow>>,
 }
 
 impl FabricRows {
@@ -82,9 +82,9 @@
             fabric: fabric.clone(),
             fleet,
             slots: FastMap::default(),
-            census: FastMap::default(),
+            replica_counts: FastMap::default(),
         };
-        rows.load_census(table).await?;
+        rows.load_replica_counts(table).await?;
         Ok(rows)
     }
 
@@ -93,8 +93,11 @@
     /// # Errors
     ///
     /// [`StoreError`].
-    pub async fn load_census<T: TableStore>(&mut self, table: &T) -> Result<(), StoreError> {
-        self.census.clear();
+    pub async fn load_replica_counts<T: TableStore>(
+        &mut self,
+        table: &T,
+    ) -> Result<(), StoreError> {
+        self.replica_counts.clear();
         for row in table.scan(keys::CENSUS).await? {
             let name = row.key.trim_start_matches(keys::CENSUS);
             let Some((model, version)) = name.split_once('/') else {
@@ -105,7 +108,7 @@
             };
             let count = serde_json::from_value(row.value)
                 .map_err(|error| StoreError::Malformed(error.to_string()))?;
-            self.census
+            self.replica_counts
                 .insert((model, version), (count, Some(row.version)));
         }
         Ok(())
@@ -141,7 +144,7 @@
             .filter(|host| !self.slots.contains_key(host))
             .cloned()
             .collect();
-        if unknown.len() > SINGLE_READS {
+        if unknown.len() > MAX_SINGLE_READS {
             return self.scan_slots(table, unknown).await;
         }
         for host in unknown {
@@ -185,7 +188,7 @@
         step: &AssemblyStep,
         health: &std::collections::BTreeMap<HostId, HostHealth>,
     ) -> Result<(), StepError> {
-        let change = self.change_for(grant, step, health)?;
+        let change = self.changes_for(grant, step, health)?;
         let mut batch = WriteBatch::new(random_token("assembly")?);
         let key = keys::fleet_key(&self.fabric);
         if let Some(fleet) = &change.fleet {
@@ -211,12 +214,15 @@
             let value = to_value(slot)?;
             batch = batch.put(keys::host_key(host), expectation(version), value);
         }
-        if let Some((name, count)) = &change.census {
-            let version = self.census.get(name).and_then(|(_, version)| *version);
+        if let Some((name, count)) = &change.replica_counts {
+            let version = self
+                .replica_counts
+                .get(name)
+                .and_then(|(_, version)| *version);
             let key = keys::census_key(&name.0, &name.1);
             batch = batch.put(key, expectation(version), to_value(count)?);
         }
-        match settled_commit(table, &grant.guard(batch), COMMIT_TRIES).await? {
+        match settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
             CommitOutcome::Committed(version) => self.apply(change, version),
             CommitOutcome::Conflict(_) => return Err(StepError::Conflict),
         }
@@ -230,12 +236,12 @@
         for (host, slot) in change.slots {
             self.slots.insert(host, (slot, Some(version)));
         }
-        if let Some((name, count)) = change.census {
-            self.census.insert(name, (count, Some(version)));
+        if let Some((name, count)) = change.replica_counts {
+            self.replica_counts.insert(name, (count, Some(version)));
         }
     }
 
-    fn change_for(
+    fn changes_for(
         &self,
         grant: &LeaseGrant,
         step: &AssemblyStep,
@@ -249,23 +255,23 @@
                 let slot = slot.release(EmptyProof::ReportedEmpty, grant.epoch)?;
                 change.slots.push((host.clone(), slot));
             }
-            AssemblyStep::Form { target, hosts } => {
+            AssemblyStep::Form { version, hosts } => {
                 let number = fleet.next_number;
-                let id = format!("{}.{}.{number}", target.model, self.fabric).parse()?;
+                let id = format!("{}.{}.{number}", version.model, self.fabric).parse()?;
                 let plan = ReplicaPlan {
                     id,
                     incarnation: IncarnationNumber(1),
                     epoch: grant.epoch,
                     fabric: self.fabric.clone(),
                     hosts: hosts.clone(),
-                    model: target.model.clone(),
-                    version: target.version.clone(),
-                    adapters: target.adapters.clone(),
+                    model: version.model.clone(),
+                    version: version.version.clone(),
+                    adapters: version.adapters.clone(),
                     role: ReplicaRole::Both,
                     draining: false,
                 };
                 change.slots = self.assigned_slots(&plan, health)?;
-                change.census = Some(self.counted(&plan, 1));
+                change.replica_counts = Some(self.adjusted_count(&plan, 1));
                 change.fleet = Some(fleet.with_replica(plan)?);
             }
             AssemblyStep::Reform {
@@ -284,7 +290,7 @@
                 };
                 change.slots = self.assigned_slots(&plan, health)?;
                 if old.draining {
-                    change.census = Some(self.counted(&plan, 1));
+                    change.replica_counts = Some(self.adjusted_count(&plan, 1));
                 }
                 change.fleet = Some(fleet.with_changed(plan)?);
             }
@@ -293,7 +299,7 @@
             AssemblyStep::Dissolve(replica) => {
                 let old = self.plan(replica)?;
                 if !old.draining {
-                    change.census = Some(self.counted(old, -1));
+                    change.replica_counts = Some(self.adjusted_count(old, -1));
                 }
                 change.fleet = Some(fleet.without_replica(replica)?);
             }
@@ -306,9 +312,9 @@
             draining,
             ..self.plan(replica)?.clone()
         };
-        let by = if draining { -1 } else { 1 };
+        let delta = if draining { -1 } else { 1 };
         Ok(RowChanges {
-            census: Some(self.counted(&plan, by)),
+            replica_counts: Some(self.adjusted_count(&plan, delta)),
             fleet: Some(self.fleet.0.with_changed(plan)?),
             slots: Vec::new(),
         })
@@ -347,11 +353,18 @@
         Ok(slots)
     }
 
-    fn counted(&self, plan: &ReplicaPlan, by: i32) -> ((ModelName, VersionName), CensusRow) {
+    fn adjusted_count(
+        &self,
+        plan: &ReplicaPlan,
+        delta: i32,
+    ) -> ((ModelName, VersionName), ReplicaCountRow) {
         let name = (plan.model.clone(), plan.version.clone());
-        let current = self.census.get(&name).map_or(0, |(row, _)| row.replicas);
-        let replicas = current.saturating_add_signed(by);
-        (name, CensusRow { replicas })
+        let current = self
+            .replica_counts
+            .get(&name)
+            .map_or(0, |(row, _)| row.replicas);
+        let replicas = current.saturating_add_signed(delta);
+        (name, ReplicaCountRow { replicas })
     }
 }
 
@@ -359,7 +372,7 @@
 struct RowChanges {
     fleet: Option<FabricFleet>,
     slots: Vec<(HostId, HostSlot)>,
-    census: Option<((ModelName, VersionName), CensusRow)>,
+    replica_counts: Option<((ModelName, VersionName), ReplicaCountRow)>,
 }
 
 fn expectation(version: Option<RowVersion>) -> RowExpectation {
--- a/crates/control/src/assembly/serving.rs
+++ b/crates/control/src/assembly/serving.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use domain::{FastMap, FastSet, ModelName, ReplicaId};
-use policy::rollout::allowed_drains;
+use policy::rollout;
 
 use super::rows::FabricRows;
 use crate::view::TargetView;
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ModelCounts {
     /// Those that stand and do not drain, whether they serve or not.
-    pub standing: usize,
+    pub active: usize,
     /// Those that may be dispatched to.
     pub serving: usize,
 }
@@ -33,11 +33,11 @@
     /// refused for minutes. So old ones go as new ones come to serve: none while new ones can be
     /// formed or load, else a small part at a time.
     #[must_use]
-    pub fn drain_room(&self, wanted: usize, formable: bool) -> usize {
-        if wanted > 0 && (formable || self.standing > wanted) {
-            return self.serving.saturating_sub(wanted);
+    pub fn allowed_drains(&self, desired: usize, formable: bool) -> usize {
+        if desired > 0 && (formable || self.active > desired) {
+            return self.serving.saturating_sub(desired);
         }
-        allowed_drains(wanted, self.serving, ROLLOUT_STEPS)
+        rollout::allowed_drains(desired, self.serving, ROLLOUT_STEPS)
     }
 }
 
@@ -57,10 +57,10 @@
     #[must_use]
     pub fn new(rows: &FabricRows, targets: Option<&TargetView>, now: Instant) -> Self {
         let mut counts: FastMap<ModelName, ModelCounts> = FastMap::default();
-        for ((model, _), (row, _)) in &rows.census {
+        for ((model, _), (row, _)) in &rows.replica_counts {
             let count = counts.entry(model.clone()).or_default();
-            count.standing += row.replicas as usize;
-            count.serving = count.standing;
+            count.active += row.replicas as usize;
+            count.serving = count.active;
         }
         let Some(targets) = targets else {
             return Self {
--- a/crates/control/src/assembly/step.rs
+++ b/crates/control/src/assembly/step.rs
@@ -6,17 +6,17 @@
 
 /// What a model's record asks of one version, and how many replicas stand in all fabric domains.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct VersionTarget {
+pub struct DesiredVersion {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: VersionName,
     /// Replicas wanted.
-    pub wanted: u32,
+    pub desired: u32,
     /// Replicas that stand and do not drain.
-    pub standing: u32,
+    pub active: u32,
     /// Hosts of one replica.
-    pub size: usize,
+    pub hosts_per_replica: usize,
     /// Adapters that every replica loads.
     pub adapters: Vec<AdapterName>,
 }
@@ -29,7 +29,7 @@
     /// A new replica.
     Form {
         /// Its model, version and adapters.
-        target: VersionTarget,
+        version: DesiredVersion,
         /// Its hosts.
         hosts: Vec<HostId>,
     },
--- a/crates/control/src/assembly/journal.rs
+++ b/crates/control/src/assembly/step_events.rs
@@ -9,28 +9,29 @@
 
 /// Notes steps that took effect.
 #[derive(Debug)]
-pub struct StepJournal<'parts> {
-    recorder: &'parts EventRecorder,
+pub struct StepEvents<'recorder> {
+    recorder: &'recorder EventRecorder,
 }
 
-impl<'parts> StepJournal<'parts> {
+impl<'recorder> StepEvents<'recorder> {
     /// A journal.
-    pub fn new(recorder: &'parts EventRecorder) -> Self {
+    pub fn new(recorder: &'recorder EventRecorder) -> Self {
         Self { recorder }
     }
 
     /// Notes a step that led from the fleet `before` to the fleet `after`.
-    pub fn note_step(
+    pub fn record(
         &self,
         step: &AssemblyStep,
         before: &FabricFleet,
         after: &FabricFleet,
         hosts: &BTreeMap<HostId, HostHealth>,
     ) {
-        let note = |code, subject, detail: String| self.recorder.note(code, subject, detail);
+        let record_event =
+            |code, subject, detail: String| self.recorder.note(code, subject, detail);
         match step {
             AssemblyStep::Free(host) => {
-                note(
+                record_event(
                     EventCode::HostFreed,
                     EventSubject::host(host),
                     String::new(),
@@ -41,36 +42,36 @@
                     return;
                 };
                 let subject = EventSubject::replica(&plan.id);
-                note(EventCode::ReplicaFormed, subject, host_list(&plan.hosts));
+                record_event(EventCode::ReplicaFormed, subject, host_list(&plan.hosts));
             }
             AssemblyStep::Reform {
                 replica,
                 hosts: ranks,
                 ..
             } => {
-                self.note_lost(replica, before, hosts);
+                self.record_lost_hosts(replica, before, hosts);
                 let subject = EventSubject::replica(replica);
-                note(EventCode::ReplicaReformed, subject, host_list(ranks));
+                record_event(EventCode::ReplicaReformed, subject, host_list(ranks));
             }
             AssemblyStep::Drain(replica, cause) => {
-                self.note_lost(replica, before, hosts);
+                self.record_lost_hosts(replica, before, hosts);
                 let subject = EventSubject::replica(replica);
                 let detail = cause.as_str().to_owned();
-                note(EventCode::ReplicaDraining, subject, detail);
+                record_event(EventCode::ReplicaDraining, subject, detail);
             }
             AssemblyStep::Undrain(replica) => {
                 let subject = EventSubject::replica(replica);
-                note(EventCode::ReplicaDraining, subject, "no longer".to_owned());
+                record_event(EventCode::ReplicaDraining, subject, "no longer".to_owned());
             }
             AssemblyStep::Dissolve(replica) => {
-                self.note_lost(replica, before, hosts);
+                self.record_lost_hosts(replica, before, hosts);
                 let subject = EventSubject::replica(replica);
-                note(EventCode::ReplicaDissolved, subject, String::new());
+                record_event(EventCode::ReplicaDissolved, subject, String::new());
             }
         }
     }
 
-    fn note_lost(
+    fn record_lost_hosts(
         &self,
         replica: &ReplicaId,
         before: &FabricFleet,
--- a/crates/control/src/assembly/supervise.rs
+++ b/crates/control/src/assembly/supervise.rs
@@ -11,15 +11,15 @@
 use tokio::sync::watch;
 
 use super::{AssemblyContext, HostChooser, run_controller};
-use crate::housekeeping::{HousekeepingSettings, keep_house};
+use crate::housekeeping::{HousekeepingSettings, run_housekeeping};
 use crate::lease::{
-    LeaseGrant, LeaseHandle, LeasePlace, LeaseSettings, LeaseTracker, candidate_place,
-    fabric_lease, housekeeping_lease, process_holder, start_keeper,
+    CandidateRank, LeaseGrant, LeaseHandle, LeaseSettings, LeaseTracker, candidate_rank,
+    fabric_lease, housekeeping_lease, start_lease_actor, unique_holder_id,
 };
 use crate::members::MemberView;
 
-/// Longest time between two looks at who should keep what.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+/// Longest time between two looks at who should start_lease what.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What the supervisor goes by.
 #[derive(Debug, Clone)]
@@ -32,76 +32,79 @@
     pub leases: LeaseSettings,
     /// Limits of housekeeping.
     pub housekeeping: HousekeepingSettings,
-    /// Gets the names of the leases that the node holds, at each look.
+    /// Gets the names of the leases that the node holds, at each refresh.
     pub held: watch::Sender<Vec<LeaseName>>,
 }
 
-struct KeptLease<T: TableStore> {
+struct LeaseEntry<T: TableStore> {
     handle: LeaseHandle<T>,
     region: Option<RegionId>,
-    place: watch::Sender<Option<LeasePlace>>,
+    rank: watch::Sender<Option<CandidateRank>>,
 }
 
 struct LeaseSupervisor<T: TableStore, E, C> {
-    parts: AssemblyContext<T, E, C>,
+    context: AssemblyContext<T, E, C>,
     inputs: SupervisorInputs,
     holder: NodeId,
-    kept: BTreeMap<LeaseName, KeptLease<T>>,
+    leases: BTreeMap<LeaseName, LeaseEntry<T>>,
 }
 
 /// Keeps all leases until `stop` completes, and releases those that it holds then.
 pub async fn supervise_leases<T: TableStore, E: EnginePort, C: HostChooser>(
-    parts: AssemblyContext<T, E, C>,
+    context: AssemblyContext<T, E, C>,
     mut inputs: SupervisorInputs,
     stop: impl Future<Output = ()> + Send,
 ) {
-    let mut directory = parts.directory.clone();
+    let mut directory = context.directory.clone();
     let mut members = inputs.members.clone();
-    let holder = process_holder(&inputs.node);
+    let holder = unique_holder_id(&inputs.node);
     inputs.members.mark_unchanged();
     let mut supervisor = LeaseSupervisor {
-        parts,
+        context,
         inputs,
         holder,
-        kept: BTreeMap::new(),
+        leases: BTreeMap::new(),
     };
     tokio::pin!(stop);
     loop {
-        supervisor.look();
+        supervisor.refresh();
         tokio::select! {
             () = &mut stop => break,
             _ = directory.changed() => {}
             _ = members.changed() => {}
-            () = tokio::time::sleep(LOOK_PERIOD) => {}
+            () = tokio::time::sleep(REFRESH_INTERVAL) => {}
         }
     }
-    let releases = supervisor.kept.values().map(|kept| kept.handle.release());
+    let releases = supervisor
+        .leases
+        .values()
+        .map(|entry| entry.handle.release());
     join_all(releases).await;
 }
 
 impl<T: TableStore, E: EnginePort, C: HostChooser> LeaseSupervisor<T, E, C> {
-    fn look(&mut self) {
-        let directory = Arc::clone(&self.parts.directory.borrow());
+    fn refresh(&mut self) {
+        let directory = Arc::clone(&self.context.directory.borrow());
         // A fabric domain that is listed no longer keeps its controller: it may be dark only.
         for (fabric, region) in directory.fabrics() {
             let Ok(name) = fabric_lease(&fabric) else {
                 continue;
             };
-            if self.kept.contains_key(&name) {
+            if self.leases.contains_key(&name) {
                 continue;
             }
-            self.keep_fabric(name, fabric, region);
+            self.start_fabric(name, fabric, region);
         }
         let name = housekeeping_lease();
-        if !self.kept.contains_key(&name) {
-            self.keep_house(name);
+        if !self.leases.contains_key(&name) {
+            self.start_housekeeping(name);
         }
         let members = Arc::clone(&self.inputs.members.borrow());
-        for (name, kept) in &self.kept {
-            let place = self.place(name, kept.region.as_ref(), &members);
-            kept.place.send_if_modified(|current| {
-                let changed = *current != place;
-                *current = place;
+        for (name, entry) in &self.leases {
+            let rank = self.rank(name, entry.region.as_ref(), &members);
+            entry.rank.send_if_modified(|current| {
+                let changed = *current != rank;
+                *current = rank;
                 changed
             });
         }
@@ -110,59 +113,59 @@
 
     fn publish_held(&self) {
         let mut held = Vec::new();
-        for (name, kept) in &self.kept {
-            if kept.handle.grants().borrow().is_some() {
+        for (name, entry) in &self.leases {
+            if entry.handle.grants().borrow().is_some() {
                 held.push(name.clone());
             }
         }
         self.inputs.held.send_replace(held);
     }
 
-    fn place(
+    fn rank(
         &self,
         name: &LeaseName,
         region: Option<&RegionId>,
         members: &MemberView,
-    ) -> Option<LeasePlace> {
+    ) -> Option<CandidateRank> {
         let count = self.inputs.leases.candidates;
-        candidate_place(members, &self.inputs.node, name.as_str(), region, count)
+        candidate_rank(members, &self.inputs.node, name.as_str(), region, count)
     }
 
-    fn keep_fabric(&mut self, name: LeaseName, fabric: FabricId, region: RegionId) {
-        let grants = self.keep(name, Some(region));
-        tokio::spawn(run_controller(self.parts.clone(), fabric, grants));
+    fn start_fabric(&mut self, name: LeaseName, fabric: FabricId, region: RegionId) {
+        let grants = self.start_lease(name, Some(region));
+        tokio::spawn(run_controller(self.context.clone(), fabric, grants));
     }
 
-    fn keep_house(&mut self, name: LeaseName) {
-        let grants = self.keep(name, None);
-        tokio::spawn(keep_house(
-            self.parts.table.clone(),
+    fn start_housekeeping(&mut self, name: LeaseName) {
+        let grants = self.start_lease(name, None);
+        tokio::spawn(run_housekeeping(
+            self.context.table.clone(),
             grants,
             self.inputs.housekeeping,
-            self.parts.recorder.clone(),
+            self.context.recorder.clone(),
         ));
     }
 
-    fn keep(
+    fn start_lease(
         &mut self,
         name: LeaseName,
         region: Option<RegionId>,
     ) -> watch::Receiver<Option<LeaseGrant>> {
         let members = Arc::clone(&self.inputs.members.borrow());
-        let first = self.place(&name, region.as_ref(), &members);
-        let (place, places) = watch::channel(first);
+        let initial = self.rank(&name, region.as_ref(), &members);
+        let (rank, ranks) = watch::channel(initial);
         let settings = self.inputs.leases;
         let tracker = LeaseTracker::new(name.clone(), self.holder.clone(), settings);
-        let table = self.parts.table.clone();
-        let recorder = self.parts.recorder.clone();
-        let handle = start_keeper(table, tracker, settings, places, recorder);
+        let table = self.context.table.clone();
+        let recorder = self.context.recorder.clone();
+        let handle = start_lease_actor(table, tracker, settings, ranks, recorder);
         let grants = handle.grants();
-        let kept = KeptLease {
+        let entry = LeaseEntry {
             handle,
             region,
-            place,
+            rank,
         };
-        self.kept.insert(name, kept);
+        self.leases.insert(name, entry);
         grants
     }
 }
--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -25,7 +25,7 @@
 
 /// While the store is down the gate is opened for this long at each judgement: long enough for a
 /// slow scheduler, short enough that a node that was frozen closes at once.
-const STORE_DOWN_LEASE: Duration = Duration::from_secs(2);
+const STORE_DOWN_EXTENSION: Duration = Duration::from_secs(2);
 
 /// That the head was at most at a revision at a moment on this node's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -124,14 +124,14 @@
     /// The head only rises, so "at most r at that moment" is met by any revision from r on.
     fn confirm(&mut self, confirmation: HeadConfirmation) {
         self.status.known = self.status.known.max(confirmation.revision);
-        let place = if confirmation.revision <= self.state.revision() {
+        let slot = if confirmation.revision <= self.state.revision() {
             &mut self.status.confirmation
         } else {
             &mut self.pending
         };
-        let newer = place.is_none_or(|current| confirmation.as_of > current.as_of);
+        let newer = slot.is_none_or(|current| confirmation.as_of > current.as_of);
         if newer {
-            *place = Some(confirmation);
+            *slot = Some(confirmation);
         }
     }
 
@@ -187,14 +187,14 @@
             served: self.served,
             behind: self.status.known > self.status.revision,
             reach,
-            reach_held: self
+            majority_held: self
                 .majority_since
                 .map_or(Duration::ZERO, |since| now.saturating_duration_since(since)),
         };
         let readiness = self.policy.evaluate(&facts);
         let until = match (readiness, as_of) {
             (NodeReadiness::Confirmed, Some(moment)) => moment + self.policy.confirm_limit,
-            (NodeReadiness::StoreDown, _) => now + STORE_DOWN_LEASE,
+            (NodeReadiness::StoreDown, _) => now + STORE_DOWN_EXTENSION,
             _ => now,
         };
         self.gate.open_until(until);
--- a/crates/control/src/config/load.rs
+++ b/crates/control/src/config/load.rs
@@ -14,7 +14,7 @@
 const MAX_CHANGE_READS: u64 = 64;
 
 /// Scans of all records before a node gives up for this round.
-const SCAN_TRIES: u32 = 3;
+const SCAN_ATTEMPTS: u32 = 3;
 
 /// The row that names the newest snapshot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -136,7 +136,7 @@
 /// Every record at one head: a scan is no snapshot, so it counts only when the head did not move
 /// meanwhile; otherwise half of an amendment of two records could come into force.
 async fn scan_records<T: TableStore>(table: &T) -> Result<ConfigUpdate, StoreError> {
-    for _ in 0..SCAN_TRIES {
+    for _ in 0..SCAN_ATTEMPTS {
         let RowRead::Found(before) = table.read(keys::CONFIG_HEAD, None).await? else {
             return Ok(ConfigUpdate::default());
         };
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -43,7 +43,7 @@
     loop {
         // The next poll repeats it, and the circuit of the table tells when the store is down.
         log_skipped("poll configuration", follower.poll(&mut known).await);
-        follower.tend_snapshots(&mut published).await;
+        follower.maintain_snapshots(&mut published).await;
         tokio::time::sleep(jittered(follower.settings.poll())).await;
     }
 }
@@ -75,7 +75,7 @@
         };
         let applied = self.config.status().revision;
         if head.revision < applied {
-            self.note_regress(head.revision, applied);
+            self.record_regression(head.revision, applied);
         }
         let update = if head.revision > applied {
             load_update(&self.table, &self.objects, applied, head.revision).await?
@@ -97,15 +97,15 @@
         Ok(())
     }
 
-    fn note_regress(&self, head: ConfigRevision, applied: ConfigRevision) {
+    fn record_regression(&self, head: ConfigRevision, applied: ConfigRevision) {
         let detail = format!("the table says {head}, {applied} is in force here");
         self.recorder
             .note(EventCode::ConfigRegressed, EventSubject::default(), detail);
     }
 
-    /// Writes a snapshot when it is this node's turn: one node for each multiple of the interval,
+    /// Writes a snapshot when it is this node's turn: one node for each multiple of the turn,
     /// so that an amendment does not make 410 nodes write the same object.
-    async fn tend_snapshots(&self, published: &mut ConfigRevision) {
+    async fn maintain_snapshots(&self, published: &mut ConfigRevision) {
         let every = self.settings.snapshot_every.max(1);
         let revision = self.config.status().revision;
         let turn = revision.0 / every;
@@ -119,10 +119,10 @@
             return;
         }
         let snapshot = self.config.snapshot().await;
-        let keep = self.settings.keep_changes;
+        let retained = self.settings.keep_changes;
         let seed = self.members.node().as_str();
-        let written = publish_snapshot(&self.table, &self.objects, &snapshot, keep, seed).await;
-        if written.is_err() {
+        let result = publish_snapshot(&self.table, &self.objects, &snapshot, retained, seed).await;
+        if result.is_err() {
             return;
         }
         *published = revision;
--- a/crates/control/src/config/readiness.rs
+++ b/crates/control/src/config/readiness.rs
@@ -76,7 +76,7 @@
     /// How much of the roster is heard.
     pub reach: MemberReach,
     /// How long a majority has been heard without a break.
-    pub reach_held: Duration,
+    pub majority_held: Duration,
 }
 
 /// The rule's limits.
@@ -98,7 +98,7 @@
         {
             return NodeReadiness::Confirmed;
         }
-        let settled = facts.served || facts.reach_held >= self.settle;
+        let settled = facts.served || facts.majority_held >= self.settle;
         let majority = facts.applied && facts.reach.is_majority() && !facts.behind;
         match (facts.served, majority && settled) {
             (_, true) => NodeReadiness::StoreDown,
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -11,12 +11,12 @@
 use super::state::ConfigSnapshot;
 
 /// Sends of one transaction.
-const COMMIT_TRIES: u32 = 3;
+const COMMIT_ATTEMPTS: u32 = 3;
 
 /// Rows of the log that one transaction deletes, so that it stays small beside the others.
 const COMPACT_BATCH: u64 = 100;
 
-/// Writes a snapshot, names it in the table, and deletes what lies `keep` changes behind it.
+/// Writes a snapshot, names it in the table, and deletes what lies `retained` changes behind it.
 ///
 /// The order is what keeps a node that is behind from being stranded: the object is there before
 /// the table names it, and the table names it before any row of the log goes. Nodes that do this
@@ -29,7 +29,7 @@
     table: &T,
     objects: &O,
     snapshot: &ConfigSnapshot,
-    keep: u64,
+    retained: u64,
     seed: &str,
 ) -> Result<(), StoreError> {
     if read_pointer(table).await?.pointer.revision >= snapshot.revision {
@@ -40,21 +40,25 @@
     objects
         .put_new(&keys::snapshot_key(snapshot.revision), Bytes::from(bytes))
         .await?;
-    move_pointer(table, snapshot.revision, 0, seed).await?;
-    compact_log(table, keep, seed).await
+    advance_pointer(table, snapshot.revision, 0, seed).await?;
+    compact_log(table, retained, seed).await
 }
 
-async fn compact_log<T: TableStore>(table: &T, keep: u64, seed: &str) -> Result<(), StoreError> {
+async fn compact_log<T: TableStore>(
+    table: &T,
+    retained: u64,
+    seed: &str,
+) -> Result<(), StoreError> {
     loop {
         let pointer = read_pointer(table).await?.pointer;
-        let target = pointer.revision.0.saturating_sub(keep);
+        let target = pointer.revision.0.saturating_sub(retained);
         let rows = target
             .saturating_sub(pointer.compacted.0)
             .min(COMPACT_BATCH);
         if rows == 0 {
             return Ok(());
         }
-        if !move_pointer(table, pointer.revision, rows, seed).await? {
+        if !advance_pointer(table, pointer.revision, rows, seed).await? {
             return Ok(());
         }
     }
@@ -62,7 +66,7 @@
 
 /// Raises the pointer and deletes the next `rows` rows of the log in one transaction; returns
 /// whether it did.
-async fn move_pointer<T: TableStore>(
+async fn advance_pointer<T: TableStore>(
     table: &T,
     revision: ConfigRevision,
     rows: u64,
@@ -90,6 +94,6 @@
             RowExpectation::Any,
         );
     }
-    let outcome = settled_commit(table, &batch, COMMIT_TRIES).await?;
+    let outcome = settled_commit(table, &batch, COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)))
 }
--- a/crates/control/src/config/state.rs
+++ b/crates/control/src/config/state.rs
@@ -62,17 +62,17 @@
         if change.revision != self.revision.next() {
             return ApplyOutcome::Gap;
         }
-        let place = (change.kind, change.name.clone());
+        let key = (change.kind, change.name.clone());
         match &change.record {
             Some(record) => {
                 let stored = StoredRecord {
                     revision: change.revision,
                     record: record.clone(),
                 };
-                self.records.insert(place, stored);
+                self.records.insert(key, stored);
             }
             None => {
-                self.records.remove(&place);
+                self.records.remove(&key);
             }
         }
         self.revision = change.revision;
@@ -94,8 +94,8 @@
             .records
             .into_iter()
             .map(|stored| {
-                let place = (stored.record.kind, stored.record.name.clone());
-                (place, stored)
+                let key = (stored.record.kind, stored.record.name.clone());
+                (key, stored)
             })
             .collect();
         ApplyOutcome::Applied
@@ -148,7 +148,7 @@
             ..ConfigView::default()
         };
         for ((kind, name), stored) in &self.records {
-            match spec_of(&stored.record) {
+            match parse_spec(&stored.record) {
                 Some(spec) => view.insert(spec),
                 None => view.unknown.push(keys::record_key(*kind, name)),
             }
@@ -157,6 +157,6 @@
     }
 }
 
-fn spec_of(frame: &RecordFrame) -> Option<RecordSpec> {
+fn parse_spec(frame: &RecordFrame) -> Option<RecordSpec> {
     RecordSpec::try_from(frame.clone()).ok()
 }
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -7,10 +7,10 @@
 use platform::{HostEntry, HostListPort};
 use tokio::sync::watch;
 
-use crate::pause::{RetryPause, spread};
+use crate::backoff::{Backoff, with_jitter};
 
-/// Longest pause while the list can't be read.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// Longest backoff while the list can't be read.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// The hosts as last listed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     period: Duration,
 ) {
     let mut known = None;
-    let mut pause = RetryPause::new(period, LONGEST_PAUSE.max(period));
+    let mut backoff = Backoff::new(period, MAX_RETRY_DELAY.max(period));
     loop {
         match list.list_newer(known).await {
             Ok(Some(listing)) => {
@@ -55,15 +55,15 @@
                     .map(|entry| (entry.host.clone(), entry))
                     .collect();
                 publish(&sender, HostDirectory { hosts });
-                pause.reset();
+                backoff.reset();
             }
-            Ok(None) => pause.reset(),
+            Ok(None) => backoff.reset(),
             Err(_) => {
-                tokio::time::sleep(pause.next_pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
                 continue;
             }
         }
-        tokio::time::sleep(spread(period, 0.2)).await;
+        tokio::time::sleep(with_jitter(period, 0.2)).await;
     }
 }
 
--- a/crates/control/src/evidence_store.rs
+++ b/crates/control/src/evidence_store.rs
@@ -9,7 +9,7 @@
 
 /// Longest time for which a load report is passed on. A node that stopped probing a replica would
 /// otherwise take its last, perhaps long, queue for the present one and refuse callers for it.
-const LOAD_LIMIT: Duration = Duration::from_secs(3);
+const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
 
 /// Evidence with the moment at which this node got it, and the load that came with it.
 #[derive(Debug, Clone)]
@@ -21,7 +21,7 @@
     /// Load of the leading host, where this node itself asked for it lately.
     pub load: Option<(EngineLoad, Instant)>,
     /// The newest observation that a peer passed on, whether or not this node's own is newer.
-    pub heard: Option<Instant>,
+    pub last_from_peer: Option<Instant>,
 }
 
 impl EvidenceEntry {
@@ -60,28 +60,28 @@
 
     /// Takes in evidence from a peer, unless what is known is as new.
     pub fn record(&self, evidence: HealthEvidence) {
-        self.take(evidence, None, false);
+        self.merge(evidence, None, false);
     }
 
     /// Takes in what this node saw itself, unless what is known is as new.
-    pub fn record_report(&self, evidence: HealthEvidence, load: Option<EngineLoad>) {
-        self.take(evidence, load, true);
+    pub fn record_own(&self, evidence: HealthEvidence, load: Option<EngineLoad>) {
+        self.merge(evidence, load, true);
     }
 
     /// A higher incarnation beats a lower one, whatever their ages: the lower one comes from a
     /// watcher that has not read the newer plan. Within one incarnation the newer observation
     /// wins, compared by ages alone.
-    fn take(&self, evidence: HealthEvidence, load: Option<EngineLoad>, own: bool) {
+    fn merge(&self, evidence: HealthEvidence, load: Option<EngineLoad>, own: bool) {
         let now = Instant::now();
         let as_of = now.checked_sub(evidence.age).filter(|_| !own);
         let mut rows = self.rows();
-        let mut heard = as_of;
+        let mut last_from_peer = as_of;
         if let Some(known) = rows.entries.get_mut(&evidence.replica) {
             let stale = evidence.incarnation < known.evidence.incarnation;
             let same = evidence.incarnation == known.evidence.incarnation;
             if !stale {
-                known.heard = known.heard.max(as_of);
-                heard = known.heard;
+                known.last_from_peer = known.last_from_peer.max(as_of);
+                last_from_peer = known.last_from_peer;
             }
             if stale || (same && evidence.age >= known.age(now)) {
                 return;
@@ -92,12 +92,12 @@
             .entries
             .get(&replica)
             .and_then(|entry| entry.load)
-            .filter(|(_, at)| now.saturating_duration_since(*at) <= LOAD_LIMIT);
+            .filter(|(_, at)| now.saturating_duration_since(*at) <= MAX_LOAD_AGE);
         let entry = EvidenceEntry {
             evidence,
             received: now,
             load: load.map(|load| (load, now)).or(known_load),
-            heard,
+            last_from_peer,
         };
         rows.entries.insert(replica.clone(), entry);
         rows.changed.insert(replica);
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -17,7 +17,7 @@
 ///
 /// With 1,500 replicas and evidence every second for each, one publication a piece of evidence
 /// would be 1,500 a second. At 50 ms it is 20, each of which copies one pointer a replica.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the targets are put together from.
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
     loop {
         let replicas = fleet.replicas.values().cloned().collect();
         views.send_replace(Arc::new(TargetView { replicas }));
-        tokio::time::sleep(SHORTEST_PAUSE).await;
+        tokio::time::sleep(MIN_PUBLISH_INTERVAL).await;
         let rebuilt = tokio::select! {
             changed = inputs.plans.changed() => changed.map(|()| true),
             changed = inputs.directory.changed() => changed.map(|()| true),
--- a/crates/control/src/gate.rs
+++ b/crates/control/src/gate.rs
@@ -1,21 +1,21 @@
-//! The moment up to which a node may serve.
+//! The deadline up to which a node may serve.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Tells the request path whether the node may serve now. Clones share the moment.
+/// Tells the request path whether the node may serve now. Clones share the deadline.
 ///
-/// The moment is kept, and not a flag: a process that is frozen and runs on takes requests before
+/// The deadline is kept, and not a flag: a process that is frozen and runs on takes requests before
 /// any task of its own had a chance to clear a flag, and would answer them with an old
 /// configuration. The default gate is open for good.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceGate {
-    shared: Option<Arc<GateMoment>>,
+    shared: Option<Arc<GateDeadline>>,
 }
 
 #[derive(Debug)]
-struct GateMoment {
+struct GateDeadline {
     base: Instant,
     until_ms: AtomicU64,
 }
@@ -24,30 +24,30 @@
     /// A gate that is closed until it is opened.
     #[must_use]
     pub fn closed() -> Self {
-        let moment = GateMoment {
+        let deadline = GateDeadline {
             base: Instant::now(),
             until_ms: AtomicU64::new(0),
         };
         Self {
-            shared: Some(Arc::new(moment)),
+            shared: Some(Arc::new(deadline)),
         }
     }
 
-    /// Opens it up to a moment, or closes it with one that has passed.
+    /// Opens it up to a deadline, or closes it with one that has passed.
     pub fn open_until(&self, until: Instant) {
-        let Some(moment) = &self.shared else { return };
-        let open = until.saturating_duration_since(moment.base);
+        let Some(deadline) = &self.shared else { return };
+        let open = until.saturating_duration_since(deadline.base);
         let until_ms = u64::try_from(open.as_millis()).unwrap_or(u64::MAX);
-        moment.until_ms.store(until_ms, Ordering::Release);
+        deadline.until_ms.store(until_ms, Ordering::Release);
     }
 
-    /// Whether it is open at a moment.
+    /// Whether it is open at a deadline.
     #[must_use]
     pub fn is_open(&self, now: Instant) -> bool {
-        let Some(moment) = &self.shared else {
+        let Some(deadline) = &self.shared else {
             return true;
         };
-        let until = Duration::from_millis(moment.until_ms.load(Ordering::Acquire));
-        now.saturating_duration_since(moment.base) < until
+        let until = Duration::from_millis(deadline.until_ms.load(Ordering::Acquire));
+        now.saturating_duration_since(deadline.base) < until
     }
 }
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -21,15 +21,15 @@
 
 /// What became of an amendment whose answer was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AmendFate {
+pub enum AmendmentStatus {
     /// It is accepted.
     Accepted,
     /// It was not and never will be accepted.
     NotAccepted,
     /// It may still take effect: nothing else took its revision yet.
-    Open,
+    Pending,
     /// The change log no longer keeps its revision.
-    Forgotten,
+    Compacted,
 }
 
 /// Reads one record.
@@ -46,7 +46,7 @@
     match table.read(&key, None).await? {
         RowRead::Found(row) => serde_json::from_value(row.value)
             .map(Some)
-            .map_err(|_| AmendError::BadRow(key)),
+            .map_err(|_| AmendError::MalformedRow(key)),
         RowRead::Absent | RowRead::Unchanged => Ok(None),
     }
 }
@@ -67,7 +67,8 @@
     let mut records = Vec::new();
     for row in table.scan(&prefix).await? {
         let key = row.key;
-        let record = serde_json::from_value(row.value).map_err(|_| AmendError::BadRow(key))?;
+        let record =
+            serde_json::from_value(row.value).map_err(|_| AmendError::MalformedRow(key))?;
         records.push(record);
     }
     Ok(records)
@@ -82,7 +83,7 @@
     match table.read(keys::CONFIG_HEAD, None).await? {
         RowRead::Found(row) => serde_json::from_value::<ConfigHead>(row.value)
             .map(|head| head.revision)
-            .map_err(|_| AmendError::BadRow(keys::CONFIG_HEAD.to_owned())),
+            .map_err(|_| AmendError::MalformedRow(keys::CONFIG_HEAD.to_owned())),
         RowRead::Absent | RowRead::Unchanged => Ok(ConfigRevision(0)),
     }
 }
@@ -103,7 +104,7 @@
         }
         let key = row.key;
         let entry: crate::amend::ChangeEntry =
-            serde_json::from_value(row.value).map_err(|_| AmendError::BadRow(key))?;
+            serde_json::from_value(row.value).map_err(|_| AmendError::MalformedRow(key))?;
         let wanted = query.kind.is_none_or(|kind| kind == entry.kind)
             && query.name.as_ref().is_none_or(|name| *name == entry.name)
             && query.before.is_none_or(|before| entry.revision <= before);
@@ -126,25 +127,25 @@
 /// # Errors
 ///
 /// [`AmendError`].
-pub async fn amendment_fate<T: TableStore>(
+pub async fn amendment_status<T: TableStore>(
     table: &T,
     revision: ConfigRevision,
     token: &str,
-) -> Result<AmendFate, AmendError> {
+) -> Result<AmendmentStatus, AmendError> {
     if let Some(row) = read_change(table, revision).await? {
         if row.token == token {
-            return Ok(AmendFate::Accepted);
+            return Ok(AmendmentStatus::Accepted);
         }
-        return Ok(AmendFate::NotAccepted);
+        return Ok(AmendmentStatus::NotAccepted);
     }
     if config_head(table).await? < revision {
-        return Ok(AmendFate::Open);
+        return Ok(AmendmentStatus::Pending);
     }
     // The row may have been inserted between the two reads.
     match read_change(table, revision).await? {
-        Some(row) if row.token == token => Ok(AmendFate::Accepted),
-        Some(_) => Ok(AmendFate::NotAccepted),
-        None => Ok(AmendFate::Forgotten),
+        Some(row) if row.token == token => Ok(AmendmentStatus::Accepted),
+        Some(_) => Ok(AmendmentStatus::NotAccepted),
+        None => Ok(AmendmentStatus::Compacted),
     }
 }
 
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -1,6 +1,6 @@
 //! Housekeeping under its lease: old settled claims leave the ledger.
 //!
-//! The age of a claim is counted without comparing clocks, see [`domain::RetentionLog`]: the
+//! The age of a claim is last_advance without comparing clocks, see [`domain::RetentionLog`]: the
 //! table's own versions say what was written before what, and the holders of the lease count the
 //! time between on their own monotonic clocks.
 
@@ -15,15 +15,15 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
+use crate::backoff::with_jitter;
 use crate::lease::LeaseGrant;
-use crate::pause::spread;
 use crate::token::random_token;
 
 /// Rows of one page of the sweep, and most deletes of one transaction.
 const PAGE_ROWS: usize = 100;
 
 /// Sends of one transaction.
-const COMMIT_TRIES: u32 = 2;
+const COMMIT_ATTEMPTS: u32 = 2;
 
 /// Limits of housekeeping. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
@@ -49,32 +49,32 @@
 }
 
 /// Sweeps while the lease is held; runs until the lease's keeper ends.
-pub async fn keep_house<T: TableStore>(
+pub async fn run_housekeeping<T: TableStore>(
     table: T,
     grants: watch::Receiver<Option<LeaseGrant>>,
     settings: HousekeepingSettings,
     recorder: EventRecorder,
 ) {
-    let mut counted: Option<(LeaseEpoch, Instant)> = None;
+    let mut last_advance: Option<(LeaseEpoch, Instant)> = None;
     while grants.has_changed().is_ok() {
         let period = Duration::from_millis(settings.sweep_period_ms);
         let grant = grants.borrow().clone();
         if let Some(grant) = grant {
-            let elapsed = match counted {
+            let elapsed = match last_advance {
                 Some((epoch, since)) if epoch == grant.epoch => since.elapsed(),
                 Some(_) | None => Duration::ZERO,
             };
-            if let Ok(Some(log)) = advance_log(&table, &grant, elapsed).await {
-                counted = Some((grant.epoch, Instant::now()));
+            if let Ok(Some(log)) = advance_retention_log(&table, &grant, elapsed).await {
+                last_advance = Some((grant.epoch, Instant::now()));
                 let cleaned = sweep_claims(&table, &grants, &log, settings).await;
-                note_cleaned(&recorder, &grant, cleaned);
+                record_cleaned(&recorder, &grant, cleaned);
             }
         }
-        tokio::time::sleep(spread(period, 0.2)).await;
+        tokio::time::sleep(with_jitter(period, 0.2)).await;
     }
 }
 
-fn note_cleaned(recorder: &EventRecorder, grant: &LeaseGrant, cleaned: usize) {
+fn record_cleaned(recorder: &EventRecorder, grant: &LeaseGrant, cleaned: usize) {
     if cleaned == 0 {
         return;
     }
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// [`StoreError`].
-pub async fn advance_log<T: TableStore>(
+pub async fn advance_retention_log<T: TableStore>(
     table: &T,
     grant: &LeaseGrant,
     elapsed: Duration,
@@ -107,7 +107,7 @@
     };
     let value = serde_json::to_value(&log).map_err(malformed)?;
     let batch = WriteBatch::new(random_token("housekeeping")?).put(keys::RETENTION, expect, value);
-    let outcome = settled_commit(table, &grant.guard(batch), COMMIT_TRIES).await?;
+    let outcome = settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)).then_some(log))
 }
 
@@ -133,7 +133,9 @@
             return cleaned;
         };
         after.clone_from(&last.key);
-        cleaned += clean_rows(table, &grant, &rows, limit).await.unwrap_or(0);
+        cleaned += delete_settled_claims(table, &grant, &rows, limit)
+            .await
+            .unwrap_or(0);
         tokio::time::sleep(Duration::from_millis(settings.page_pause_ms)).await;
     }
 }
@@ -143,7 +145,7 @@
 /// # Errors
 ///
 /// [`StoreError`].
-pub async fn clean_rows<T: TableStore>(
+pub async fn delete_settled_claims<T: TableStore>(
     table: &T,
     grant: &LeaseGrant,
     rows: &[TableRow],
@@ -166,7 +168,7 @@
     if count == 0 {
         return Ok(0);
     }
-    match settled_commit(table, &grant.guard(batch), COMMIT_TRIES).await? {
+    match settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
         CommitOutcome::Committed(_) => Ok(count),
         CommitOutcome::Conflict(_) => Ok(0),
     }
--- a/crates/control/src/lease/keeper.rs
+++ b/crates/control/src/lease/actor.rs
@@ -11,20 +11,20 @@
 use tokio::sync::watch;
 use xtra::{Address, Context, Handler, Mailbox};
 
-use super::{EpochRow, LeaseGrant, LeasePlace, LeaseSettings, LeaseStep, LeaseTracker};
-use crate::pause::spread;
+use super::{CandidateRank, EpochRow, LeaseGrant, LeaseSettings, LeaseStep, LeaseTracker};
+use crate::backoff::with_jitter;
 use crate::token::random_token;
 
 /// Sends of one transaction; the next beat goes on from what the table then says.
-const COMMIT_TRIES: u32 = 2;
+const COMMIT_ATTEMPTS: u32 = 2;
 
 /// Share of the beat by which each pause is shortened at random.
-const BEAT_SPREAD: f64 = 0.2;
+const JITTER_FRACTION: f64 = 0.2;
 
 const MAILBOX: usize = 8;
 
-/// A look at the lease is due.
-struct LeaseBeat;
+/// A next_poll at the lease is due.
+struct LeaseTick;
 
 /// The process stops.
 struct ReleaseLease;
@@ -32,7 +32,7 @@
 /// A lease that is being kept. The task ends when the handle is dropped.
 #[derive(Debug)]
 pub struct LeaseHandle<T: TableStore> {
-    address: Address<LeaseKeeper<T>>,
+    address: Address<LeaseActor<T>>,
     grants: watch::Receiver<Option<LeaseGrant>>,
 }
 
@@ -51,87 +51,87 @@
 
 /// Keeps one lease.
 #[derive(xtra::Actor)]
-struct LeaseKeeper<T> {
+struct LeaseActor<T> {
     table: T,
     tracker: LeaseTracker,
-    place: watch::Receiver<Option<LeasePlace>>,
+    rank: watch::Receiver<Option<CandidateRank>>,
     grants: watch::Sender<Option<LeaseGrant>>,
     recorder: EventRecorder,
     stopping: bool,
 }
 
-/// Starts to keep a lease. `place` is the node's place among the candidates and may change.
+/// Starts to keep a lease. `rank` is the node's rank among the candidates and may change.
 #[must_use]
-pub fn start_keeper<T: TableStore>(
+pub fn start_lease_actor<T: TableStore>(
     table: T,
     tracker: LeaseTracker,
     settings: LeaseSettings,
-    place: watch::Receiver<Option<LeasePlace>>,
+    rank: watch::Receiver<Option<CandidateRank>>,
     recorder: EventRecorder,
 ) -> LeaseHandle<T> {
     let (sender, grants) = watch::channel(None);
-    let keeper = LeaseKeeper {
+    let actor = LeaseActor {
         table,
         tracker,
-        place,
+        rank,
         grants: sender,
         recorder,
         stopping: false,
     };
-    let address = xtra::spawn_tokio(keeper, Mailbox::bounded(MAILBOX));
+    let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX));
     let weak = address.downgrade();
     tokio::spawn(async move {
-        while let Ok(look) = weak.send(LeaseBeat).await {
-            // Regular beats are spread; a look that waits for a lease to run out comes on time.
-            let beat = settings.beat();
-            let pause = if look < beat {
-                look
+        while let Ok(next_poll) = weak.send(LeaseTick).await {
+            // Regular beats are with_jitter; a next_poll that waits for a lease to run out comes on time.
+            let interval = settings.renew_interval();
+            let delay = if next_poll < interval {
+                next_poll
             } else {
-                spread(beat, BEAT_SPREAD)
+                with_jitter(interval, JITTER_FRACTION)
             };
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     });
     LeaseHandle { address, grants }
 }
 
-impl<T: TableStore> Handler<LeaseBeat> for LeaseKeeper<T> {
+impl<T: TableStore> Handler<LeaseTick> for LeaseActor<T> {
     type Return = Duration;
 
-    async fn handle(&mut self, _: LeaseBeat, _: &mut Context<Self>) -> Duration {
+    async fn handle(&mut self, _: LeaseTick, _: &mut Context<Self>) -> Duration {
         if self.stopping {
             return Duration::MAX;
         }
         // The store's failures need no event each: the circuit of the table tells of them, and a
         // lease that runs out tells of its loss.
-        let done = self.beat().await;
+        let result = self.tick().await;
         self.publish();
-        if done.is_err() {
+        if result.is_err() {
             // Looking more often at a table that is down helps nobody.
             return Duration::MAX;
         }
-        let place = *self.place.borrow();
-        self.tracker.next_look(place, Instant::now())
+        let rank = *self.rank.borrow();
+        self.tracker.next_poll(rank, Instant::now())
     }
 }
 
-impl<T: TableStore> Handler<ReleaseLease> for LeaseKeeper<T> {
+impl<T: TableStore> Handler<ReleaseLease> for LeaseActor<T> {
     type Return = ();
 
     async fn handle(&mut self, _: ReleaseLease, _: &mut Context<Self>) {
         self.stopping = true;
         let step = self.tracker.release_step();
         // A lease that could not be given up runs out, which takes others a little longer.
-        log_skipped("give lease up", self.follow(step).await);
+        log_skipped("give lease up", self.execute(step).await);
         self.publish();
     }
 }
 
-impl<T: TableStore> LeaseKeeper<T> {
-    async fn beat(&mut self) -> Result<(), StoreError> {
-        let place = *self.place.borrow();
+impl<T: TableStore> LeaseActor<T> {
+    async fn tick(&mut self) -> Result<(), StoreError> {
+        let rank = *self.rank.borrow();
         // 410 nodes that all read 100 leases every beat would need more reads than the table has.
-        if place.is_none() && !self.tracker.is_held() {
+        if rank.is_none() && !self.tracker.is_held() {
             return Ok(());
         }
         let key = keys::lease_key(self.tracker.name());
@@ -141,40 +141,40 @@
             RowRead::Unchanged => {}
             RowRead::Absent => self.tracker.observe(LeaseRecord::default(), None, now),
             RowRead::Found(row) => {
-                let term = serde_json::from_value(row.value)
+                let record = serde_json::from_value(row.value)
                     .map_err(|error| StoreError::Malformed(error.to_string()))?;
-                self.tracker.observe(term, Some(row.version), now);
+                self.tracker.observe(record, Some(row.version), now);
             }
         }
-        let step = self.tracker.next_step(place, now);
-        self.follow(step).await
+        let step = self.tracker.next_step(rank, now);
+        self.execute(step).await
     }
 
-    async fn follow(&mut self, step: LeaseStep) -> Result<(), StoreError> {
+    async fn execute(&mut self, step: LeaseStep) -> Result<(), StoreError> {
         let started = Instant::now();
         match step {
             LeaseStep::Wait => Ok(()),
-            LeaseStep::Renew(term) => {
-                if let Some(version) = self.write_term(&term, None).await? {
-                    self.tracker.note_renewed(term, version, started);
+            LeaseStep::Renew(record) => {
+                if let Some(version) = self.write_record(&record, None).await? {
+                    self.tracker.record_renewed(record, version, started);
                 }
                 Ok(())
             }
-            LeaseStep::Take(term) => {
-                let epoch_row = self.next_epoch_row(&term).await?;
+            LeaseStep::Acquire(record) => {
+                let epoch_row = self.next_epoch_row(&record).await?;
                 let started = Instant::now();
-                if let Some(version) = self.write_term(&term, Some(epoch_row)).await? {
-                    let detail = format!("epoch {}", term.epoch);
-                    self.note(EventCode::LeaseTaken, detail);
-                    self.tracker.note_taken(term, version, started);
+                if let Some(version) = self.write_record(&record, Some(epoch_row)).await? {
+                    let detail = format!("epoch {}", record.epoch);
+                    self.record_event(EventCode::LeaseTaken, detail);
+                    self.tracker.record_acquired(record, version, started);
                 }
                 Ok(())
             }
-            LeaseStep::Release(term) => {
+            LeaseStep::Release(record) => {
                 // Nothing may be done under the lease from here on, even if the answer is lost.
-                self.tracker.note_lost();
+                self.tracker.record_lost();
                 self.publish();
-                self.write_term(&term, None).await?;
+                self.write_record(&record, None).await?;
                 Ok(())
             }
         }
@@ -182,7 +182,7 @@
 
     async fn next_epoch_row(
         &self,
-        term: &LeaseRecord,
+        record: &LeaseRecord,
     ) -> Result<(RowExpectation, EpochRow), StoreError> {
         let key = keys::epoch_key(self.tracker.name());
         let expect = match self.table.read(&key, None).await? {
@@ -190,16 +190,16 @@
             RowRead::Absent | RowRead::Unchanged => RowExpectation::Absent,
         };
         let row = EpochRow {
-            epoch: term.epoch,
+            epoch: record.epoch,
             holder: self.tracker.holder().clone(),
         };
         Ok((expect, row))
     }
 
-    /// Writes the term over the version last seen; none when another node was faster.
-    async fn write_term(
+    /// Writes the record over the version last seen; none when another node was faster.
+    async fn write_record(
         &self,
-        term: &LeaseRecord,
+        record: &LeaseRecord,
         epoch: Option<(RowExpectation, EpochRow)>,
     ) -> Result<Option<RowVersion>, StoreError> {
         let malformed = |error: serde_json::Error| StoreError::Malformed(error.to_string());
@@ -207,14 +207,14 @@
             Some(version) => RowExpectation::Version(version),
             None => RowExpectation::Absent,
         };
-        let value = serde_json::to_value(term).map_err(malformed)?;
+        let value = serde_json::to_value(record).map_err(malformed)?;
         let key = keys::lease_key(self.tracker.name());
         let mut batch = WriteBatch::new(random_token("lease")?).put(key, expect, value);
         if let Some((expect, row)) = epoch {
             let value = serde_json::to_value(row).map_err(malformed)?;
             batch = batch.put(keys::epoch_key(self.tracker.name()), expect, value);
         }
-        match settled_commit(&self.table, &batch, COMMIT_TRIES).await? {
+        match settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await? {
             CommitOutcome::Committed(version) => Ok(Some(version)),
             CommitOutcome::Conflict(_) => Ok(None),
         }
@@ -225,7 +225,7 @@
         self.grants.send_if_modified(|current| {
             let lost = current.is_some() && grant.is_none();
             if lost {
-                self.note(EventCode::LeaseLost, String::new());
+                self.record_event(EventCode::LeaseLost, String::new());
             }
             let changed = *current != grant;
             *current = grant;
@@ -233,7 +233,7 @@
         });
     }
 
-    fn note(&self, code: EventCode, detail: String) {
+    fn record_event(&self, code: EventCode, detail: String) {
         let subject = EventSubject::lease(self.tracker.name());
         self.recorder.note(code, subject, detail);
     }
@@ -241,7 +241,7 @@
 
 /// A holder's name that is unique to this process, though the node's name may come back.
 #[must_use]
-pub fn process_holder(node: &NodeId) -> NodeId {
+pub fn unique_holder_id(node: &NodeId) -> NodeId {
     let text = format!("{node}.{:016x}", rand::random::<u64>());
     text.parse().unwrap_or_else(|_| node.clone())
 }
--- a/crates/control/src/lease/candidate.rs
+++ b/crates/control/src/lease/candidate.rs
@@ -4,9 +4,9 @@
 
 use crate::members::{Member, MemberView, rendezvous_weight};
 
-/// A node's place among the candidates of a lease; 0 is the first.
+/// A node's rank among the candidates of a lease; 0 is the first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeasePlace(pub u32);
+pub struct CandidateRank(pub u32);
 
 /// Members by rendezvous hashing over `key`, those that `prefers` picks before the others.
 ///
@@ -38,27 +38,27 @@
     ranked.into_iter().map(|(_, _, member)| member).collect()
 }
 
-/// The node's place among the first `count` candidates; none when it is not among them.
+/// The node's rank among the first `count` candidates; none when it is not among them.
 ///
 /// Nodes of the lease's own region come first, so that orders and probes stay near; nodes of other
 /// regions follow, so that the loss of a region's nodes leaves its targets a controller. A node
-/// that knows no members takes the first place everywhere: too many candidates cost only reads.
+/// that knows no members takes the first rank everywhere: too many candidates cost only reads.
 #[must_use]
-pub fn candidate_place(
+pub fn candidate_rank(
     view: &MemberView,
     node: &NodeId,
     key: &str,
     region: Option<&RegionId>,
     count: usize,
-) -> Option<LeasePlace> {
+) -> Option<CandidateRank> {
     let known = view.members.iter().any(|member| member.node == *node);
     if !known {
-        return Some(LeasePlace(0));
+        return Some(CandidateRank(0));
     }
     let ranked = ranked_nodes(view, key, |member| Some(&member.region) == region);
-    let place = ranked.iter().position(|member| member.node == *node)?;
-    if place >= count {
+    let rank = ranked.iter().position(|member| member.node == *node)?;
+    if rank >= count {
         return None;
     }
-    u32::try_from(place).ok().map(LeasePlace)
+    u32::try_from(rank).ok().map(CandidateRank)
 }
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -19,13 +19,13 @@
 //! fabric domains, three candidates and a beat of 3 s that is 34 writes and 67 reads a second for
 //! the whole system, whatever the number of nodes.
 
+mod actor;
 mod candidate;
-mod keeper;
 mod keys;
 mod tracker;
 
-pub use candidate::{LeasePlace, candidate_place, ranked_nodes};
-pub use keeper::{LeaseHandle, process_holder, start_keeper};
+pub use actor::{LeaseHandle, start_lease_actor, unique_holder_id};
+pub use candidate::{CandidateRank, candidate_rank, ranked_nodes};
 pub use keys::{fabric_lease, housekeeping_lease};
 pub use tracker::{EpochRow, LeaseStep, LeaseTracker};
 
@@ -70,7 +70,7 @@
 
     /// Time between two renewals or looks.
     #[must_use]
-    pub fn beat(&self) -> Duration {
+    pub fn renew_interval(&self) -> Duration {
         Duration::from_millis(self.beat_ms)
     }
 
@@ -103,7 +103,7 @@
 
     /// A batch that takes effect only while no other node took the lease over.
     #[must_use]
-    pub fn guard(&self, batch: WriteBatch) -> WriteBatch {
+    pub fn fence(&self, batch: WriteBatch) -> WriteBatch {
         let key = rows::epoch_key(&self.name);
         batch.check(key, RowExpectation::Version(self.epoch_version))
     }
--- a/crates/control/src/lease/tracker.rs
+++ b/crates/control/src/lease/tracker.rs
@@ -5,7 +5,7 @@
 use domain::{LeaseEpoch, LeaseName, LeaseRecord, NodeId, RowVersion};
 use serde::{Deserialize, Serialize};
 
-use super::{LeaseGrant, LeasePlace, LeaseSettings};
+use super::{CandidateRank, LeaseGrant, LeaseSettings};
 
 /// Share of the time to live that a holder leaves unused.
 ///
@@ -14,7 +14,7 @@
 const DRIFT_DIVISOR: u32 = 10;
 
 /// Added to the time until a lease may be taken, so that the look does not come just before it.
-const LOOK_MARGIN: Duration = Duration::from_millis(20);
+const POLL_MARGIN: Duration = Duration::from_millis(20);
 
 /// The row that changes only with the holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,23 +30,23 @@
 pub enum LeaseStep {
     /// Nothing to write.
     Wait,
-    /// Write this term over the row's version, whatever its age.
+    /// Write this record over the row's version, whatever its age.
     Renew(LeaseRecord),
-    /// Write this term and a new epoch row.
-    Take(LeaseRecord),
-    /// Give the lease up with this term.
+    /// Write this record and a new epoch row.
+    Acquire(LeaseRecord),
+    /// Give the lease up with this record.
     Release(LeaseRecord),
 }
 
 #[derive(Debug, Clone)]
-struct SeenTerm {
-    term: LeaseRecord,
+struct ObservedRecord {
+    record: LeaseRecord,
     version: Option<RowVersion>,
     since: Instant,
 }
 
 #[derive(Debug, Clone)]
-struct HeldTerm {
+struct HeldLease {
     epoch: LeaseEpoch,
     epoch_version: RowVersion,
     valid_until: Instant,
@@ -58,20 +58,20 @@
     name: LeaseName,
     holder: NodeId,
     settings: LeaseSettings,
-    seen: Option<SeenTerm>,
-    held: Option<HeldTerm>,
+    observed: Option<ObservedRecord>,
+    held: Option<HeldLease>,
 }
 
 impl LeaseTracker {
     /// A tracker. `holder` must be unique to this process: a restarted process that took its
-    /// predecessor's term for its own would act beside it.
+    /// predecessor's record for its own would act beside it.
     #[must_use]
     pub fn new(name: LeaseName, holder: NodeId, settings: LeaseSettings) -> Self {
         Self {
             name,
             holder,
             settings,
-            seen: None,
+            observed: None,
             held: None,
         }
     }
@@ -94,29 +94,29 @@
         self.held.is_some()
     }
 
-    /// Version of the row as last seen; none for an absent row or before the first look.
+    /// Version of the row as last observed; none for an absent row or before the first look.
     #[must_use]
     pub fn version(&self) -> Option<RowVersion> {
-        self.seen.as_ref().and_then(|seen| seen.version)
+        self.observed.as_ref().and_then(|observed| observed.version)
     }
 
     /// Takes in the row as it was read; `now` is a moment after the read.
     ///
-    /// The time since which a term stands counts from the end of the read that first saw it, so
+    /// The time since which a record stands counts from the end of the read that first saw it, so
     /// that an observer's slow read never shortens the holder's time.
-    pub fn observe(&mut self, term: LeaseRecord, version: Option<RowVersion>, now: Instant) {
-        let mine = term.holder.as_ref() == Some(&self.holder);
+    pub fn observe(&mut self, record: LeaseRecord, version: Option<RowVersion>, now: Instant) {
+        let own = record.holder.as_ref() == Some(&self.holder);
         let other_epoch = self
             .held
             .as_ref()
-            .is_some_and(|held| held.epoch != term.epoch);
-        if !mine || other_epoch {
+            .is_some_and(|held| held.epoch != record.epoch);
+        if !own || other_epoch {
             self.held = None;
         }
         let same = self
-            .seen
+            .observed
             .as_ref()
-            .is_some_and(|seen| seen.version == version);
+            .is_some_and(|observed| observed.version == version);
         if same {
             return;
         }
@@ -124,66 +124,71 @@
         // and both rows were written together, so it is this process's own; it may act only after
         // a renewal, because nobody knows when the take-over took effect.
         if let Some(version) = version
-            && mine
+            && own
             && self.held.is_none()
-            && term.renewals == 0
+            && record.renewals == 0
         {
-            self.held = Some(HeldTerm {
-                epoch: term.epoch,
+            self.held = Some(HeldLease {
+                epoch: record.epoch,
                 epoch_version: version,
                 valid_until: now,
             });
         }
-        self.seen = Some(SeenTerm {
-            term,
+        self.observed = Some(ObservedRecord {
+            record,
             version,
             since: now,
         });
     }
 
-    /// The next step for a node at `place`; none lets go of the lease.
+    /// The next step for a node at `rank`; none lets go of the lease.
     #[must_use]
-    pub fn next_step(&self, place: Option<LeasePlace>, now: Instant) -> LeaseStep {
-        let Some(seen) = &self.seen else {
+    pub fn next_step(&self, rank: Option<CandidateRank>, now: Instant) -> LeaseStep {
+        let Some(observed) = &self.observed else {
             return LeaseStep::Wait;
         };
         if self.held.is_some() {
-            let step = if place.is_some() {
-                seen.term.renewed(&self.holder).map(LeaseStep::Renew)
+            let step = if rank.is_some() {
+                observed.record.renewed(&self.holder).map(LeaseStep::Renew)
             } else {
-                seen.term.released(&self.holder).map(LeaseStep::Release)
+                observed
+                    .record
+                    .released(&self.holder)
+                    .map(LeaseStep::Release)
             };
             return step.unwrap_or(LeaseStep::Wait);
         }
-        let Some(LeasePlace(place)) = place else {
+        let Some(CandidateRank(rank)) = rank else {
             return LeaseStep::Wait;
         };
-        let unchanged = now.saturating_duration_since(seen.since);
-        let waited = unchanged.saturating_sub(self.settings.stagger() * place);
-        let released_lately = seen.term.holder.is_none() && place > 0 && waited.is_zero();
-        if released_lately {
+        let unchanged = now.saturating_duration_since(observed.since);
+        let waited = unchanged.saturating_sub(self.settings.stagger() * rank);
+        let recently_released = observed.record.holder.is_none() && rank > 0 && waited.is_zero();
+        if recently_released {
             return LeaseStep::Wait;
         }
-        seen.term
+        observed
+            .record
             .acquired(&self.holder, waited, self.settings.ttl())
-            .map_or(LeaseStep::Wait, LeaseStep::Take)
+            .map_or(LeaseStep::Wait, LeaseStep::Acquire)
     }
 
     /// Time until the next look at the row: a beat, or less when the lease may be taken before.
     #[must_use]
-    pub fn next_look(&self, place: Option<LeasePlace>, now: Instant) -> Duration {
-        let beat = self.settings.beat();
-        let (Some(seen), Some(LeasePlace(place)), None) = (&self.seen, place, &self.held) else {
-            return beat;
+    pub fn next_poll(&self, rank: Option<CandidateRank>, now: Instant) -> Duration {
+        let interval = self.settings.renew_interval();
+        let (Some(observed), Some(CandidateRank(rank)), None) = (&self.observed, rank, &self.held)
+        else {
+            return interval;
         };
-        let held_for = match seen.term.holder {
-            Some(_) => seen.term.ttl(),
+        let held_for = match observed.record.holder {
+            Some(_) => observed.record.ttl(),
             None => Duration::ZERO,
         };
-        let unchanged = now.saturating_duration_since(seen.since);
-        let due = held_for + self.settings.stagger() * place;
-        let left = due.saturating_sub(unchanged) + LOOK_MARGIN;
-        left.min(beat)
+        let unchanged = now.saturating_duration_since(observed.since);
+        let due = held_for + self.settings.stagger() * rank;
+        let left = due.saturating_sub(unchanged) + POLL_MARGIN;
+        left.min(interval)
     }
 
     /// The step that lets go of the lease now.
@@ -192,47 +197,47 @@
         if self.held.is_none() {
             return LeaseStep::Wait;
         }
-        self.seen
+        self.observed
             .as_ref()
-            .and_then(|seen| seen.term.released(&self.holder))
+            .and_then(|observed| observed.record.released(&self.holder))
             .map_or(LeaseStep::Wait, LeaseStep::Release)
     }
 
     /// Notes a take-over that took effect; `started` is the moment before it was sent.
-    pub fn note_taken(&mut self, term: LeaseRecord, version: RowVersion, started: Instant) {
-        self.held = Some(HeldTerm {
-            epoch: term.epoch,
+    pub fn record_acquired(&mut self, record: LeaseRecord, version: RowVersion, started: Instant) {
+        self.held = Some(HeldLease {
+            epoch: record.epoch,
             epoch_version: version,
-            valid_until: started + self.usable(&term),
+            valid_until: started + self.usable_ttl(&record),
         });
-        self.note_row(term, version, started);
+        self.set_observed(record, version, started);
     }
 
     /// Notes a renewal that took effect; `started` is the moment before it was sent, because the
     /// store may have written it at once and answered late.
-    pub fn note_renewed(&mut self, term: LeaseRecord, version: RowVersion, started: Instant) {
-        let until = started + self.usable(&term);
+    pub fn record_renewed(&mut self, record: LeaseRecord, version: RowVersion, started: Instant) {
+        let until = started + self.usable_ttl(&record);
         if let Some(held) = &mut self.held {
             held.valid_until = held.valid_until.max(until);
         }
-        self.note_row(term, version, started);
+        self.set_observed(record, version, started);
     }
 
     /// Notes that the lease is given up or another node's.
-    pub fn note_lost(&mut self) {
+    pub fn record_lost(&mut self) {
         self.held = None;
     }
 
-    fn note_row(&mut self, term: LeaseRecord, version: RowVersion, now: Instant) {
-        self.seen = Some(SeenTerm {
-            term,
+    fn set_observed(&mut self, record: LeaseRecord, version: RowVersion, now: Instant) {
+        self.observed = Some(ObservedRecord {
+            record,
             version: Some(version),
             since: now,
         });
     }
 
-    fn usable(&self, term: &LeaseRecord) -> Duration {
-        let ttl = term.ttl().min(self.settings.ttl());
+    fn usable_ttl(&self, record: &LeaseRecord) -> Duration {
+        let ttl = record.ttl().min(self.settings.ttl());
         ttl.saturating_sub(ttl / DRIFT_DIVISOR)
     }
 
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 use xtra::{Address, Mailbox};
 
-use outcome::{OutcomeWrite, keep_writing, withdraw_claim};
+use outcome::{OutcomeWrite, retry_outcome, withdraw_claim};
 use writer::{EnqueueWrite, LedgerWriter, RowOutcome, RowWrite};
 
 /// Limits of the ledger. Times are in milliseconds.
@@ -254,12 +254,12 @@
         let limit = Duration::from_millis(self.settings.outcome_timeout_ms);
         match self.write(write, limit).await {
             Ok(RowOutcome::Written(_)) => Ok(()),
-            Ok(RowOutcome::Conflict(row)) if outcome.stands_in(row.as_ref()) => Ok(()),
+            Ok(RowOutcome::Conflict(row)) if outcome.matches_row(row.as_ref()) => Ok(()),
             Ok(RowOutcome::Conflict(_)) => Err(StoreError::Malformed(
                 "the claim's row was changed by another".to_owned(),
             )),
             Err(error) => {
-                tokio::spawn(keep_writing(self.table.clone(), outcome));
+                tokio::spawn(retry_outcome(self.table.clone(), outcome));
                 Err(error)
             }
         }
--- a/crates/control/src/ledger/outcome.rs
+++ b/crates/control/src/ledger/outcome.rs
@@ -9,20 +9,20 @@
 };
 use serde_json::Value;
 
-use crate::pause::RetryPause;
+use crate::backoff::Backoff;
 use crate::token::random_token;
 
-/// First pause between two tries.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// First backoff between two tries.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest pause between two tries: the store may be away for an hour.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
+/// Longest backoff between two tries: the store may be away for an hour.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// Tries before a write is given up; about a day.
-const MAX_TRIES: u32 = 6_000;
+const MAX_ATTEMPTS: u32 = 6_000;
 
 /// Sends of one transaction.
-const COMMIT_TRIES: u32 = 2;
+const COMMIT_ATTEMPTS: u32 = 2;
 
 /// The outcome of a call, on its way into the claim's row.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 
 impl OutcomeWrite {
     /// Whether a row already holds it. An attempt is unique, so equal content is one's own.
-    pub fn stands_in(&self, row: Option<&TableRow>) -> bool {
+    pub fn matches_row(&self, row: Option<&TableRow>) -> bool {
         row.is_some_and(|row| row.value == self.value)
     }
 }
@@ -43,17 +43,20 @@
 ///
 /// The store may be down when a payment's receipt comes. The caller has the receipt, but a later
 /// request with the same key would get `unknown` as long as the row says `Claimed`.
-pub async fn keep_writing<T: TableStore>(table: T, outcome: OutcomeWrite) {
-    let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
-    for _ in 0..MAX_TRIES {
-        tokio::time::sleep(pause.next_pause()).await;
+pub async fn retry_outcome<T: TableStore>(table: T, outcome: OutcomeWrite) {
+    let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
+    for _ in 0..MAX_ATTEMPTS {
+        tokio::time::sleep(backoff.next_delay()).await;
         let Ok(token) = random_token("outcome") else {
             return;
         };
         let expect = RowExpectation::Version(outcome.version);
         let batch = WriteBatch::new(token).put(outcome.key.clone(), expect, outcome.value.clone());
         // A conflict means that an earlier send took effect, or that the row is another's.
-        if settled_commit(&table, &batch, COMMIT_TRIES).await.is_ok() {
+        if settled_commit(&table, &batch, COMMIT_ATTEMPTS)
+            .await
+            .is_ok()
+        {
             return;
         }
     }
@@ -66,12 +69,12 @@
 /// row is not left absent: a row that says `NotRun` takes its place, which the late claim then
 /// fails on.
 pub async fn withdraw_claim<T: TableStore>(table: T, key: String, claim: CallClaim) {
-    let mut pause = RetryPause::new(FIRST_PAUSE, LONGEST_PAUSE);
-    for _ in 0..MAX_TRIES {
+    let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
+    for _ in 0..MAX_ATTEMPTS {
         if matches!(try_withdraw(&table, &key, &claim).await, Ok(true)) {
             return;
         }
-        tokio::time::sleep(pause.next_pause()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
@@ -85,12 +88,12 @@
         RowRead::Found(row) => {
             let current: CallClaim = serde_json::from_value(row.value)
                 .map_err(|error| StoreError::Malformed(error.to_string()))?;
-            let mine = current.attempt == claim.attempt;
+            let own = current.attempt == claim.attempt;
             // A free row of another attempt is one that the claim may still replace, so it is
             // written anew; any other row of another attempt is one that the claim fails on.
             let done = match current.state {
-                ClaimState::NotRun => mine,
-                ClaimState::Claimed => !mine,
+                ClaimState::NotRun => own,
+                ClaimState::Claimed => !own,
                 ClaimState::Answered { .. } => true,
             };
             if done {
@@ -106,6 +109,6 @@
     let value = serde_json::to_value(&withdrawn)
         .map_err(|error| StoreError::Malformed(error.to_string()))?;
     let batch = WriteBatch::new(random_token("withdraw")?).put(key, expect, value);
-    let outcome = settled_commit(table, &batch, COMMIT_TRIES).await?;
+    let outcome = settled_commit(table, &batch, COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)))
 }
--- a/crates/control/src/ledger/writer.rs
+++ b/crates/control/src/ledger/writer.rs
@@ -15,10 +15,10 @@
 use super::LedgerSettings;
 
 /// Sends of one transaction before its rows are reported as in doubt.
-const COMMIT_TRIES: u32 = 3;
+const COMMIT_ATTEMPTS: u32 = 3;
 
 /// When to come back while the queue is full.
-const FULL_RETRY: Duration = Duration::from_secs(1);
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// One conditional write of one row.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 struct FlushQueue;
 
 /// A transaction ended.
-struct FlightEnded;
+struct CommitFinished;
 
 /// Gathers rows for a few milliseconds and commits them together.
 ///
@@ -62,8 +62,8 @@
     token_prefix: String,
     next_batch: u64,
     waiting: Vec<EnqueueWrite>,
-    timer: bool,
-    flights: usize,
+    timer_running: bool,
+    in_flight: usize,
 }
 
 impl<T: TableStore> LedgerWriter<T> {
@@ -75,8 +75,8 @@
             token_prefix: format!("ledger.{node}.{:016x}", rand::random::<u64>()),
             next_batch: 0,
             waiting: Vec::new(),
-            timer: false,
-            flights: 0,
+            timer_running: false,
+            in_flight: 0,
         }
     }
 
@@ -87,8 +87,8 @@
         let mut taken: Vec<EnqueueWrite> = Vec::new();
         let mut left = Vec::new();
         for row in self.waiting.drain(..) {
-            let twice = taken.iter().any(|other| other.write.key == row.write.key);
-            if twice || taken.len() >= self.settings.batch_rows {
+            let duplicate = taken.iter().any(|other| other.write.key == row.write.key);
+            if duplicate || taken.len() >= self.settings.batch_rows {
                 left.push(row);
                 continue;
             }
@@ -98,26 +98,26 @@
         taken
     }
 
-    fn start_flights(&mut self, ctx: &Context<Self>) {
-        while self.flights < self.settings.flights && !self.waiting.is_empty() {
+    fn start_commits(&mut self, ctx: &Context<Self>) {
+        while self.in_flight < self.settings.flights && !self.waiting.is_empty() {
             let rows = self.take_rows();
-            self.flights += 1;
+            self.in_flight += 1;
             let prefix = format!("{}.{}", self.token_prefix, self.next_batch);
             self.next_batch += 1;
             let table = self.table.clone();
             let address = ctx.mailbox().address();
             tokio::spawn(async move {
                 commit_rows(&table, &prefix, rows).await;
-                log_skipped("end flight", address.send(FlightEnded).detach().await);
+                log_skipped("end flight", address.send(CommitFinished).detach().await);
             });
         }
     }
 
     fn start_timer(&mut self, ctx: &Context<Self>) {
-        if self.timer {
+        if self.timer_running {
             return;
         }
-        self.timer = true;
+        self.timer_running = true;
         let delay = Duration::from_millis(self.settings.batch_delay_ms);
         let address = ctx.mailbox().address();
         tokio::spawn(async move {
@@ -133,13 +133,13 @@
     async fn handle(&mut self, row: EnqueueWrite, ctx: &mut Context<Self>) {
         if self.waiting.len() >= self.settings.queue_rows {
             let _ = row.reply.send(Err(StoreError::Throttled {
-                retry_after: FULL_RETRY,
+                retry_after: QUEUE_FULL_RETRY_AFTER,
             }));
             return;
         }
         self.waiting.push(row);
         if self.waiting.len() >= self.settings.batch_rows {
-            self.start_flights(ctx);
+            self.start_commits(ctx);
             return;
         }
         self.start_timer(ctx);
@@ -150,18 +150,18 @@
     type Return = ();
 
     async fn handle(&mut self, _: FlushQueue, ctx: &mut Context<Self>) {
-        self.timer = false;
-        self.start_flights(ctx);
+        self.timer_running = false;
+        self.start_commits(ctx);
     }
 }
 
-impl<T: TableStore> Handler<FlightEnded> for LedgerWriter<T> {
+impl<T: TableStore> Handler<CommitFinished> for LedgerWriter<T> {
     type Return = ();
 
-    async fn handle(&mut self, _: FlightEnded, ctx: &mut Context<Self>) {
-        self.flights -= 1;
-        if !self.timer {
-            self.start_flights(ctx);
+    async fn handle(&mut self, _: CommitFinished, ctx: &mut Context<Self>) {
+        self.in_flight -= 1;
+        if !self.timer_running {
+            self.start_commits(ctx);
         }
     }
 }
@@ -169,14 +169,14 @@
 /// Commits rows together; rows that conflict are answered and the others sent again without them,
 /// so that one reused key does not fail the payments that happened to share its transaction.
 async fn commit_rows<T: TableStore>(table: &T, prefix: &str, mut rows: Vec<EnqueueWrite>) {
-    let mut round = 0_u32;
+    let mut attempt = 0_u32;
     loop {
         rows.retain(|row| !row.reply.is_closed());
         if rows.is_empty() {
             return;
         }
-        let outcome = match batch_of(&rows, &format!("{prefix}.{round}")) {
-            Ok(batch) => settled_commit(table, &batch, COMMIT_TRIES).await,
+        let outcome = match batch_of(&rows, &format!("{prefix}.{attempt}")) {
+            Ok(batch) => settled_commit(table, &batch, COMMIT_ATTEMPTS).await,
             Err(error) => Err(error),
         };
         match outcome {
@@ -185,21 +185,21 @@
                     let _ = row.reply.send(Ok(RowOutcome::Written(version)));
                 }
             }
-            Ok(CommitOutcome::Conflict(conflicts)) => rows = answer_conflicts(rows, &conflicts),
+            Ok(CommitOutcome::Conflict(conflicts)) => rows = reply_to_conflicts(rows, &conflicts),
             Err(error) => {
                 for row in rows.drain(..) {
                     let _ = row.reply.send(Err(error.clone()));
                 }
             }
         }
-        round += 1;
+        attempt += 1;
     }
 }
 
 /// Answers the rows that conflict and returns the others.
-fn answer_conflicts(rows: Vec<EnqueueWrite>, conflicts: &[RowConflict]) -> Vec<EnqueueWrite> {
+fn reply_to_conflicts(rows: Vec<EnqueueWrite>, conflicts: &[RowConflict]) -> Vec<EnqueueWrite> {
     let count = rows.len();
-    let mut others = Vec::with_capacity(count);
+    let mut remaining = Vec::with_capacity(count);
     for row in rows {
         let conflict = conflicts
             .iter()
@@ -209,13 +209,13 @@
                 let outcome = RowOutcome::Conflict(conflict.row.clone());
                 let _ = row.reply.send(Ok(outcome));
             }
-            None => others.push(row),
+            None => remaining.push(row),
         }
     }
-    if others.len() < count {
-        return others;
+    if remaining.len() < count {
+        return remaining;
     }
-    for row in others {
+    for row in remaining {
         let text = "a conflict on a row that was not written".to_owned();
         let _ = row.reply.send(Err(StoreError::Malformed(text)));
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod amend;
 pub mod assembly;
+pub mod backoff;
 pub mod config;
 pub mod directory;
 pub mod drains;
@@ -13,7 +14,6 @@
 pub mod lease;
 pub mod ledger;
 pub mod members;
-pub mod pause;
 pub mod plans;
 pub mod probe;
 pub mod prober;
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -13,7 +13,7 @@
 use super::{HeartbeatSource, MemberRow, MemberSettings, SharedMembership};
 
 /// Sends of one transaction.
-const COMMIT_TRIES: u32 = 3;
+const COMMIT_ATTEMPTS: u32 = 3;
 
 /// Rows cleaned at once.
 const CLEAN_BATCH: usize = 50;
@@ -72,7 +72,7 @@
         let key = keys::member_key(self.membership.node());
         let batch = WriteBatch::new(token).delete(key, RowExpectation::Any);
         // A row that stays is deleted once nobody has heard the node for long.
-        let left = settled_commit(&self.table, &batch, COMMIT_TRIES).await;
+        let left = settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await;
         log_skipped("delete member row", left);
     }
 
@@ -139,7 +139,7 @@
         if cleaned.is_empty() {
             return Ok(());
         }
-        settled_commit(&self.table, &batch, COMMIT_TRIES).await?;
+        settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await?;
         self.recorder.note(
             EventCode::MemberExpired,
             EventSubject::default(),
--- a/crates/control/src/plans.rs
+++ b/crates/control/src/plans.rs
@@ -4,7 +4,7 @@
 //! transaction. A node reads the head on condition that it changed, then scans the marks, then
 //! reads the fleets whose marks changed. At 410 nodes and a period of 2 s that is 205 small reads
 //! a second; a change costs every node one scan of the marks (80 bytes a fabric domain) and one
-//! read of one fleet, 820 reads spread over the 2 s. The reads stay below 700 a second while
+//! read of one fleet, 820 reads with_jitter over the 2 s. The reads stay below 700 a second while
 //! replicas change, of the 2,000 that the table gives. The head is written without a condition,
 //! so controllers of different fabric domains never fail on each other: its content is nothing,
 //! its version all.
@@ -17,10 +17,10 @@
 use platform::{RowRead, StoreError, TableStore, keys};
 use tokio::sync::watch;
 
-use crate::pause::{RetryPause, spread};
+use crate::backoff::{Backoff, with_jitter};
 
-/// Longest pause while the table can't be read.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// Longest backoff while the table can't be read.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// The replicas of all fabric domains.
 #[derive(Debug, Clone, Default)]
@@ -44,22 +44,22 @@
     period: Duration,
 ) {
     let mut head = None;
-    let mut pause = RetryPause::new(period, LONGEST_PAUSE.max(period));
+    let mut backoff = Backoff::new(period, MAX_RETRY_DELAY.max(period));
     loop {
         let known = Arc::clone(&sender.borrow());
-        match newer_plans(&table, head, &known).await {
+        match read_changed_plans(&table, head, &known).await {
             Ok(Some((version, plans))) => {
                 head = Some(version);
                 sender.send_replace(Arc::new(plans));
-                pause.reset();
+                backoff.reset();
             }
-            Ok(None) => pause.reset(),
+            Ok(None) => backoff.reset(),
             Err(_) => {
-                tokio::time::sleep(pause.next_pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
                 continue;
             }
         }
-        tokio::time::sleep(spread(period, 0.2)).await;
+        tokio::time::sleep(with_jitter(period, 0.2)).await;
     }
 }
 
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// [`StoreError`].
-pub async fn newer_plans<T: TableStore>(
+pub async fn read_changed_plans<T: TableStore>(
     table: &T,
     head: Option<RowVersion>,
     known: &FleetPlans,
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -18,7 +18,7 @@
     Evidence(HealthEvidence, Option<EngineLoad>),
     /// Some hosts gave no answer, and no answer speaks against it. Silence is no evidence: the
     /// hosts may be gone, or this node may be cut off from them while others reach them.
-    Silent,
+    Inconclusive,
 }
 
 /// Asks every host of a replica for its state.
@@ -35,7 +35,7 @@
     });
     let reports = join_all(probes).await;
     // The age counts from before the first question: an answer may have been on its way.
-    judge_reports(plan, &reports, started.elapsed())
+    evaluate_reports(plan, &reports, started.elapsed())
 }
 
 /// What one host said.
@@ -44,16 +44,16 @@
     /// Its engine's state.
     State(Box<EngineState>),
     /// The host itself refused the connection: no engine runs there.
-    Gone,
+    Refused,
     /// Nothing. The host may be gone, or cut off from this node alone.
-    Silent,
+    NoAnswer,
 }
 
 impl HostReport {
     fn state(&self) -> Option<&EngineState> {
         match self {
             Self::State(state) => Some(state),
-            Self::Gone | Self::Silent => None,
+            Self::Refused | Self::NoAnswer => None,
         }
     }
 }
@@ -64,18 +64,18 @@
     timeout: Duration,
 ) -> HostReport {
     let Some(address) = address else {
-        return HostReport::Silent;
+        return HostReport::NoAnswer;
     };
     match engine.state(address, timeout).await {
         Ok(state) => HostReport::State(Box::new(state)),
-        Err(ClientError::Refused(_)) => HostReport::Gone,
-        Err(_) => HostReport::Silent,
+        Err(ClientError::Refused(_)) => HostReport::Refused,
+        Err(_) => HostReport::NoAnswer,
     }
 }
 
 /// Judges what a replica's hosts said, in the order of its hosts.
 #[must_use]
-pub fn judge_reports(plan: &ReplicaPlan, reports: &[HostReport], age: Duration) -> ProbeOutcome {
+pub fn evaluate_reports(plan: &ReplicaPlan, reports: &[HostReport], age: Duration) -> ProbeOutcome {
     let mut evidence = HealthEvidence {
         replica: plan.id.clone(),
         incarnation: plan.incarnation,
@@ -83,22 +83,22 @@
         leaving: false,
         age,
     };
-    let mut denied = false;
+    let mut contradicted = false;
     for (host, report) in plan.hosts.iter().zip(reports) {
-        denied |= *report == HostReport::Gone;
+        contradicted |= *report == HostReport::Refused;
         let Some(state) = report.state() else {
             continue;
         };
         if !runs_rank(plan, host, state) {
-            denied = true;
+            contradicted = true;
             continue;
         }
         evidence.hosts.push(host.clone());
         evidence.leaving |= state.leaving;
     }
     let whole = evidence.hosts.len() == plan.hosts.len();
-    if !whole && !denied && !evidence.leaving {
-        return ProbeOutcome::Silent;
+    if !whole && !contradicted && !evidence.leaving {
+        return ProbeOutcome::Inconclusive;
     }
     let load = reports.first().and_then(HostReport::state);
     ProbeOutcome::Evidence(evidence, load.map(|state| state.load))
--- a/crates/control/src/prober.rs
+++ b/crates/control/src/prober.rs
@@ -16,16 +16,16 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
+use crate::backoff::{Backoff, with_jitter};
 use crate::directory::HostDirectory;
 use crate::evidence_store::EvidenceStore;
 use crate::lease::ranked_nodes;
 use crate::members::MemberView;
-use crate::pause::{RetryPause, spread};
 use crate::plans::FleetPlans;
 use crate::probe::{ProbeOutcome, probe_replica};
 
 /// Nodes that probe one replica in the normal course.
-const WATCHERS: usize = 2;
+const PROBERS_PER_REPLICA: usize = 2;
 
 /// Looks for due probes in one period.
 const TICKS_PER_PERIOD: u32 = 4;
@@ -73,10 +73,10 @@
 
 /// When a replica is probed next.
 #[derive(Debug)]
-struct ProbeTurn {
+struct ProbeSchedule {
     due: Instant,
-    pause: RetryPause,
-    watcher: bool,
+    backoff: Backoff,
+    assigned: bool,
     incarnation: IncarnationNumber,
 }
 
@@ -88,21 +88,23 @@
     settings: ProbeSettings,
 ) {
     let period = Duration::from_millis(settings.period_ms);
-    let mut turns: FastMap<ReplicaId, ProbeTurn> = FastMap::default();
+    let mut schedules: FastMap<ReplicaId, ProbeSchedule> = FastMap::default();
     let mut running: JoinSet<(ReplicaId, bool)> = JoinSet::new();
     let mut probing: FastSet<ReplicaId> = FastSet::default();
     loop {
         // Who watches what is worked out only when it may have changed: 1,500 replicas times 410
         // nodes are 615,000 hashes.
-        let moved = [
+        let inputs_changed = [
             inputs.plans.has_changed(),
             inputs.directory.has_changed(),
             inputs.members.has_changed(),
         ];
-        let moved = moved.into_iter().any(|changed| changed.unwrap_or(false));
+        let inputs_changed = inputs_changed
+            .into_iter()
+            .any(|changed| changed.unwrap_or(false));
         while let Some(Ok((replica, answered))) = running.try_join_next() {
             probing.remove(&replica);
-            note_probe(&mut turns, &replica, answered, period);
+            reschedule(&mut schedules, &replica, answered, period);
         }
         let plans = Arc::clone(&inputs.plans.borrow_and_update());
         let directory = Arc::clone(&inputs.directory.borrow_and_update());
@@ -110,21 +112,23 @@
         let mut current = FastSet::default();
         for plan in plans.plans() {
             current.insert(plan.id.clone());
-            let first = !turns.contains_key(&plan.id);
-            let turn = turns
+            let is_new = !schedules.contains_key(&plan.id);
+            let schedule = schedules
                 .entry(plan.id.clone())
-                .or_insert_with(|| new_turn(plan, settings));
-            if turn.incarnation != plan.incarnation {
-                *turn = ProbeTurn {
-                    watcher: turn.watcher,
-                    ..new_turn(plan, settings)
+                .or_insert_with(|| new_schedule(plan, settings));
+            if schedule.incarnation != plan.incarnation {
+                *schedule = ProbeSchedule {
+                    assigned: schedule.assigned,
+                    ..new_schedule(plan, settings)
                 };
             }
-            if first || moved {
-                turn.watcher = is_watcher(&inputs.node, plan, &directory, &members);
+            if is_new || inputs_changed {
+                schedule.assigned = is_assigned(&inputs.node, plan, &directory, &members);
             }
             let full = probing.len() >= settings.probes_at_once;
-            if full || probing.contains(&plan.id) || !is_due(turn, plan, &evidence_store, settings)
+            if full
+                || probing.contains(&plan.id)
+                || !is_due(schedule, plan, &evidence_store, settings)
             {
                 continue;
             }
@@ -138,8 +142,8 @@
             };
             running.spawn(probe.run());
         }
-        if turns.len() > current.len() {
-            turns.retain(|id, _| current.contains(id));
+        if schedules.len() > current.len() {
+            schedules.retain(|id, _| current.contains(id));
             evidence_store.retain(&current);
         }
         tokio::time::sleep(period / TICKS_PER_PERIOD).await;
@@ -147,19 +151,19 @@
 }
 
 /// A replica in a new incarnation is asked at once: it serves nobody before it is seen whole.
-fn new_turn(plan: &ReplicaPlan, settings: ProbeSettings) -> ProbeTurn {
+fn new_schedule(plan: &ReplicaPlan, settings: ProbeSettings) -> ProbeSchedule {
     let period = Duration::from_millis(settings.period_ms);
-    let longest = Duration::from_millis(settings.longest_pause_ms);
-    ProbeTurn {
+    let max_delay = Duration::from_millis(settings.longest_pause_ms);
+    ProbeSchedule {
         due: Instant::now(),
-        pause: RetryPause::new(period, longest),
-        watcher: false,
+        backoff: Backoff::new(period, max_delay),
+        assigned: false,
         incarnation: plan.incarnation,
     }
 }
 
 /// Whether this node is one of the replica's watchers. Alone, or without members, it is.
-fn is_watcher(
+fn is_assigned(
     node: &NodeId,
     plan: &ReplicaPlan,
     directory: &HostDirectory,
@@ -176,50 +180,50 @@
     });
     ranked
         .iter()
-        .take(WATCHERS)
+        .take(PROBERS_PER_REPLICA)
         .any(|member| member.node == *node)
 }
 
 fn is_due(
-    turn: &ProbeTurn,
+    schedule: &ProbeSchedule,
     plan: &ReplicaPlan,
     evidence_store: &EvidenceStore,
     settings: ProbeSettings,
 ) -> bool {
     let now = Instant::now();
-    if now < turn.due {
+    if now < schedule.due {
         return false;
     }
-    if turn.watcher {
+    if schedule.assigned {
         return true;
     }
-    let silence = Duration::from_millis(settings.silence_ms);
+    let max_silence = Duration::from_millis(settings.silence_ms);
     // Evidence of its own is no reason to stop, since nobody else provides it; nor is it one to go
     // on, once peers pass theirs on again.
     let heard = evidence_store.newest_for(&plan.id).is_some_and(|entry| {
         let current = entry.evidence.incarnation >= plan.incarnation;
-        let fresh = |at: Instant| now.saturating_duration_since(at) < silence;
-        current && entry.heard.is_some_and(fresh)
+        let fresh = |at: Instant| now.saturating_duration_since(at) < max_silence;
+        current && entry.last_from_peer.is_some_and(fresh)
     });
     !heard
 }
 
-fn note_probe(
-    turns: &mut FastMap<ReplicaId, ProbeTurn>,
+fn reschedule(
+    schedules: &mut FastMap<ReplicaId, ProbeSchedule>,
     replica: &ReplicaId,
     answered: bool,
     period: Duration,
 ) {
-    let Some(turn) = turns.get_mut(replica) else {
+    let Some(schedule) = schedules.get_mut(replica) else {
         return;
     };
-    let wait = if answered || turn.watcher {
-        turn.pause.reset();
-        spread(period, 0.2)
+    let delay = if answered || schedule.assigned {
+        schedule.backoff.reset();
+        with_jitter(period, 0.2)
     } else {
-        turn.pause.next_pause()
+        schedule.backoff.next_delay()
     };
-    turn.due = Instant::now() + wait;
+    schedule.due = Instant::now() + delay;
 }
 
 struct ProbeTask<E> {
@@ -235,10 +239,10 @@
         let outcome = probe_replica(&self.engine, &self.plan, &self.directory, self.timeout).await;
         let answered = match outcome {
             ProbeOutcome::Evidence(evidence, load) => {
-                self.evidence_store.record_report(evidence, load);
+                self.evidence_store.record_own(evidence, load);
                 true
             }
-            ProbeOutcome::Silent => false,
+            ProbeOutcome::Inconclusive => false,
         };
         (self.plan.id, answered)
     }
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -36,21 +36,21 @@
 }
 
 impl ReviewReport {
-    fn add(&mut self, severity: FindingSeverity, place: String, problem: String, advice: &str) {
+    fn add(&mut self, severity: FindingSeverity, path: String, problem: String, advice: &str) {
         let finding = RecordFinding {
-            path: place,
+            path: path,
             problem,
             advice: advice.to_owned(),
         };
         self.findings.push(ReviewFinding { severity, finding });
     }
 
-    fn warn(&mut self, place: String, problem: String, advice: &str) {
-        self.add(FindingSeverity::Warning, place, problem, advice);
+    fn warn(&mut self, path: String, problem: String, advice: &str) {
+        self.add(FindingSeverity::Warning, path, problem, advice);
     }
 
-    fn refuse(&mut self, place: String, problem: String, advice: &str) {
-        self.add(FindingSeverity::Error, place, problem, advice);
+    fn refuse(&mut self, path: String, problem: String, advice: &str) {
+        self.add(FindingSeverity::Error, path, problem, advice);
     }
 
     /// Whether the record must not be accepted.
@@ -106,10 +106,10 @@
         );
     }
     for (index, grant) in customer.grants.iter().enumerate() {
-        let place = format!("spec.grants[{index}]");
+        let path = format!("spec.grants[{index}]");
         let Some(model) = view.models.get(&grant.model) else {
             report.warn(
-                format!("{place}.model"),
+                format!("{path}.model"),
                 format!("there is no model {}", grant.model),
                 "write the model's record, or remove the grant",
             );
@@ -119,7 +119,7 @@
             && !model.versions.iter().any(|plan| plan.version == *version)
         {
             report.warn(
-                format!("{place}.version"),
+                format!("{path}.version"),
                 format!("model {} keeps no version {version}", grant.model),
                 "name a version of the model's record",
             );
@@ -129,7 +129,7 @@
                 continue;
             }
             report.warn(
-                format!("{place}.adapters[{position}]"),
+                format!("{path}.adapters[{position}]"),
                 format!("model {} loads no adapter {adapter}", grant.model),
                 "add it to the model's record, or remove it here",
             );
@@ -152,11 +152,11 @@
         return;
     };
     for (index, call) in service.calls.iter().enumerate() {
-        let was_once = current
+        let was_non_idempotent = current
             .calls
             .iter()
             .any(|other| other.path == call.path && !other.idempotent);
-        if !was_once || !call.idempotent {
+        if !was_non_idempotent || !call.idempotent {
             continue;
         }
         report.warn(
--- a/crates/control/src/token.rs
+++ b/crates/control/src/token.rs
@@ -8,11 +8,11 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Malformed`] when `step` does not fit into an identifier.
-pub fn random_token(step: &str) -> Result<WriteToken, StoreError> {
+/// [`StoreError::Malformed`] when `prefix` does not fit into an identifier.
+pub fn random_token(prefix: &str) -> Result<WriteToken, StoreError> {
     let high = rand::random::<u64>();
     let low = rand::random::<u64>();
-    format!("{step}.{high:016x}{low:016x}")
+    format!("{prefix}.{high:016x}{low:016x}")
         .parse()
         .map_err(|error: domain::IdError| StoreError::Malformed(error.to_string()))
 }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -96,9 +96,9 @@
         let Some((evidence, received)) = &self.evidence else {
             return false;
         };
-        let held = now.saturating_duration_since(*received);
+        let elapsed = now.saturating_duration_since(*received);
         let aged = HealthEvidence {
-            age: evidence.age + held,
+            age: evidence.age + elapsed,
             ..evidence.clone()
         };
         aged.allows_dispatch(&self.plan, limit)
--- a/crates/control/tests/rules/assembly_rounds.rs
+++ b/crates/control/tests/rules/assembly_rounds.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use crate::assembly_world::{AssemblyWorld, HOSTS, REPLICAS, config, directory};
-use crate::dice::SeededDice;
-use crate::dice::engine::host_name;
-use crate::dice::table::FaultRates;
+use crate::assembly_sim::{AssemblySim, HOSTS, REPLICAS, config, directory};
+use crate::sim::SeededRng;
+use crate::sim::engine::host_name;
+use crate::sim::table::FaultRates;
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: usize = 120;
@@ -18,58 +18,57 @@
         late: 6,
         down: 2,
     };
-    let mut dice = SeededDice::new(seed);
-    let fencing = dice.chance(50);
-    let mut world = AssemblyWorld::new(seed, rates, fencing, 15).await;
+    let mut rng = SeededRng::new(seed);
+    let fencing = rng.chance(50);
+    let mut sim = AssemblySim::new(seed, rates, fencing, 15).await;
     for step in 0..STEPS {
-        let number = u16::try_from(dice.roll(u64::from(HOSTS))).expect("small");
-        match dice.roll(20) {
-            0 => world.engines.change(number, |host| host.alive = false),
-            1 => world.engines.change(number, |host| host.alive = true),
-            2 => world.engines.restart(number),
-            3 => world.engines.deliver_late(),
-            4 if world.controllers.len() < 6 => world.take_over().await,
+        let number = u16::try_from(rng.below(u64::from(HOSTS))).expect("small");
+        match rng.below(20) {
+            0 => sim.engines.change(number, |host| host.alive = false),
+            1 => sim.engines.change(number, |host| host.alive = true),
+            2 => sim.engines.restart(number),
+            3 => sim.engines.deliver_late_order(),
+            4 if sim.controllers.len() < 6 => sim.take_over().await,
             5 => {
-                world.hosts.send_replace(Arc::new(directory(&[number])));
+                sim.hosts.send_replace(Arc::new(directory(&[number])));
             }
             6 => {
-                let wanted = u32::try_from(dice.roll(4)).expect("small");
-                world.config.send_replace(Arc::new(config(2, wanted, &[])));
+                let wanted = u32::try_from(rng.below(4)).expect("small");
+                sim.config.send_replace(Arc::new(config(2, wanted, &[])));
             }
             // Old holders go on as if nothing had happened.
             7..=9 => {
-                let index = dice.index(world.controllers.len());
-                world.round(index).await;
+                let index = rng.index(sim.controllers.len());
+                sim.round(index).await;
             }
             _ => {
-                let last = world.controllers.len() - 1;
-                world.round(last).await;
+                let last = sim.controllers.len() - 1;
+                sim.round(last).await;
             }
         }
-        if !world.is_sound() {
+        if !sim.is_consistent() {
             return Err(format!(
                 "seed {seed} step {step}: {:#?} {:?}",
-                world.slots(),
-                world.fleet()
+                sim.slots(),
+                sim.fleet()
             ));
         }
     }
-    world
-        .config
+    sim.config
         .send_replace(Arc::new(config(3, REPLICAS, &["wolof"])));
-    world.settle().await;
-    let fleet = world.fleet();
-    let well = world.is_sound()
-        && world.whole() == REPLICAS as usize
+    sim.recover().await;
+    let fleet = sim.fleet();
+    let recovered = sim.is_consistent()
+        && sim.complete_replicas() == REPLICAS as usize
         && fleet.plans.iter().all(|plan| plan.adapters.len() == 1);
-    if well {
+    if recovered {
         return Ok(());
     }
-    let slots = world.slots();
+    let slots = sim.slots();
     Err(format!("seed {seed} stuck: {fleet:#?} {slots:#?}"))
 }
 
-fn sound_under_faults(seed: u64) -> Result<(), String> {
+fn invariants_hold_under_faults(seed: u64) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -82,176 +81,172 @@
 /// controllers that lost the lease go on. If a host ever stood in two replicas, each would answer
 /// for the other's callers; if the replicas did not come back, traders would wait for nothing.
 #[test]
-fn no_host_twice() {
+fn no_host_in_two_replicas() {
     QuickCheck::new()
         .tests(200)
         .rng(Gen::from_size_and_seed(100, 3))
-        .quickcheck(sound_under_faults as fn(u64) -> Result<(), String>);
+        .quickcheck(invariants_hold_under_faults as fn(u64) -> Result<(), String>);
 }
 
-async fn formed_world() -> AssemblyWorld {
-    let mut world = AssemblyWorld::new(1, FaultRates::default(), true, 0).await;
-    world.round(0).await;
-    world.round(0).await;
-    assert_eq!(world.whole(), REPLICAS as usize);
-    world
+async fn formed_sim() -> AssemblySim {
+    let mut sim = AssemblySim::new(1, FaultRates::default(), true, 0).await;
+    sim.round(0).await;
+    sim.round(0).await;
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
+    sim
 }
 
 /// A host of a replica dies. The replica goes on with the spare under a new incarnation; the dead
 /// host's slot stays taken until the host itself reports that it is empty.
 #[tokio::test(start_paused = true)]
-async fn spare_replaces() {
-    let mut world = formed_world().await;
-    world.engines.change(0, |host| host.alive = false);
-    world.round(0).await;
-    world.round(0).await;
-    assert_eq!(world.whole(), REPLICAS as usize);
-    let fleet = world.fleet();
+async fn spare_replaces_dead_host() {
+    let mut sim = formed_sim().await;
+    sim.engines.change(0, |host| host.alive = false);
+    sim.round(0).await;
+    sim.round(0).await;
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
+    let fleet = sim.fleet();
     let plan = fleet.replica_of(&host_name(HOSTS - 1)).expect("the spare");
     assert_eq!(plan.incarnation.0, 2);
     assert!(fleet.replica_of(&host_name(0)).is_none());
-    assert!(world.slots()["h0"].assignment.is_some());
-    world.engines.change(0, |host| host.alive = true);
-    world.round(0).await;
-    world.round(0).await;
-    assert!(world.slots()["h0"].assignment.is_none());
-    assert!(world.engines.state_of(0).assignment.is_none());
+    assert!(sim.slots()["h0"].assignment.is_some());
+    sim.engines.change(0, |host| host.alive = true);
+    sim.round(0).await;
+    sim.round(0).await;
+    assert!(sim.slots()["h0"].assignment.is_none());
+    assert!(sim.engines.state_of(0).assignment.is_none());
 }
 
 /// Two hosts of two replicas die with one spare in the fabric domain. One replica is whole again;
 /// the other keeps its last host, which holds its weights, and goes on when the lost one is back.
 #[tokio::test(start_paused = true)]
-async fn short_of_spares() {
-    let mut world = formed_world().await;
-    world.engines.change(0, |host| host.alive = false);
-    world.engines.change(2, |host| host.alive = false);
+async fn fewer_spares_than_dead_hosts() {
+    let mut sim = formed_sim().await;
+    sim.engines.change(0, |host| host.alive = false);
+    sim.engines.change(2, |host| host.alive = false);
     for _ in 0..4 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert!(world.is_sound());
-    assert_eq!(world.whole(), 2);
-    world.engines.restart(2);
+    assert!(sim.is_consistent());
+    assert_eq!(sim.complete_replicas(), 2);
+    sim.engines.restart(2);
     for _ in 0..4 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert_eq!(world.whole(), REPLICAS as usize);
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
 /// One host of each replica dies with one spare. Two broken replicas could wait for their hosts
 /// for hours; one of them is taken apart, and its last host makes the other one whole.
 #[tokio::test(start_paused = true)]
-async fn broken_regrouped() {
-    let mut world = formed_world().await;
+async fn broken_replica_donates_hosts() {
+    let mut sim = formed_sim().await;
     for number in [0, 2, 4] {
-        world.engines.change(number, |host| host.alive = false);
+        sim.engines.change(number, |host| host.alive = false);
     }
     for _ in 0..6 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert!(world.is_sound());
-    assert_eq!(world.whole(), 2);
+    assert!(sim.is_consistent());
+    assert_eq!(sim.complete_replicas(), 2);
 }
 
 /// A switch restarts and a host is silent for a while, without a spare. Its replica takes no work
 /// meanwhile; nothing is loaded anew when the host is back, since it still holds its rank.
 #[tokio::test(start_paused = true)]
-async fn silent_host_back() {
-    let mut world = formed_world().await;
-    world.engines.change(HOSTS - 1, |host| host.alive = false);
-    world.engines.change(0, |host| host.alive = false);
+async fn silent_host_returns() {
+    let mut sim = formed_sim().await;
+    sim.engines.change(HOSTS - 1, |host| host.alive = false);
+    sim.engines.change(0, |host| host.alive = false);
     for _ in 0..3 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    let replica = world
-        .fleet()
-        .replica_of(&host_name(0))
-        .expect("kept")
-        .clone();
+    let replica = sim.fleet().replica_of(&host_name(0)).expect("kept").clone();
     assert!(replica.draining);
-    world.engines.change(0, |host| host.alive = true);
+    sim.engines.change(0, |host| host.alive = true);
     for _ in 0..3 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    let after = world.fleet().plan(&replica.id).expect("kept").clone();
+    let after = sim.fleet().plan(&replica.id).expect("kept").clone();
     assert!(!after.draining);
     assert_eq!(after.incarnation, replica.incarnation);
-    assert_eq!(world.whole(), REPLICAS as usize);
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
 /// The whole fabric domain goes dark: a power cut. Nothing is torn apart meanwhile, and all its
 /// replicas stand again after the hosts restarted.
 #[tokio::test(start_paused = true)]
-async fn domain_dark() {
-    let mut world = formed_world().await;
-    let before = world.fleet();
+async fn whole_fabric_outage() {
+    let mut sim = formed_sim().await;
+    let before = sim.fleet();
     for number in 0..HOSTS {
-        world.engines.change(number, |host| host.alive = false);
+        sim.engines.change(number, |host| host.alive = false);
     }
     for _ in 0..3 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert_eq!(world.fleet(), before);
+    assert_eq!(sim.fleet(), before);
     for number in 0..HOSTS {
-        world.engines.restart(number);
+        sim.engines.restart(number);
     }
     for _ in 0..4 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert_eq!(world.whole(), REPLICAS as usize);
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
 /// A host leaves. Its replica takes no new work at once, and its hosts are taken only after the
 /// last stream ended, so that no trader's answer is cut off.
 #[tokio::test(start_paused = true)]
-async fn leaving_drains() {
-    let mut world = formed_world().await;
-    world.engines.change(0, |host| host.state.load.running = 1);
-    world.hosts.send_replace(Arc::new(directory(&[1])));
-    world.round(0).await;
-    world.round(0).await;
-    let fleet = world.fleet();
+async fn leaving_host_drains_replica() {
+    let mut sim = formed_sim().await;
+    sim.engines.change(0, |host| host.state.load.running = 1);
+    sim.hosts.send_replace(Arc::new(directory(&[1])));
+    sim.round(0).await;
+    sim.round(0).await;
+    let fleet = sim.fleet();
     let plan = fleet.replica_of(&host_name(1)).expect("still there");
     assert!(plan.draining);
-    world.engines.change(0, |host| host.state.load.running = 0);
+    sim.engines.change(0, |host| host.state.load.running = 0);
     for _ in 0..4 {
-        world.round(0).await;
+        sim.round(0).await;
     }
-    assert!(world.fleet().replica_of(&host_name(1)).is_none());
-    assert_eq!(world.whole(), REPLICAS as usize);
+    assert!(sim.fleet().replica_of(&host_name(1)).is_none());
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
 /// A holder was frozen with an order on its way. It arrives after another holder gave the host to
 /// the replica's next incarnation. The host's report then contradicts the plan, and the next round
 /// orders it anew.
 #[tokio::test(start_paused = true)]
-async fn late_order() {
-    let mut world = AssemblyWorld::new(1, FaultRates::default(), false, 0).await;
-    world.round(0).await;
-    let old = world.engines.state_of(1);
-    world.engines.change(0, |host| host.alive = false);
-    world.take_over().await;
-    world.round(1).await;
-    world.round(1).await;
-    assert_eq!(world.whole(), REPLICAS as usize);
-    world.engines.change(1, |host| host.state = old);
-    assert_eq!(world.whole(), REPLICAS as usize - 1);
-    world.round(1).await;
-    assert_eq!(world.whole(), REPLICAS as usize);
+async fn late_order_is_corrected() {
+    let mut sim = AssemblySim::new(1, FaultRates::default(), false, 0).await;
+    sim.round(0).await;
+    let old = sim.engines.state_of(1);
+    sim.engines.change(0, |host| host.alive = false);
+    sim.take_over().await;
+    sim.round(1).await;
+    sim.round(1).await;
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
+    sim.engines.change(1, |host| host.state = old);
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize - 1);
+    sim.round(1).await;
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
 /// One host's engine restarts quickly, between two questions. The other ranks still wait for the
 /// one that is gone, so the replica gets a new incarnation, though all its hosts are there.
 #[tokio::test(start_paused = true)]
-async fn restart_reforms() {
-    let mut world = formed_world().await;
-    let before = world.fleet();
+async fn host_restart_reforms_replica() {
+    let mut sim = formed_sim().await;
+    let before = sim.fleet();
     let old = before.replica_of(&host_name(0)).expect("formed");
-    world.engines.restart(0);
-    world.round(0).await;
-    world.round(0).await;
-    let after = world.fleet();
+    sim.engines.restart(0);
+    sim.round(0).await;
+    sim.round(0).await;
+    let after = sim.fleet();
     let new = after.plan(&old.id).expect("the same replica");
     assert_eq!(new.hosts, old.hosts);
     assert_eq!(new.incarnation, old.incarnation.next());
-    assert_eq!(world.whole(), REPLICAS as usize);
+    assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
--- a/crates/control/tests/rules/assembly_world.rs
+++ b/crates/control/tests/rules/assembly_sim.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::dice::engine::{FakeEngines, host_address, host_name};
-use crate::dice::table::{FakeTable, FaultRates};
+use crate::sim::engine::{FakeEngines, host_address, host_name};
+use crate::sim::table::{FakeTable, FaultRates};
 use control::assembly::{AssemblyContext, AssemblySettings, FabricController, FirstHosts};
 use control::directory::HostDirectory;
 use control::lease::{EpochRow, LeaseGrant};
@@ -63,7 +63,7 @@
     view
 }
 
-pub struct AssemblyWorld {
+pub struct AssemblySim {
     pub table: FakeTable,
     pub engines: FakeEngines,
     pub hosts: watch::Sender<Arc<HostDirectory>>,
@@ -72,12 +72,12 @@
     pub epoch: u64,
 }
 
-impl AssemblyWorld {
+impl AssemblySim {
     pub async fn new(seed: u64, rates: FaultRates, fencing: bool, lost_orders: u64) -> Self {
         let table = FakeTable::new(seed, FaultRates::default());
         let hosts = watch::Sender::new(Arc::new(directory(&[])));
         let config = watch::Sender::new(Arc::new(config(1, REPLICAS, &[])));
-        let mut world = Self {
+        let mut sim = Self {
             engines: FakeEngines::new(seed, HOSTS, fencing, lost_orders),
             table,
             hosts,
@@ -85,9 +85,9 @@
             controllers: Vec::new(),
             epoch: 0,
         };
-        world.take_over().await;
-        world.table.set_rates(rates);
-        world
+        sim.take_over().await;
+        sim.table.set_rates(rates);
+        sim
     }
 
     /// A new holder; the old one keeps its grant, as if it were paused and did not know.
@@ -108,7 +108,7 @@
             .is_none_or(|found| found.value["epoch"] != serde_json::json!(self.epoch))
         {
             let _ = self.table.commit(&batch).await;
-            self.table.flush_late();
+            self.table.apply_all_late();
         }
         let grant = LeaseGrant {
             name,
@@ -142,7 +142,7 @@
 
     pub async fn round(&mut self, index: usize) {
         let (controller, grant) = &mut self.controllers[index];
-        controller.round(grant).await;
+        controller.run_round(grant).await;
     }
 
     pub fn fleet(&self) -> FabricFleet {
@@ -163,7 +163,7 @@
     }
 
     /// Every host of a replica has its slot, in the current incarnation, and stands in no other.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let fleet = self.fleet();
         let slots = self.slots();
         let mut seen = BTreeMap::new();
@@ -186,10 +186,10 @@
     }
 
     /// Replicas all of whose hosts run exactly their rank.
-    pub fn whole(&self) -> usize {
+    pub fn complete_replicas(&self) -> usize {
         let states = self.engines.states();
         let fleet = self.fleet();
-        let is_whole = |plan: &&domain::ReplicaPlan| {
+        let is_complete = |plan: &&domain::ReplicaPlan| {
             plan.hosts.iter().all(|host| {
                 let state = states.iter().find(|state| state.host == *host);
                 let assignment = state.and_then(|state| state.assignment.as_ref());
@@ -198,12 +198,12 @@
                 })
             })
         };
-        fleet.plans.iter().filter(is_whole).count()
+        fleet.plans.iter().filter(is_complete).count()
     }
 
-    pub async fn settle(&mut self) {
+    pub async fn recover(&mut self) {
         self.table.set_rates(FaultRates::default());
-        self.table.flush_late();
+        self.table.apply_all_late();
         self.engines.heal();
         for number in 0..HOSTS {
             self.engines.change(number, |host| {
--- a/crates/control/tests/rules/ledger_once.rs
+++ b/crates/control/tests/rules/at_most_once.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::dice::SeededDice;
-use crate::dice::table::{FakeTable, FaultRates};
+use crate::sim::SeededRng;
+use crate::sim::table::{FakeTable, FaultRates};
 use control::ledger::{CallLedger, ClaimKey, ClaimOutcome, LedgerSettings};
 use domain::{AttemptId, ClaimState, NodeId};
 use platform::{StoreError, TableStore};
@@ -38,20 +38,20 @@
     ledger: CallLedger<FakeTable>,
     number: usize,
     name: usize,
-    mut dice: SeededDice,
+    mut rng: SeededRng,
     runs: RunCounts,
 ) {
-    tokio::time::sleep(Duration::from_millis(dice.roll(400))).await;
+    tokio::time::sleep(Duration::from_millis(rng.below(400))).await;
     let claim = ledger.claim(key(name), attempt(number), "body".to_owned());
     // Some callers hang up before the claim is answered.
-    let patience = Duration::from_millis(if dice.chance(20) { 2 } else { 60_000 });
+    let patience = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
     let Ok(outcome) = tokio::time::timeout(patience, claim).await else {
         return;
     };
     let Ok(ClaimOutcome::Granted(ticket)) = outcome else {
         return;
     };
-    if dice.chance(25) {
+    if rng.chance(25) {
         // The connection is refused: no byte was sent.
         let _ = ledger.settle(ticket, ClaimState::NotRun).await;
         return;
@@ -61,7 +61,7 @@
         .expect("no panic inside")
         .entry(name)
         .or_default() += 1;
-    if dice.chance(20) {
+    if rng.chance(20) {
         // The answer is lost or the entry dies after it sent.
         return;
     }
@@ -73,7 +73,7 @@
     let _ = ledger.settle(ticket, answered).await;
 }
 
-fn once_under_faults(seed: u64) -> bool {
+fn at_most_once_under_faults(seed: u64) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -87,7 +87,7 @@
             down: 5,
         };
         let table = FakeTable::new(seed, rates);
-        let mut dice = SeededDice::new(seed);
+        let mut rng = SeededRng::new(seed);
         let runs = RunCounts::default();
         // Both entries have the same name, as after a restart.
         let ledgers = [
@@ -96,9 +96,9 @@
         ];
         let mut callers = Vec::new();
         for number in 0..CALLERS {
-            let ledger = ledgers[dice.index(2)].clone();
-            let name = dice.index(KEYS);
-            let own = SeededDice::new(dice.roll(u64::MAX));
+            let ledger = ledgers[rng.index(2)].clone();
+            let name = rng.index(KEYS);
+            let own = SeededRng::new(rng.below(u64::MAX));
             // Attempt numbers come back too.
             let caller = call_once(ledger, number % 5, name, own, Arc::clone(&runs));
             callers.push(tokio::spawn(caller));
@@ -109,7 +109,7 @@
         table.set_rates(FaultRates::default());
         // Background writes go on until the table takes them.
         tokio::time::sleep(Duration::from_mins(2)).await;
-        table.flush_late();
+        table.apply_all_late();
         tokio::time::sleep(Duration::from_mins(2)).await;
         let counts = runs.lock().expect("no panic inside").clone();
         for name in 0..KEYS {
@@ -139,13 +139,13 @@
     QuickCheck::new()
         .tests(400)
         .rng(Gen::from_size_and_seed(100, 5))
-        .quickcheck(once_under_faults as fn(u64) -> bool);
+        .quickcheck(at_most_once_under_faults as fn(u64) -> bool);
 }
 
 /// The market's rush brings many payments in the same moment, one of them with a key that was used
 /// before. Only that one is refused; nobody else notices.
 #[tokio::test(start_paused = true)]
-async fn conflict_alone() {
+async fn conflict_fails_only_its_row() {
     let table = FakeTable::new(1, FaultRates::default());
     let ledger = CallLedger::new(table.clone(), node("e0"));
     let first = ledger.claim(key(7), attempt(0), "one".to_owned()).await;
@@ -173,7 +173,7 @@
 /// A phone sends a payment twice in the same millisecond, so both claims meet in one transaction.
 /// One of them may send; the other is told that the call is under way.
 #[tokio::test(start_paused = true)]
-async fn twin_claims() {
+async fn simultaneous_claims() {
     let table = FakeTable::new(1, FaultRates::default());
     let ledger = CallLedger::new(table, node("e0"));
     let claims = (0..2).map(|number| ledger.claim(key(0), attempt(number), "one".to_owned()));
@@ -188,7 +188,7 @@
 /// The store is down. A trader is told at once that the payment was not run, and does not wait
 /// with a queue behind them.
 #[tokio::test(start_paused = true)]
-async fn store_down() {
+async fn table_down_fails_fast() {
     let rates = FaultRates {
         down: 100,
         ..FaultRates::default()
@@ -203,7 +203,7 @@
 /// An entry is frozen between its claim and its send, longer than a caller waits. It must not send
 /// the payment when it wakes up.
 #[tokio::test]
-async fn stale_ticket() {
+async fn expired_ticket_not_sent() {
     let table = FakeTable::new(1, FaultRates::default());
     let settings = LedgerSettings::builder().send_limit_ms(20).build();
     let ledger = CallLedger::with_settings(table.clone(), node("e0"), settings);
--- a/crates/control/tests/rules/claim_cleanup.rs
+++ b/crates/control/tests/rules/claim_cleanup.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::dice::table::{FakeTable, FaultRates};
-use control::housekeeping::{advance_log, clean_rows};
+use crate::sim::table::{FakeTable, FaultRates};
+use control::housekeeping::{advance_retention_log, delete_settled_claims};
 use control::lease::LeaseGrant;
 use control::ledger::{CallLedger, ClaimKey, ClaimOutcome, ClaimTicket};
 use domain::{ClaimState, LeaseEpoch, LeaseName};
@@ -65,7 +65,7 @@
 /// its row goes. A payment that nobody knows the outcome of keeps its row for good: its claimant
 /// may only be frozen.
 #[tokio::test(start_paused = true)]
-async fn old_receipts_go() {
+async fn old_settled_claims_deleted() {
     let table = FakeTable::new(1, FaultRates::default());
     let ledger = CallLedger::new(table.clone(), "e0".parse().expect("an id"));
     let old = claim(&ledger, "old").await;
@@ -77,19 +77,19 @@
         .expect("written");
     let _unknown = claim(&ledger, "unknown").await;
     let grant = take_lease(&table, 1).await;
-    advance_log(&table, &grant, Duration::ZERO)
+    advance_retention_log(&table, &grant, Duration::ZERO)
         .await
         .expect("written");
     let young = claim(&ledger, "young").await;
     ledger.settle(young, receipt()).await.expect("written");
-    let half = advance_log(&table, &grant, RETENTION / 2).await;
+    let half = advance_retention_log(&table, &grant, RETENTION / 2).await;
     let half = half.expect("written").expect("the lease is held");
     assert_eq!(half.older_than(RETENTION), None);
-    let whole = advance_log(&table, &grant, RETENTION / 2).await;
+    let whole = advance_retention_log(&table, &grant, RETENTION / 2).await;
     let whole = whole.expect("written").expect("the lease is held");
     let limit = whole.older_than(RETENTION).expect("old enough");
     let rows = table.rows(keys::CLAIMS);
-    let cleaned = clean_rows(&table, &grant, &rows, limit).await;
+    let cleaned = delete_settled_claims(&table, &grant, &rows, limit).await;
     assert_eq!(cleaned.expect("written"), 2);
     assert_eq!(names(&table), ["unknown", "young"]);
 }
@@ -97,18 +97,18 @@
 /// Housekeeping is frozen in the middle of a sweep, and another node takes over. When the frozen
 /// one wakes up it deletes nothing and counts no time.
 #[tokio::test(start_paused = true)]
-async fn frozen_sweep() {
+async fn paused_sweep_deletes_nothing() {
     let table = FakeTable::new(1, FaultRates::default());
     let ledger = CallLedger::new(table.clone(), "e0".parse().expect("an id"));
     let old = claim(&ledger, "old").await;
     ledger.settle(old, receipt()).await.expect("written");
-    let frozen = take_lease(&table, 1).await;
+    let paused = take_lease(&table, 1).await;
     let rows = table.rows(keys::CLAIMS);
     let limit = rows[0].version;
     take_lease(&table, 2).await;
-    let cleaned = clean_rows(&table, &frozen, &rows, limit).await;
+    let cleaned = delete_settled_claims(&table, &paused, &rows, limit).await;
     assert_eq!(cleaned.expect("answered"), 0);
-    let log = advance_log(&table, &frozen, RETENTION).await;
+    let log = advance_retention_log(&table, &paused, RETENTION).await;
     assert_eq!(log.expect("answered"), None);
     assert_eq!(names(&table), ["old"]);
 }
--- a/crates/control/tests/rules/config_load.rs
+++ b/crates/control/tests/rules/config_load.rs
@@ -46,7 +46,7 @@
     assert_eq!(state.revision(), head);
 }
 
-async fn filled(changes: u64) -> (FakeTable, ConfigSnapshot) {
+async fn filled_table(changes: u64) -> (FakeTable, ConfigSnapshot) {
     let table = FakeTable::default();
     for number in 1..=changes {
         amend(&table, number).await;
@@ -57,8 +57,8 @@
 }
 
 #[tokio::test]
-async fn only_missing_read() {
-    let (table, _) = filled(20).await;
+async fn reads_only_missing_changes() {
+    let (table, _) = filled_table(20).await;
     let objects = FakeObjects::default();
     let mut state = ConfigState::default();
     follow(&table, &objects, &mut state).await;
@@ -74,8 +74,8 @@
 // The log of a node that was away for days is compacted. It reads the snapshot and what follows
 // it; otherwise it would be out of service for good.
 #[tokio::test]
-async fn compacted_log_followed() {
-    let (table, _) = filled(5).await;
+async fn compacted_log_uses_snapshot() {
+    let (table, _) = filled_table(5).await;
     let objects = FakeObjects::default();
     let mut stale = ConfigState::default();
     follow(&table, &objects, &mut stale).await;
@@ -101,31 +101,31 @@
 // The object store loses the snapshot, or is down, while a node starts. It reads all records from
 // the table instead.
 #[tokio::test]
-async fn lost_snapshot_survived() {
-    let (table, truth) = filled(120).await;
+async fn missing_snapshot_falls_back_to_scan() {
+    let (table, expected) = filled_table(120).await;
     let objects = FakeObjects::default();
-    publish_snapshot(&table, &objects, &truth, 10, "e1")
+    publish_snapshot(&table, &objects, &expected, 10, "e1")
         .await
         .expect("published");
     objects.clear();
     let mut state = ConfigState::default();
     follow(&table, &objects, &mut state).await;
-    assert_eq!(state.snapshot(), truth);
+    assert_eq!(state.snapshot(), expected);
 }
 
 #[tokio::test]
-async fn snapshots_race() {
-    let (table, truth) = filled(150).await;
+async fn concurrent_snapshots() {
+    let (table, expected) = filled_table(150).await;
     let objects = FakeObjects::default();
     let (first, second) = tokio::join!(
-        publish_snapshot(&table, &objects, &truth, 30, "e1"),
-        publish_snapshot(&table, &objects, &truth, 30, "e2")
+        publish_snapshot(&table, &objects, &expected, 30, "e1"),
+        publish_snapshot(&table, &objects, &expected, 30, "e2")
     );
     assert!(first.is_ok() && second.is_ok());
     assert!(table.keys(keys::CONFIG_LOG).len() >= 30);
     let mut state = ConfigState::default();
     follow(&table, &objects, &mut state).await;
-    assert_eq!(state.snapshot(), truth);
+    assert_eq!(state.snapshot(), expected);
     assert_eq!(state.revision(), ConfigRevision(150));
 }
 
@@ -133,7 +133,7 @@
 // work under the older head would miss the other half for good.
 #[tokio::test]
 async fn scan_is_consistent() {
-    let (table, _) = filled(100).await;
+    let (table, _) = filled_table(100).await;
     let objects = FakeObjects::default();
     for round in 0..20 {
         let head = config_head(&table).await.expect("a head");
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -66,11 +66,11 @@
         }
         let mut deliveries = Vec::new();
         for _ in 0..source.size() {
-            let place = usize::arbitrary(source) % history.len();
+            let index = usize::arbitrary(source) % history.len();
             if u8::arbitrary(source).is_multiple_of(5) {
-                deliveries.push(Delivery::Snapshot(place));
+                deliveries.push(Delivery::Snapshot(index));
             } else {
-                deliveries.push(Delivery::Change(place));
+                deliveries.push(Delivery::Change(index));
             }
         }
         Self {
@@ -82,7 +82,7 @@
 
 impl ConfigRun {
     /// The configuration after the first changes, by replaying them in order.
-    fn truth(&self, changes: u64) -> ConfigSnapshot {
+    fn expected(&self, changes: u64) -> ConfigSnapshot {
         let mut state = ConfigState::default();
         for change in &self.history {
             if change.revision.0 > changes {
@@ -95,27 +95,27 @@
 
     fn deliver(&self, state: &mut ConfigState, delivery: Delivery) {
         match delivery {
-            Delivery::Change(place) => {
-                state.apply_change(self.history[place].clone());
+            Delivery::Change(index) => {
+                state.apply_change(self.history[index].clone());
             }
-            Delivery::Snapshot(place) => {
-                let revision = self.history[place].revision.0;
-                state.apply_snapshot(self.truth(revision));
+            Delivery::Snapshot(index) => {
+                let revision = self.history[index].revision.0;
+                state.apply_snapshot(self.expected(revision));
             }
         }
     }
 }
 
 #[test]
-fn never_reverts() {
+fn revision_never_decreases() {
     fn property(run: ConfigRun) -> bool {
         let mut state = ConfigState::default();
         for delivery in &run.deliveries {
             let before = state.revision();
             run.deliver(&mut state, *delivery);
-            let fine =
-                state.revision() >= before && state.snapshot() == run.truth(state.revision().0);
-            if !fine {
+            let consistent =
+                state.revision() >= before && state.snapshot() == run.expected(state.revision().0);
+            if !consistent {
                 return false;
             }
         }
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn changes_pass_on() {
+fn changes_relay_to_peers() {
     fn property(run: ConfigRun) -> bool {
         let mut ahead = ConfigState::default();
         let mut behind = ConfigState::default();
@@ -144,7 +144,7 @@
                     return false;
                 }
             }
-            if behind.snapshot() != run.truth(behind.revision().0) {
+            if behind.snapshot() != run.expected(behind.revision().0) {
                 return false;
             }
         }
@@ -156,7 +156,7 @@
 #[test]
 fn unknown_schema_listed() {
     fn property(run: ConfigRun) -> bool {
-        let snapshot = run.truth(run.history.len() as u64);
+        let snapshot = run.expected(run.history.len() as u64);
         let unknown = snapshot
             .records
             .iter()
@@ -187,7 +187,7 @@
                 reachable: usize::arbitrary(source) % (roster_size + 1),
                 roster_size,
             },
-            reach_held: tenths(source),
+            majority_held: tenths(source),
         })
     }
 }
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn starter_settles() {
+fn starting_node_waits_for_settle() {
     fn property(step: ReadinessStep) -> bool {
         let facts = ReadinessFacts {
             served: false,
@@ -226,7 +226,7 @@
         let confirmed = facts
             .confirmed_age
             .is_some_and(|age| age <= POLICY.confirm_limit);
-        let early = facts.reach_held < POLICY.settle;
+        let early = facts.majority_held < POLICY.settle;
         confirmed || !early || !POLICY.evaluate(&facts).serves()
     }
     check(property as fn(ReadinessStep) -> bool);
--- a/crates/control/tests/rules/evidence_store.rs
+++ b/crates/control/tests/rules/evidence_store.rs
@@ -29,21 +29,21 @@
 /// evidence store is always the newest observation of the highest incarnation; otherwise an old
 /// "whole" would open the gate to a replica that lost a host since.
 #[test]
-fn newest_stands() {
-    fn holds(pieces: Vec<(u8, bool, u16)>) -> bool {
+fn newest_observation_wins() {
+    fn property(observations: Vec<(u8, bool, u16)>) -> bool {
         let evidence_store = EvidenceStore::default();
         let start = Instant::now();
         let mut newest: Option<(u64, Duration, bool)> = None;
-        for (incarnation, whole, age) in pieces {
+        for (incarnation, whole, age) in observations {
             let incarnation = u64::from(incarnation % 3);
             // Whole seconds, so that the test's own run time does not matter.
             let age = Duration::from_secs(u64::from(age));
             evidence_store.record(evidence(incarnation, whole, age));
             // The same age at a later moment is a newer observation.
-            let better = newest.is_none_or(|(known, known_age, _)| {
+            let newer = newest.is_none_or(|(known, known_age, _)| {
                 incarnation > known || (incarnation == known && age <= known_age)
             });
-            if better {
+            if newer {
                 newest = Some((incarnation, age, whole));
             }
         }
@@ -62,13 +62,13 @@
     QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(40, 13))
-        .quickcheck(holds as fn(Vec<(u8, bool, u16)>) -> bool);
+        .quickcheck(property as fn(Vec<(u8, bool, u16)>) -> bool);
 }
 
 /// Evidence grows older while it lies in the store, and is passed on with its age of that moment;
 /// a peer can't make it look fresh.
 #[test]
-fn ages_go_on() {
+fn age_keeps_growing() {
     let evidence_store = EvidenceStore::default();
     let age = Duration::from_secs(2);
     evidence_store.record(evidence(1, true, age));
--- a/crates/control/tests/rules/host_moves.rs
+++ b/crates/control/tests/rules/host_reassignment.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use control::assembly::{AssemblySettings, FabricHealth, HostHealth, HostOrder, wanted_orders};
+use control::assembly::{AssemblySettings, FabricHealth, HostHealth, HostOrder, required_orders};
 use control::directory::HostDirectory;
 use domain::replica::ReplicaRole;
 use domain::{
@@ -75,17 +75,17 @@
 }
 
 fn plan(replica: &str, members: &[&str]) -> ReplicaPlan {
-    let like = assignment(replica, members, 0);
+    let template = assignment(replica, members, 0);
     ReplicaPlan {
-        id: like.replica,
-        incarnation: like.incarnation,
-        epoch: like.epoch,
+        id: template.replica,
+        incarnation: template.incarnation,
+        epoch: template.epoch,
         fabric: "f0".parse().expect("an id"),
         hosts: members.iter().map(|name| host(name)).collect(),
-        model: like.model,
-        version: like.version,
+        model: template.model,
+        version: template.version,
         adapters: Vec::new(),
-        role: like.role,
+        role: template.role,
         draining: false,
     }
 }
@@ -113,25 +113,25 @@
         reported("h1", Some(assignment("r0", &members, 1))),
     ]);
     let directory = directory(&members);
-    let orders = wanted_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
+    let orders = required_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
     assert_eq!(emptied(&orders), ["h0"]);
 
     hosts.extend([reported("h0", None)]);
-    let orders = wanted_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
+    let orders = required_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
     assert_eq!(emptied(&orders), ["h1"]);
 }
 
 /// The leader of a dissolved replica is silent. It may still answer callers, so the others wait
 /// until it counts as lost.
 #[test]
-fn silent_leader_waited_for() {
+fn silent_leader_blocks_emptying() {
     let members = ["h0", "h1"];
     let mut hosts = BTreeMap::from([
         (host("h0"), HostHealth::default()),
         reported("h1", Some(assignment("r0", &members, 1))),
     ]);
     let directory = directory(&members);
-    let orders = wanted_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
+    let orders = required_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
     assert_eq!(orders, []);
 
     hosts.insert(
@@ -141,20 +141,20 @@
             ..HostHealth::default()
         },
     );
-    let orders = wanted_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
+    let orders = required_orders(&fleet(Vec::new()), &hosts, &directory, LOADS_AT_ONCE);
     assert_eq!(emptied(&orders), ["h1"]);
 }
 
 /// A late order of a paused controller took a host back into its old replica. It must not be
 /// ordered across: an entry with evidence of the old replica would find it whole for a moment.
 #[test]
-fn strayed_host_emptied() {
+fn misassigned_host_emptied() {
     let hosts = BTreeMap::from([
         reported("h1", Some(assignment("r0", &["h0", "h1"], 1))),
         reported("h2", Some(assignment("r1", &["h2", "h1"], 0))),
     ]);
     let fleet = fleet(vec![plan("r1", &["h2", "h1"])]);
-    let orders = wanted_orders(&fleet, &hosts, &directory(&["h1", "h2"]), LOADS_AT_ONCE);
+    let orders = required_orders(&fleet, &hosts, &directory(&["h1", "h2"]), LOADS_AT_ONCE);
     assert_eq!(emptied(&orders), ["h1"]);
     assert_eq!(orders.len(), 1);
 }
@@ -162,7 +162,7 @@
 /// The host is empty again. It rests for longer than any entry trusts old evidence, and only then
 /// joins its own replica.
 #[test]
-fn strayed_host_rests() {
+fn misassigned_host_cools_down() {
     let settings = AssemblySettings::default();
     let mut health = FabricHealth::default();
     let used = HostSlot {
@@ -174,21 +174,24 @@
     let directory = directory(&["h1"]);
     let start = Instant::now();
 
-    let mut strayed = BTreeMap::from([reported("h1", Some(assignment("r0", &["h1"], 0)))]);
-    health.note_empty(&mut strayed, &slots, settings, start);
+    let mut misassigned = BTreeMap::from([reported("h1", Some(assignment("r0", &["h1"], 0)))]);
+    health.update_cooldown(&mut misassigned, &slots, settings, start);
 
     let orders_after = |health: &mut FabricHealth, passed: Duration| {
         let mut hosts = BTreeMap::from([reported("h1", None)]);
-        health.note_empty(&mut hosts, &slots, settings, start + passed);
-        wanted_orders(&fleet, &hosts, &directory, LOADS_AT_ONCE).len()
+        health.update_cooldown(&mut hosts, &slots, settings, start + passed);
+        required_orders(&fleet, &hosts, &directory, LOADS_AT_ONCE).len()
     };
     assert_eq!(orders_after(&mut health, Duration::from_secs(1)), 0);
-    let rest = Duration::from_millis(settings.rest_ms);
-    assert_eq!(orders_after(&mut health, rest + Duration::from_secs(1)), 1);
+    let cooldown = Duration::from_millis(settings.rest_ms);
+    assert_eq!(
+        orders_after(&mut health, cooldown + Duration::from_secs(1)),
+        1
+    );
 }
 
 #[test]
-fn new_host_needs_no_rest() {
+fn new_host_needs_no_cooldown() {
     let mut health = FabricHealth::default();
     let mut hosts = BTreeMap::from([reported("h1", None), reported("h2", None)]);
     let used = HostSlot {
@@ -198,21 +201,21 @@
     let slots: FastMap<HostId, HostSlot> = [(host("h1"), HostSlot::default()), (host("h2"), used)]
         .into_iter()
         .collect();
-    health.note_empty(
+    health.update_cooldown(
         &mut hosts,
         &slots,
         AssemblySettings::default(),
         Instant::now(),
     );
-    assert!(!hosts[&host("h1")].resting);
-    assert!(hosts[&host("h2")].resting);
+    assert!(!hosts[&host("h1")].cooling_down);
+    assert!(hosts[&host("h2")].cooling_down);
 }
 
 /// A host was lost and its replica went on without it, under a new incarnation and with the same
 /// leader. When the host wakes up with its old rank it must be emptied, though the leader runs; it
 /// would otherwise stay stranded for ever.
 #[test]
-fn woken_host_emptied() {
+fn returning_host_emptied() {
     let mut newer = assignment("r0", &["h0", "h2"], 0);
     newer.incarnation = IncarnationNumber(2);
     let hosts = BTreeMap::from([
@@ -222,6 +225,6 @@
     let mut next = plan("r0", &["h0", "h2"]);
     next.incarnation = IncarnationNumber(2);
     let directory = directory(&["h0", "h1"]);
-    let orders = wanted_orders(&fleet(vec![next]), &hosts, &directory, LOADS_AT_ONCE);
+    let orders = required_orders(&fleet(vec![next]), &hosts, &directory, LOADS_AT_ONCE);
     assert_eq!(emptied(&orders), ["h1"]);
 }
