--- a/crates/control/tests/rules/lease_fencing.rs
+++ b/crates/control/tests/rules/lease_fencing.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use crate::dice::SeededDice;
-use crate::dice::table::{FakeTable, FaultRates};
+use crate::sim::SeededRng;
+use crate::sim::table::{FakeTable, FaultRates};
 use control::lease::{
-    EpochRow, LeaseGrant, LeasePlace, LeaseSettings, LeaseStep, LeaseTracker, start_keeper,
+    CandidateRank, EpochRow, LeaseGrant, LeaseSettings, LeaseStep, LeaseTracker, start_lease_actor,
 };
 use domain::{LeaseName, LeaseRecord, NodeId, RowVersion};
 use events::EventRecorder;
@@ -41,9 +41,9 @@
 }
 
 /// An answer that is on its way to a process.
-struct ComingAnswer {
+struct PendingResponse {
     term: LeaseRecord,
-    takes: bool,
+    acquires: bool,
     version: RowVersion,
     started: Instant,
 }
@@ -51,22 +51,22 @@
 struct LeaseProcess {
     tracker: LeaseTracker,
     paused_until: Instant,
-    answer: Option<ComingAnswer>,
+    response: Option<PendingResponse>,
     decided: Option<DecidedStep>,
     /// Writes prepared under a grant, which leave the process at any later time.
     writes: Vec<WriteBatch>,
 }
 
 /// Three processes on one clock, which is the table's truth; none of them reads another's.
-struct LeaseWorld {
+struct LeaseSim {
     table: FakeTable,
-    dice: SeededDice,
+    rng: SeededRng,
     now: Instant,
     processes: Vec<LeaseProcess>,
     tokens: usize,
 }
 
-impl LeaseWorld {
+impl LeaseSim {
     fn new(seed: u64) -> Self {
         let rates = FaultRates {
             lost_before: 5,
@@ -82,14 +82,14 @@
                     settings(),
                 ),
                 paused_until: Instant::now(),
-                answer: None,
+                response: None,
                 decided: None,
                 writes: Vec::new(),
             })
             .collect();
         Self {
             table: FakeTable::new(seed, rates),
-            dice: SeededDice::new(seed),
+            rng: SeededRng::new(seed),
             now: Instant::now(),
             processes,
             tokens: 0,
@@ -128,9 +128,9 @@
             RowRead::Found(row) => RowExpectation::Version(row.version),
             RowRead::Absent | RowRead::Unchanged => RowExpectation::Absent,
         };
-        let place = LeasePlace(u32::try_from(index).expect("small"));
+        let rank = CandidateRank(u32::try_from(index).expect("small"));
         let process = &mut self.processes[index];
-        let step = process.tracker.next_step(Some(place), self.now);
+        let step = process.tracker.next_step(Some(rank), self.now);
         let expect = process
             .tracker
             .version()
@@ -147,19 +147,19 @@
             return;
         };
         let started = self.now;
-        let (term, takes) = match decided.step {
+        let (term, acquires) = match decided.step {
             LeaseStep::Wait => return,
             LeaseStep::Renew(term) => (term, false),
-            LeaseStep::Take(term) => (term, true),
+            LeaseStep::Acquire(term) => (term, true),
             LeaseStep::Release(term) => {
-                self.processes[index].tracker.note_lost();
+                self.processes[index].tracker.record_lost();
                 (term, false)
             }
         };
         let value = serde_json::to_value(&term).expect("a value");
         let key = keys::lease_key(&lease());
         let mut batch = WriteBatch::new(self.next_token()).put(key, decided.expect, value);
-        if takes {
+        if acquires {
             let row = EpochRow {
                 epoch: term.epoch,
                 holder: term.holder.clone().expect("a holder"),
@@ -168,29 +168,29 @@
             batch = batch.put(keys::epoch_key(&lease()), decided.epoch_expect, value);
         }
         let outcome = self.table.commit(&batch).await;
-        let wait = Duration::from_millis(self.dice.roll(7_000));
+        let wait = Duration::from_millis(self.rng.below(7_000));
         let process = &mut self.processes[index];
         process.paused_until = self.now + wait;
         if let Ok(CommitOutcome::Committed(version)) = outcome {
-            process.answer = Some(ComingAnswer {
+            process.response = Some(PendingResponse {
                 term,
-                takes,
+                acquires,
                 version,
                 started,
             });
         }
     }
 
-    fn take_answer(&mut self, index: usize) {
+    fn receive_response(&mut self, index: usize) {
         let process = &mut self.processes[index];
-        let Some(answer) = process.answer.take() else {
+        let Some(response) = process.response.take() else {
             return;
         };
         let tracker = &mut process.tracker;
-        if answer.takes {
-            tracker.note_taken(answer.term, answer.version, answer.started);
-        } else if answer.term.holder.is_some() {
-            tracker.note_renewed(answer.term, answer.version, answer.started);
+        if response.acquires {
+            tracker.record_acquired(response.term, response.version, response.started);
+        } else if response.term.holder.is_some() {
+            tracker.record_renewed(response.term, response.version, response.started);
         }
     }
 
@@ -199,7 +199,7 @@
         let Some(grant) = grant else { return };
         let value = serde_json::json!({ "epoch": grant.epoch });
         let batch = WriteBatch::new(self.next_token()).put(LOG, RowExpectation::Any, value);
-        self.processes[index].writes.push(grant.guard(batch));
+        self.processes[index].writes.push(grant.fence(batch));
     }
 
     /// Sends any write that was prepared at any time.
@@ -208,8 +208,8 @@
         if count == 0 {
             return;
         }
-        let place = self.dice.index(count);
-        let batch = self.processes[index].writes.swap_remove(place);
+        let rank = self.rng.index(count);
+        let batch = self.processes[index].writes.swap_remove(rank);
         let _ = self.table.commit(&batch).await;
     }
 
@@ -235,17 +235,17 @@
     async fn run(mut self) -> bool {
         let mut granted = 0;
         for _ in 0..STEPS {
-            let index = self.dice.index(NODES);
-            self.now += Duration::from_millis(self.dice.roll(400));
+            let index = self.rng.index(NODES);
+            self.now += Duration::from_millis(self.rng.below(400));
             if self.processes[index].paused_until > self.now {
                 continue;
             }
-            self.take_answer(index);
-            if self.dice.chance(4) {
-                let pause = Duration::from_millis(self.dice.roll(20_000));
+            self.receive_response(index);
+            if self.rng.chance(4) {
+                let pause = Duration::from_millis(self.rng.below(20_000));
                 self.processes[index].paused_until = self.now + pause;
             }
-            match self.dice.roll(6) {
+            match self.rng.below(6) {
                 0 | 1 => self.observe(index).await,
                 2 => self.decide(index).await,
                 3 => self.send(index).await,
@@ -263,31 +263,31 @@
     }
 }
 
-fn one_holder(seed: u64) -> bool {
+fn lease_invariants_hold(seed: u64) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
-    runtime.block_on(LeaseWorld::new(seed).run())
+    runtime.block_on(LeaseSim::new(seed).run())
 }
 
 /// Nodes pause between any two steps while the table answers late, never or twice. If two of them
 /// acted for one fabric domain, its hosts would be torn between two replicas and a trader's answer
 /// would break off.
 #[test]
-fn one_holder_only() {
+fn at_most_one_holder() {
     QuickCheck::new()
         .tests(300)
         .rng(Gen::from_size_and_seed(100, 11))
-        .quickcheck(one_holder as fn(u64) -> bool);
+        .quickcheck(lease_invariants_hold as fn(u64) -> bool);
 }
 
-fn keeper(
+fn start_node(
     table: &FakeTable,
     node: &str,
-    place: u32,
+    rank: u32,
 ) -> (
     control::lease::LeaseHandle<FakeTable>,
-    watch::Sender<Option<LeasePlace>>,
+    watch::Sender<Option<CandidateRank>>,
 ) {
     let settings = LeaseSettings::builder()
         .ttl_ms(600)
@@ -296,9 +296,9 @@
         .build();
     let holder: NodeId = node.parse().expect("an id");
     let tracker = LeaseTracker::new(lease(), holder.clone(), settings);
-    let (sender, places) = watch::channel(Some(LeasePlace(place)));
+    let (sender, ranks) = watch::channel(Some(CandidateRank(rank)));
     let recorder = EventRecorder::new(holder, 100);
-    let handle = start_keeper(table.clone(), tracker, settings, places, recorder);
+    let handle = start_lease_actor(table.clone(), tracker, settings, ranks, recorder);
     (handle, sender)
 }
 
@@ -312,16 +312,16 @@
 /// An entry stops gracefully. Another takes its leases over without waiting for them to run out,
 /// so that a host lost in that moment is replaced as fast as ever.
 #[tokio::test]
-async fn released_lease() {
+async fn released_lease_acquired_at_once() {
     let table = FakeTable::new(3, FaultRates::default());
-    let (first, _first_place) = keeper(&table, "n0", 0);
+    let (first, _first_rank) = start_node(&table, "n0", 0);
     let grant = granted(&mut first.grants()).await;
-    let (second, _second_place) = keeper(&table, "n1", 1);
+    let (second, _second_rank) = start_node(&table, "n1", 1);
     first.release().await;
     assert!(first.grants().borrow().is_none());
     let next = granted(&mut second.grants()).await;
     assert_eq!(next.epoch, grant.epoch.next());
-    let late = grant.guard(WriteBatch::new(token(1)).put(
+    let late = grant.fence(WriteBatch::new(token(1)).put(
         LOG,
         RowExpectation::Any,
         serde_json::Value::Null,
@@ -333,9 +333,9 @@
 /// The table goes away for longer than the lease lasts. The holder stops acting by itself, and
 /// acts again under the same or a newer epoch when the table is back.
 #[tokio::test]
-async fn table_away() {
+async fn table_outage_ends_grant() {
     let table = FakeTable::new(3, FaultRates::default());
-    let (handle, _place) = keeper(&table, "n0", 0);
+    let (handle, _rank) = start_node(&table, "n0", 0);
     let mut grants = handle.grants();
     let grant = granted(&mut grants).await;
     let down = FaultRates {
@@ -355,9 +355,9 @@
 
 /// A renewal must not fail the holder's own transactions, or one round in six would be lost.
 #[tokio::test]
-async fn renewals_spare_writes() {
+async fn renewals_keep_fenced_writes() {
     let table = FakeTable::new(3, FaultRates::default());
-    let (handle, _place) = keeper(&table, "n0", 0);
+    let (handle, _rank) = start_node(&table, "n0", 0);
     let grant = granted(&mut handle.grants()).await;
     let before = table
         .row(&keys::lease_key(&lease()))
@@ -369,6 +369,6 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let batch = WriteBatch::new(token(1)).put(LOG, RowExpectation::Any, serde_json::Value::Null);
-    let outcome = table.commit(&grant.guard(batch)).await.expect("well");
+    let outcome = table.commit(&grant.fence(batch)).await.expect("well");
     assert!(matches!(outcome, CommitOutcome::Committed(RowVersion(_))));
 }
--- a/crates/control/tests/rules/main.rs
+++ b/crates/control/tests/rules/main.rs
@@ -1,17 +1,17 @@
 //! Tests of the real aggregates and state machines of control, over fakes in memory.
 
+mod allowed_drains;
 mod assembly_rounds;
-mod assembly_world;
+mod assembly_sim;
+mod at_most_once;
 mod claim_cleanup;
 mod config_load;
 mod config_state;
-mod dice;
-mod drain_room;
 mod evidence_store;
 mod fake;
-mod host_moves;
+mod host_reassignment;
 mod lease_fencing;
-mod ledger_once;
 mod member_state;
 mod record_amend;
-mod store_share;
+mod sim;
+mod table_budget;
--- a/crates/control/tests/rules/member_state.rs
+++ b/crates/control/tests/rules/member_state.rs
@@ -88,7 +88,7 @@
 // A node that left is brought back by a late digest; watchers are then chosen that do not exist,
 // and replicas go without evidence.
 #[test]
-fn left_stays_gone() {
+fn left_node_stays_removed() {
     fn property(steps: Vec<MemberStep>) -> bool {
         let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
@@ -113,7 +113,7 @@
 // Nodes that hear nothing must not shrink their roster by themselves: the small side of a
 // partition would take itself for the majority.
 #[test]
-fn silence_keeps_roster() {
+fn silence_keeps_roster_size() {
     fn property(steps: Vec<MemberStep>) -> bool {
         let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
@@ -130,7 +130,7 @@
 
 // The same heartbeat heard again and again, from a buffer or by a detour, is no sign of life.
 #[test]
-fn repeats_prove_nothing() {
+fn repeated_heartbeats_ignored() {
     fn property(steps: Vec<MemberStep>) -> bool {
         let mut state = MemberState::new(member(0), TIMEOUTS);
         let mut now = Instant::now();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn order_is_free() {
+fn heartbeat_order_irrelevant() {
     fn property(steps: Vec<MemberStep>) -> bool {
         let now = Instant::now();
         let hears: Vec<_> = steps
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -2,7 +2,7 @@
 
 use crate::fake::{CommitFault, FakeTable};
 use control::amend::{AmendError, StoredRecord};
-use control::history::{AmendFate, amendment_fate, config_head, get_record};
+use control::history::{AmendmentStatus, amendment_status, config_head, get_record};
 use control::{AmendOutcome, Expect, RecordAmendment, amend_record};
 use domain::ConfigRevision;
 use domain::record::RecordKind;
@@ -39,7 +39,7 @@
 // Two operators amend the same record at the same moment. One is accepted; the other learns who
 // was faster and with what, instead of taking his own record for the one in force.
 #[tokio::test]
-async fn operators_race() {
+async fn concurrent_amendments() {
     for round in 0..50 {
         let table = FakeTable::default();
         let first = amendment("c", 2, share(1), &format!("a{round}"));
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn others_retried() {
+async fn other_records_retried() {
     let table = FakeTable::default();
     let tasks: Vec<_> = (0..16)
         .map(|number| {
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn expectation_kept() {
+async fn expectation_checked() {
     let table = FakeTable::default();
     let mut next = amendment("c", 2, share(1), "t1");
     next.expect = Expect::Revision(ConfigRevision(7));
@@ -106,7 +106,7 @@
 // The table takes an amendment and its answer is lost. The operator would amend again and take
 // the conflict with himself for another operator's work; the change log tells that it was his.
 #[tokio::test(start_paused = true)]
-async fn lost_answer_settled() {
+async fn lost_response_settled() {
     for faults in [
         vec![CommitFault::LoseAnswer],
         vec![CommitFault::LoseWrite, CommitFault::LoseAnswer],
@@ -147,7 +147,7 @@
 // Every answer is lost, the amendment takes effect long after the operator's client gave up. The
 // client says that it does not know; what it names tells the outcome afterwards.
 #[tokio::test(start_paused = true)]
-async fn late_write_found() {
+async fn late_write_accepted() {
     let table = FakeTable::default();
     table.set_faults(&[CommitFault::Delay; 5]);
     let outcome = amend_record(&table, &amendment("c", 2, share(3), "t")).await;
@@ -157,14 +157,17 @@
     else {
         panic!("{outcome:?}");
     };
-    let fate = |table: FakeTable| async move {
-        amendment_fate(&table, revision, token.as_str())
+    let status = |table: FakeTable| async move {
+        amendment_status(&table, revision, token.as_str())
             .await
             .expect("readable")
     };
-    assert_eq!(fate.clone()(table.clone()).await, AmendFate::Open);
+    assert_eq!(
+        status.clone()(table.clone()).await,
+        AmendmentStatus::Pending
+    );
     table.deliver();
-    assert_eq!(fate(table.clone()).await, AmendFate::Accepted);
+    assert_eq!(status(table.clone()).await, AmendmentStatus::Accepted);
     assert_eq!(config_head(&table).await.expect("a head").0, 1);
 }
 
@@ -189,8 +192,8 @@
     table.deliver();
     let record = stored(&table, "c").await.expect("there").record;
     assert_eq!(record.spec["share"], 4);
-    let fate = amendment_fate(&table, revision, token.as_str()).await;
-    assert_eq!(fate.expect("readable"), AmendFate::NotAccepted);
+    let status = amendment_status(&table, revision, token.as_str()).await;
+    assert_eq!(status.expect("readable"), AmendmentStatus::NotAccepted);
 }
 
 // A client that knows schema version 1 alone reads a customer, does not see its share, and writes
@@ -198,17 +201,17 @@
 #[tokio::test]
 async fn old_schema_refused() {
     let table = FakeTable::default();
-    let rich = amend_record(&table, &amendment("c", 2, share(4), "t1")).await;
-    assert!(matches!(rich, Ok(AmendOutcome::Accepted(_))));
-    let poor = json!({ "key_hashes": [], "models": [] });
-    let outcome = amend_record(&table, &amendment("c", 1, poor.clone(), "t2")).await;
+    let with_share = amend_record(&table, &amendment("c", 2, share(4), "t1")).await;
+    assert!(matches!(with_share, Ok(AmendOutcome::Accepted(_))));
+    let without_share = json!({ "key_hashes": [], "models": [] });
+    let outcome = amend_record(&table, &amendment("c", 1, without_share.clone(), "t2")).await;
     let Ok(AmendOutcome::Refused(findings)) = outcome else {
         panic!("{outcome:?}");
     };
     assert_eq!(findings.as_slice()[0].path, "spec.share");
-    let plain = amend_record(&table, &amendment("c", 2, share(1), "t3")).await;
-    assert!(matches!(plain, Ok(AmendOutcome::Accepted(_))));
-    let outcome = amend_record(&table, &amendment("c", 1, poor, "t4")).await;
+    let default_share = amend_record(&table, &amendment("c", 2, share(1), "t3")).await;
+    assert!(matches!(default_share, Ok(AmendOutcome::Accepted(_))));
+    let outcome = amend_record(&table, &amendment("c", 1, without_share, "t4")).await;
     assert!(
         matches!(outcome, Ok(AmendOutcome::Accepted(_))),
         "{outcome:?}"
--- a/crates/control/tests/rules/dice/engine.rs
+++ b/crates/control/tests/rules/sim/engine.rs
@@ -11,7 +11,7 @@
 use web::ClientError;
 use wire::engine::{EngineLoad, EngineOrder, EngineState, ResumeOrder, StreamEvent, StreamOrder};
 
-use super::SeededDice;
+use super::SeededRng;
 
 /// One engine.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct EnginesInner {
     hosts: BTreeMap<SocketAddr, FakeHost>,
-    dice: SeededDice,
+    rng: SeededRng,
     fencing: bool,
     lost_orders: u64,
     late: Vec<(SocketAddr, EngineOrder)>,
@@ -61,7 +61,7 @@
         }
         let inner = EnginesInner {
             hosts,
-            dice: SeededDice::new(seed ^ 0x5bd1_e995),
+            rng: SeededRng::new(seed ^ 0x5bd1_e995),
             fencing,
             lost_orders,
             late: Vec::new(),
@@ -114,7 +114,7 @@
     }
 
     /// Delivers one late order, if there is any.
-    pub fn deliver_late(&self) {
+    pub fn deliver_late_order(&self) {
         let mut inner = self.inner();
         if let Some((address, order)) = inner.late.pop() {
             inner.follow(address, order);
@@ -184,8 +184,8 @@
         tokio::task::yield_now().await;
         let mut inner = self.inner();
         let lost_orders = inner.lost_orders;
-        if inner.dice.chance(lost_orders) {
-            if inner.dice.chance(50) {
+        if inner.rng.chance(lost_orders) {
+            if inner.rng.chance(50) {
                 inner.late.push((address, order.clone()));
             }
             return Err(ClientError::TimedOut(address));
--- a/crates/control/tests/rules/dice/mod.rs
+++ b/crates/control/tests/rules/sim/mod.rs
@@ -5,29 +5,29 @@
 
 /// A small generator, so that one seed tells a whole run.
 #[derive(Debug, Clone)]
-pub struct SeededDice(u64);
+pub struct SeededRng(u64);
 
-impl SeededDice {
+impl SeededRng {
     /// Dice from a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// A number below `sides`.
-    pub fn roll(&mut self, sides: u64) -> u64 {
+    /// A number below `bound`.
+    pub fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) % sides
+        self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) % bound
     }
 
     /// An index below `len`.
     pub fn index(&mut self, len: usize) -> usize {
-        usize::try_from(self.roll(len as u64)).expect("small")
+        usize::try_from(self.below(len as u64)).expect("small")
     }
 
     /// True in `percent` of a hundred cases.
     pub fn chance(&mut self, percent: u64) -> bool {
-        self.roll(100) < percent
+        self.below(100) < percent
     }
 }
--- a/crates/control/tests/rules/dice/table.rs
+++ b/crates/control/tests/rules/sim/table.rs
@@ -6,7 +6,7 @@
 use platform::{CommitOutcome, RowRead, StoreError, TableRow, TableStore, WriteBatch};
 use standin::rows::MemoryRows;
 
-use super::SeededDice;
+use super::SeededRng;
 
 /// Faults in percent of the commits.
 #[derive(Debug, Clone, Copy, Default)]
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct TableInner {
     rows: MemoryRows,
-    dice: SeededDice,
+    rng: SeededRng,
     rates: FaultRates,
     late: Vec<WriteBatch>,
     commits: usize,
@@ -41,7 +41,7 @@
     pub fn new(seed: u64, rates: FaultRates) -> Self {
         let inner = TableInner {
             rows: MemoryRows::default(),
-            dice: SeededDice::new(seed),
+            rng: SeededRng::new(seed),
             rates,
             late: Vec::new(),
             commits: 0,
@@ -76,7 +76,7 @@
     }
 
     /// Lets every write that is under way take effect or fail.
-    pub fn flush_late(&self) {
+    pub fn apply_all_late(&self) {
         let mut inner = self.inner();
         while let Some(batch) = inner.late.pop() {
             let _ = inner.rows.commit(&batch);
@@ -85,11 +85,11 @@
 }
 
 impl TableInner {
-    fn land_some_late(&mut self) {
-        if self.late.is_empty() || !self.dice.chance(30) {
+    fn apply_late_commits(&mut self) {
+        if self.late.is_empty() || !self.rng.chance(30) {
             return;
         }
-        let index = self.dice.index(self.late.len());
+        let index = self.rng.index(self.late.len());
         let batch = self.late.swap_remove(index);
         let _ = self.rows.commit(&batch);
     }
@@ -103,9 +103,9 @@
     async fn read(&self, key: &str, known: Option<RowVersion>) -> Result<RowRead, StoreError> {
         tokio::task::yield_now().await;
         let mut inner = self.inner();
-        inner.land_some_late();
+        inner.apply_late_commits();
         let down = inner.rates.down;
-        if inner.dice.chance(down) {
+        if inner.rng.chance(down) {
             return Err(StoreError::Unavailable("the test's outage".to_owned()));
         }
         Ok(inner.rows.read(key, known))
@@ -120,20 +120,20 @@
         tokio::task::yield_now().await;
         let mut inner = self.inner();
         inner.commits += 1;
-        inner.land_some_late();
+        inner.apply_late_commits();
         let rates = inner.rates;
-        if inner.dice.chance(rates.down) {
+        if inner.rng.chance(rates.down) {
             return Err(StoreError::Unavailable("the test's outage".to_owned()));
         }
-        if inner.dice.chance(rates.lost_before) {
+        if inner.rng.chance(rates.lost_before) {
             return Err(lost());
         }
-        if inner.dice.chance(rates.late) {
+        if inner.rng.chance(rates.late) {
             inner.late.push(batch.clone());
             return Err(lost());
         }
         let outcome = inner.rows.commit(batch);
-        if inner.dice.chance(rates.lost_after) {
+        if inner.rng.chance(rates.lost_after) {
             return Err(lost());
         }
         Ok(outcome)
--- a/crates/control/tests/rules/store_share.rs
+++ b/crates/control/tests/rules/table_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::dice::table::{FakeTable, FaultRates};
+use crate::sim::table::{FakeTable, FaultRates};
 use platform::{BudgetSettings, BudgetedTable, CircuitState, StoreError, TableStore, WriteBatch};
 
 fn settings() -> BudgetSettings {
@@ -22,7 +22,7 @@
 /// One of 410 nodes goes wild and writes in a loop. The table sees only its share, and the
 /// payments of the other nodes pass.
 #[tokio::test]
-async fn wild_node() {
+async fn runaway_node_throttled() {
     let fake = FakeTable::new(1, FaultRates::default());
     let table = BudgetedTable::new(fake.clone(), settings());
     table.share_among(410);
@@ -40,7 +40,7 @@
 /// The table is down. After a few failures a claim is refused without a try, so that nobody waits
 /// for a timeout; when the table answers again, calls pass.
 #[tokio::test]
-async fn table_down() {
+async fn circuit_opens_and_closes() {
     let down = FaultRates {
         down: 100,
         ..FaultRates::default()
