--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision at the size of today and at the target of two years.
+//! Cost of one decision at the current size and at the size planned for two years from now.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
 
-/// Engines today and in two years.
+/// Number of engines currently and in two years.
 const SIZES: [u32; 2] = [50, 1_500];
 
-/// One request offered and one sent, with 10 and with 400 customers waiting.
+/// One request offered and one dispatched, with 10 and with 400 waiting customers.
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
     for customers in [10_usize, 400] {
@@ -50,7 +50,7 @@
     group.finish();
 }
 
-/// One choice for a prompt of 4 KB and the note of its sending.
+/// One choice for a prompt of 4 KB, including recording that it was sent.
 fn placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement");
     for engines in SIZES {
@@ -73,7 +73,7 @@
         let mut number = 0_u64;
         group.bench_function(BenchmarkId::new("engines", engines), |bencher| {
             bencher.iter(|| {
-                // One entry's part of the peak: 13 requests a second.
+                // One entry's part of the peak load: 13 requests per second.
                 now += Duration::from_millis(77);
                 number += 1;
                 let own = (number % 5_000) << 20;
@@ -92,7 +92,7 @@
     group.finish();
 }
 
-/// One round of reports into the share; it does not depend on the number of engines.
+/// One round of reports; its cost does not depend on the number of engines.
 fn capacity(criterion: &mut Criterion) {
     let settings = ShareSettings::builder().entries(410).build();
     let mut share = CapacityShare::new(settings, 1);
--- a/crates/policy/examples/compare/baseline/mod.rs
+++ b/crates/policy/examples/compare/baseline/mod.rs
@@ -1,4 +1,4 @@
-//! The ways of deciding that the policies are compared with.
+//! Baseline algorithms that the policies are compared with.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,69 +12,73 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use crate::driver::{Job, Setup};
+use crate::simulation::{Job, Scenario};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QueueKind {
     Fair,
-    FirstCome { bound: usize },
+    Fifo { limit: usize },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PlaceKind {
+pub enum PlacementKind {
     Predicted,
     Random,
     RoundRobin,
-    LeastReported,
-    TwoReported,
+    LeastLoaded,
+    TwoChoices,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ShareKind {
     Scaled,
-    EvenPart,
+    EvenShare,
     AllFree,
     Unlimited,
 }
 
-/// One entry with all that decides for it.
+/// One simulated entry with the state of all decisions and baselines.
 #[derive(Debug)]
 pub struct Entry {
     pub queue: AdmissionQueue,
-    pub line: VecDeque<usize>,
+    pub fifo: VecDeque<usize>,
     pub keys: FastMap<RequestKey, usize>,
     pub pool: TargetPool,
-    pub list: CandidateList,
+    pub candidates: CandidateList,
     pub share: CapacityShare,
     pub reported: Vec<TargetLoad>,
-    pub since: Vec<i64>,
-    pub turn: usize,
+    pub changes_since_report: Vec<i64>,
+    pub round_robin: usize,
 }
 
 impl Entry {
-    pub fn new(setup: &Setup, index: usize) -> Self {
-        let mut pool = TargetPool::new(PlacementSettings::builder().samples(setup.draws).build());
+    pub fn new(scenario: &Scenario, index: usize) -> Self {
+        let mut pool = TargetPool::new(
+            PlacementSettings::builder()
+                .samples(scenario.samples)
+                .build(),
+        );
         let mut targets = Vec::new();
-        for engine in &setup.engines {
+        for engine in &scenario.engines {
             targets.push(pool.insert(TargetProperties::builder().slots(engine.slots).build()));
         }
-        let seed = setup.seed * 1_000 + index as u64 * 37;
-        let entries = u32::try_from(setup.entries).unwrap_or(u32::MAX);
+        let seed = scenario.seed * 1_000 + index as u64 * 37;
+        let entries = u32::try_from(scenario.entries).unwrap_or(u32::MAX);
         Self {
             queue: AdmissionQueue::builder().seed(seed).build(),
-            line: VecDeque::new(),
+            fifo: VecDeque::new(),
             keys: FastMap::default(),
-            list: pool.candidates(targets),
+            candidates: pool.candidates(targets),
             pool,
             share: CapacityShare::new(ShareSettings::builder().entries(entries).build(), seed),
-            reported: vec![TargetLoad::default(); setup.engines.len()],
-            since: vec![0; setup.engines.len()],
-            turn: index,
+            reported: vec![TargetLoad::default(); scenario.engines.len()],
+            changes_since_report: vec![0; scenario.engines.len()],
+            round_robin: index,
         }
     }
 }
 
-impl PlaceKind {
+impl PlacementKind {
     pub fn choose(
         self,
         entry: &mut Entry,
@@ -88,22 +92,24 @@
         let index = match self {
             Self::Predicted => {
                 let request = job.request(affinity);
-                let choice = entry.pool.choose(&entry.list, &request, now, |_| true, rng);
+                let choice = entry
+                    .pool
+                    .choose(&entry.candidates, &request, now, |_| true, rng);
                 return choice.expect("there is always a target");
             }
             Self::Random => rng.random_range(0..count),
             Self::RoundRobin => {
-                entry.turn += 1;
-                entry.turn % count
+                entry.round_robin += 1;
+                entry.round_robin % count
             }
-            Self::LeastReported => (0..count).min_by_key(load).unwrap_or(0),
-            Self::TwoReported => {
+            Self::LeastLoaded => (0..count).min_by_key(load).unwrap_or(0),
+            Self::TwoChoices => {
                 let drawn = [rng.random_range(0..count), rng.random_range(0..count)];
                 drawn.into_iter().min_by_key(load).unwrap_or(0)
             }
         };
         PlacementChoice {
-            target: entry.list.as_slice()[index],
+            target: entry.candidates.as_slice()[index],
             predicted: Duration::from_millis(100),
             nominal: Duration::from_millis(100),
             cached_tokens: 0,
@@ -117,10 +123,11 @@
             .reported
             .iter()
             .map(|load| load.running + load.waiting);
-        let occupied = i64::from(reported.sum::<u32>()) + entry.since.iter().sum::<i64>();
+        let occupied =
+            i64::from(reported.sum::<u32>()) + entry.changes_since_report.iter().sum::<i64>();
         match self {
             Self::Scaled => entry.share.free(),
-            Self::EvenPart => {
+            Self::EvenShare => {
                 (slots as usize / entries).saturating_sub(entry.share.in_use() as usize)
             }
             Self::AllFree => usize::try_from(i64::from(slots) - occupied).unwrap_or(0),
--- a/crates/policy/examples/compare/main.rs
+++ b/crates/policy/examples/compare/main.rs
@@ -1,10 +1,11 @@
-//! Prints the tables of docs/DECISIONS.md: each decision beside its baselines, with fixed seeds.
+//! Prints the tables of docs/DECISIONS.md, which compare each decision with its baselines under
+//! fixed seeds.
 //!
-//! Names of tables as arguments print only these.
+//! Arguments are names of tables; only these are printed.
 
 mod baseline;
-#[path = "../../tests/load/driver/mod.rs"]
-mod driver;
+#[path = "../../tests/load/simulation/mod.rs"]
+mod simulation;
 
 mod requests;
 
@@ -14,7 +15,7 @@
         ("admission", requests::admission),
         ("saturation", requests::saturation),
         ("slowdown", requests::slowdown),
-        ("returns", requests::returns),
+        ("returns", requests::retry_times),
         ("placement", requests::placement),
         ("affinity", requests::affinity),
         ("shares", requests::shares),
--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -2,45 +2,46 @@
 
 use std::time::Duration;
 
-use crate::baseline::{PlaceKind, QueueKind, ShareKind};
-use crate::driver::callers::{merged, steady};
-use crate::driver::{self, Call, Driver, RunResult, Setup};
+use crate::baseline::{PlacementKind, QueueKind, ShareKind};
+use crate::simulation::workload::{merge_calls, poisson_calls};
+use crate::simulation::{self, Call, Scenario, Simulation, SimulationResult};
 
 fn queue_kinds() -> [(&'static str, QueueKind); 4] {
     [
         ("fair queue with refusal", QueueKind::Fair),
-        ("first come, 40 wait", QueueKind::FirstCome { bound: 40 }),
-        ("first come, 200 wait", QueueKind::FirstCome { bound: 200 }),
+        ("first come, 40 wait", QueueKind::Fifo { limit: 40 }),
+        ("first come, 200 wait", QueueKind::Fifo { limit: 200 }),
         (
             "first come, no bound",
-            QueueKind::FirstCome { bound: usize::MAX },
+            QueueKind::Fifo { limit: usize::MAX },
         ),
     ]
 }
 
-/// A burst of one large customer beside three small ones.
+/// A burst of one large customer alongside three small ones.
 pub fn admission() {
     println!(
         "| queue | small on time | small p50 s | small p95 s | burst on time | p95 without burst s |"
     );
     println!("|---|---|---|---|---|---|");
     for (name, queue) in queue_kinds() {
-        let setup = Setup {
+        let scenario = Scenario {
             queue,
-            ..Setup::plain(10, 1)
+            ..Scenario::standard(10, 1)
         };
-        let rate = setup.capacity(400, 100);
+        let rate = scenario.capacity(400, 100);
         let small = || {
-            steady(2, rate * 0.3, (0.0, 60.0), |call, rng| {
+            poisson_calls(2, rate * 0.3, (0.0, 60.0), |call, rng| {
                 call.customer =
                     1 + usize::try_from(rand::Rng::random_range(rng, 0..3_u32)).unwrap_or(0);
             })
         };
-        let burst = steady(3, rate * 4.0, (20.0, 40.0), |_, _| {});
-        let quiet = Driver::new(&setup).run(&small());
-        let result = Driver::new(&setup).run(&merged(vec![small(), burst]));
-        let during =
-            |job: &driver::Job| job.call.customer > 0 && job.call.at >= 20.0 && job.call.at < 40.0;
+        let burst = poisson_calls(3, rate * 4.0, (20.0, 40.0), |_, _| {});
+        let quiet = Simulation::new(&scenario).run(&small());
+        let result = Simulation::new(&scenario).run(&merge_calls(vec![small(), burst]));
+        let during = |job: &simulation::Job| {
+            job.call.customer > 0 && job.call.at >= 20.0 && job.call.at < 40.0
+        };
         println!(
             "| {name} | {:.3} | {:.2} | {:.2} | {:.3} | {:.2} |",
             result.on_time(during),
@@ -52,41 +53,41 @@
     }
 }
 
-fn row(result: &RunResult, rate: f64, span: (f64, f64)) -> String {
-    let inside = |job: &driver::Job| (span.0..span.1).contains(&job.call.at);
+fn row(result: &SimulationResult, rate: f64, span: (f64, f64)) -> String {
+    let inside = |job: &simulation::Job| (span.0..span.1).contains(&job.call.at);
     let good = result.goodput(span.0, span.1) / (rate * 100.0);
-    let all = result.pick(inside);
+    let all = result.filter(inside);
     let late = all
         .iter()
         .filter(|job| job.first_token.is_some() && !job.on_time());
     let refused = all.iter().filter(|job| job.refused);
     #[allow(clippy::cast_precision_loss)]
-    let part = |count: usize| count as f64 / all.len() as f64;
+    let fraction = |count: usize| count as f64 / all.len() as f64;
     format!(
         "{good:.3} | {:.3} | {:.3} | {:.2} | {:.2}",
-        part(late.count()),
-        part(refused.count()),
+        fraction(late.count()),
+        fraction(refused.count()),
         result.first_token(0.5, inside),
         result.first_token(0.95, inside)
     )
 }
 
-/// Demand of half, 1, 2 and 10 times the capacity.
+/// Demand of 0.5, 1, 2 and 10 times the capacity.
 pub fn saturation() {
     println!("| demand | queue | goodput / capacity | late | refused | p50 s | p95 s |");
     println!("|---|---|---|---|---|---|---|");
     for times in [0.5, 1.0, 2.0, 10.0] {
         for (name, queue) in queue_kinds() {
-            let setup = Setup {
+            let scenario = Scenario {
                 queue,
-                ..Setup::plain(10, 4)
+                ..Scenario::standard(10, 4)
             };
-            let rate = setup.capacity(400, 100);
-            let calls = steady(5, rate * times, (0.0, 60.0), |call, rng| {
+            let rate = scenario.capacity(400, 100);
+            let calls = poisson_calls(5, rate * times, (0.0, 60.0), |call, rng| {
                 call.customer =
                     usize::try_from(rand::Rng::random_range(rng, 0..4_u32)).unwrap_or(0);
             });
-            let result = Driver::new(&setup).run(&calls);
+            let result = Simulation::new(&scenario).run(&calls);
             println!(
                 "| {times} | {name} | {} |",
                 row(&result, rate, (10.0, 60.0))
@@ -95,26 +96,31 @@
     }
 }
 
-/// Shared prompts of 2,400 tokens, more than the caches of the engines hold together twice.
+/// 160 shared prompts of 2,400 tokens. The caches of all engines together have room for each of
+/// them twice.
 pub fn affinity() {
     println!("| choice | on time | p50 s | p95 s | p99 s |");
     println!("|---|---|---|---|---|");
-    for (name, place, affinity) in [
-        ("predicted with affinity", PlaceKind::Predicted, true),
-        ("predicted without affinity", PlaceKind::Predicted, false),
-        ("two choices, reported", PlaceKind::TwoReported, false),
-        ("random", PlaceKind::Random, false),
+    for (name, placement, affinity) in [
+        ("predicted with affinity", PlacementKind::Predicted, true),
+        (
+            "predicted without affinity",
+            PlacementKind::Predicted,
+            false,
+        ),
+        ("two choices, reported", PlacementKind::TwoChoices, false),
+        ("random", PlacementKind::Random, false),
     ] {
-        let setup = Setup {
+        let scenario = Scenario {
             entries: 2,
-            place,
+            placement,
             affinity,
             share: ShareKind::Unlimited,
-            queue: QueueKind::FirstCome { bound: usize::MAX },
-            ..Setup::plain(40, 10)
+            queue: QueueKind::Fifo { limit: usize::MAX },
+            ..Scenario::standard(40, 10)
         };
-        let rate = setup.capacity(400, 100) * 0.6;
-        let calls = steady(11, rate, (0.0, 60.0), |call, rng| {
+        let rate = scenario.capacity(400, 100) * 0.6;
+        let calls = poisson_calls(11, rate, (0.0, 60.0), |call, rng| {
             call.entry = rand::Rng::random_range(rng, 0..2);
             let drawn: f64 = rand::Rng::random_range(rng, 0.0..1.0);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -122,8 +128,8 @@
             call.shared = (shared << 20, 2_400);
             call.prompt += 2_400;
         });
-        let result = Driver::new(&setup).run(&calls);
-        let after = |job: &driver::Job| job.call.at > 10.0;
+        let result = Simulation::new(&scenario).run(&calls);
+        let after = |job: &simulation::Job| job.call.at > 10.0;
         println!(
             "| {name} | {:.4} | {:.3} | {:.3} | {:.3} |",
             result.on_time(after),
@@ -134,45 +140,45 @@
     }
 }
 
-/// Twice the capacity, and from 20 s on every engine takes three times as long.
+/// Demand of twice the capacity; from 20 s on, every engine is three times slower.
 pub fn slowdown() {
     println!("| queue | goodput / capacity left | late | refused | p50 s | p95 s |");
     println!("|---|---|---|---|---|---|");
     for (name, queue) in queue_kinds() {
-        let mut setup = Setup {
+        let mut scenario = Scenario {
             queue,
-            ..Setup::plain(10, 15)
+            ..Scenario::standard(10, 15)
         };
-        for engine in &mut setup.engines {
-            engine.slow = (3.0, 20.0, 90.0);
+        for engine in &mut scenario.engines {
+            engine.slowdown = (3.0, 20.0, 90.0);
         }
-        let rate = setup.capacity(400, 100);
-        let calls = steady(16, rate * 2.0, (0.0, 60.0), |_, _| {});
-        let result = Driver::new(&setup).run(&calls);
+        let rate = scenario.capacity(400, 100);
+        let calls = poisson_calls(16, rate * 2.0, (0.0, 60.0), |_, _| {});
+        let result = Simulation::new(&scenario).run(&calls);
         println!("| {name} | {} |", row(&result, rate / 3.0, (30.0, 60.0)));
     }
 }
 
-/// A burst of four times the capacity for 10 s, whose refused callers come back five times at most.
-pub fn returns() {
+/// A burst of four times the capacity for 10 s, whose refused callers retry up to five times.
+pub fn retry_times() {
     println!("| return | answered on time | offers a caller | refused in the end |");
     println!("|---|---|---|---|");
-    for (name, fixed_return) in [
+    for (name, fixed_retry_after) in [
         ("as told", None),
         ("after 1 s", Some(Duration::from_secs(1))),
         ("after 5 s", Some(Duration::from_secs(5))),
     ] {
-        let setup = Setup {
-            returns: 5,
-            fixed_return,
-            ..Setup::plain(10, 12)
+        let scenario = Scenario {
+            max_retries: 5,
+            fixed_retry_after,
+            ..Scenario::standard(10, 12)
         };
-        let rate = setup.capacity(400, 100);
-        let burst = steady(13, rate * 4.0, (5.0, 15.0), |_, _| {});
-        let rest = steady(14, rate * 0.5, (0.0, 60.0), |call, _| call.customer = 1);
-        let result = Driver::new(&setup).run(&merged(vec![burst, rest]));
-        let callers = result.pick(|job| job.call.customer == 0);
-        let offers: u32 = callers.iter().map(|job| job.returns + 1).sum();
+        let rate = scenario.capacity(400, 100);
+        let burst = poisson_calls(13, rate * 4.0, (5.0, 15.0), |_, _| {});
+        let rest = poisson_calls(14, rate * 0.5, (0.0, 60.0), |call, _| call.customer = 1);
+        let result = Simulation::new(&scenario).run(&merge_calls(vec![burst, rest]));
+        let callers = result.filter(|job| job.call.customer == 0);
+        let offers: u32 = callers.iter().map(|job| job.retries + 1).sum();
         let refused = callers.iter().filter(|job| job.refused).count();
         #[allow(clippy::cast_precision_loss)]
         let count = callers.len() as f64;
@@ -186,46 +192,46 @@
     }
 }
 
-type CaseForm = fn(&mut Setup);
+type CaseSetup = fn(&mut Scenario);
 
-/// Choosing a target: two entries before 40 engines at 75% of capacity.
+/// Target selection: two entries in front of 40 engines at 75% of their capacity.
 pub fn placement() {
     println!("| case | choice | on time | p50 s | p95 s | p99 s | failed attempts |");
     println!("|---|---|---|---|---|---|---|");
     let kinds = [
-        ("predicted, 2 drawn", PlaceKind::Predicted, 2),
-        ("predicted, 4 drawn", PlaceKind::Predicted, 4),
-        ("predicted, 8 drawn", PlaceKind::Predicted, 8),
-        ("random", PlaceKind::Random, 0),
-        ("round robin", PlaceKind::RoundRobin, 0),
-        ("least reported", PlaceKind::LeastReported, 0),
-        ("two choices, reported", PlaceKind::TwoReported, 0),
+        ("predicted, 2 drawn", PlacementKind::Predicted, 2),
+        ("predicted, 4 drawn", PlacementKind::Predicted, 4),
+        ("predicted, 8 drawn", PlacementKind::Predicted, 8),
+        ("random", PlacementKind::Random, 0),
+        ("round robin", PlacementKind::RoundRobin, 0),
+        ("least reported", PlacementKind::LeastLoaded, 0),
+        ("two choices, reported", PlacementKind::TwoChoices, 0),
     ];
-    let cases: [(&str, CaseForm); 4] = [
+    let cases: [(&str, CaseSetup); 4] = [
         ("all well", |_| {}),
-        ("one slow ×4, 10–30 s", |setup| {
-            setup.engines[3].slow = (4.0, 10.0, 30.0);
+        ("one slow ×4, 10–30 s", |scenario| {
+            scenario.engines[3].slowdown = (4.0, 10.0, 30.0);
         }),
-        ("one fails fast, 10–30 s", |setup| {
-            setup.engines[3].fails = (10.0, 30.0);
+        ("one fails fast, 10–30 s", |scenario| {
+            scenario.engines[3].failing = (10.0, 30.0);
         }),
-        ("no reports, 10–30 s", |setup| {
-            setup.blackout = (10.0, 30.0);
+        ("no reports, 10–30 s", |scenario| {
+            scenario.report_outage = (10.0, 30.0);
         }),
     ];
-    for (case, form) in cases {
-        for (name, place, draws) in kinds {
-            let mut setup = Setup {
+    for (case, adjust) in cases {
+        for (name, placement, samples) in kinds {
+            let mut scenario = Scenario {
                 entries: 2,
-                place,
-                draws,
+                placement,
+                samples,
                 share: ShareKind::Unlimited,
-                queue: QueueKind::FirstCome { bound: usize::MAX },
-                ..Setup::plain(40, 6)
+                queue: QueueKind::Fifo { limit: usize::MAX },
+                ..Scenario::standard(40, 6)
             };
-            form(&mut setup);
-            let result = Driver::new(&setup).run(&mixed_calls(&setup, 0.75));
-            let after = |job: &driver::Job| job.call.at > 5.0;
+            adjust(&mut scenario);
+            let result = Simulation::new(&scenario).run(&mixed_calls(&scenario, 0.75));
+            let after = |job: &simulation::Job| job.call.at > 5.0;
             let failed: u32 = result.jobs.iter().map(|job| job.failures).sum();
             println!(
                 "| {case} | {name} | {:.4} | {:.3} | {:.3} | {:.3} | {failed} |",
@@ -238,10 +244,10 @@
     }
 }
 
-fn mixed_calls(setup: &Setup, part: f64) -> Vec<Call> {
-    let rate = setup.capacity(400, 100) * part / 1.35;
-    let entries = setup.entries;
-    steady(7, rate, (0.0, 40.0), |call, rng| {
+fn mixed_calls(scenario: &Scenario, load_factor: f64) -> Vec<Call> {
+    let rate = scenario.capacity(400, 100) * load_factor / 1.35;
+    let entries = scenario.entries;
+    poisson_calls(7, rate, (0.0, 40.0), |call, rng| {
         call.entry = rand::Rng::random_range(rng, 0..entries);
         if rand::Rng::random_bool(rng, 0.1) {
             call.prompt *= 8;
@@ -250,7 +256,7 @@
     })
 }
 
-/// Parts of the slots of several entries under an uneven balancer.
+/// Capacity shares of several entries behind an uneven load balancer.
 pub fn shares() {
     println!(
         "| entries | demand | share | goodput / capacity | late | refused | p50 s | p95 s | deepest engine queues | slots in use |"
@@ -260,31 +266,31 @@
         for times in [0.8, 2.0] {
             for (name, share) in [
                 ("scaled by occupancy", ShareKind::Scaled),
-                ("even part", ShareKind::EvenPart),
+                ("even part", ShareKind::EvenShare),
                 ("all free slots", ShareKind::AllFree),
             ] {
-                let setup = Setup {
+                let scenario = Scenario {
                     entries,
                     share,
-                    ..Setup::plain(engines, 8)
+                    ..Scenario::standard(engines, 8)
                 };
-                let rate = setup.capacity(400, 100);
-                let calls = steady(9, rate * times, (0.0, 60.0), |call, rng| {
+                let rate = scenario.capacity(400, 100);
+                let calls = poisson_calls(9, rate * times, (0.0, 60.0), |call, rng| {
                     // The first third of the entries gets four fifths of the calls.
-                    let few = (entries / 3).max(1);
-                    let few = if rand::Rng::random_bool(rng, 0.8) {
-                        0..few
+                    let busy = (entries / 3).max(1);
+                    let range = if rand::Rng::random_bool(rng, 0.8) {
+                        0..busy
                     } else {
-                        few..entries
+                        busy..entries
                     };
-                    call.entry = rand::Rng::random_range(rng, few);
+                    call.entry = rand::Rng::random_range(rng, range);
                 });
-                let result = Driver::new(&setup).run(&calls);
+                let result = Simulation::new(&scenario).run(&calls);
                 println!(
                     "| {entries} | {times} | {name} | {} | {} | {:.3} |",
                     row(&result, rate, (15.0, 60.0)),
-                    result.deepest,
-                    result.busy_slots
+                    result.max_engine_queue,
+                    result.slot_seconds
                         / (f64::from(u32::try_from(engines).unwrap_or(0)) * 16.0 * 60.0)
                 );
             }
--- a/crates/policy/tests/admission_class.rs
+++ b/crates/policy/tests/admission_class.rs
@@ -1,27 +1,27 @@
-//! Who is refused first when targets are full: ranks, and customers beyond their share.
+//! Order of refusal when targets are full: by rank, and by customers over their share.
 
 use std::time::Duration;
 
 use domain::CustomerId;
 use policy::admission::{AdmissionClass, CustomerShares};
 
-/// Places of the target, and the longest queue that anybody accepts there: a replica of today.
-const PLACES: usize = 26;
-const QUEUE: f64 = 6.0;
+/// Slots of the target and its maximum queue length for any request, as in a current replica.
+const SLOTS: usize = 26;
+const MAX_QUEUE: f64 = 6.0;
 
-/// Mean time that a request holds a place; answers of different lengths spread from a half of it
-/// to one and a half.
-const STAY: usize = 20;
+/// Mean number of steps that a request holds a slot; single requests take between half of it and
+/// one and a half times as long.
+const MEAN_DURATION: usize = 20;
 
 fn customer(name: &str) -> CustomerId {
     name.parse().expect("a name")
 }
 
-/// One caller's stream of requests on a virtual clock of steps.
+/// Requests of one caller at a constant rate, in simulated time steps.
 #[derive(Debug)]
 struct Sender {
     customer: CustomerId,
-    /// Requests in 10 steps.
+    /// Number of requests in 10 steps.
     rate: usize,
     higher_ranks: usize,
     sent: usize,
@@ -39,7 +39,7 @@
         }
     }
 
-    fn served_part(&self) -> f64 {
+    fn served_fraction(&self) -> f64 {
         count(self.served) / count(self.sent)
     }
 }
@@ -48,11 +48,11 @@
     f64::from(u32::try_from(value).expect("a small count"))
 }
 
-/// Plays 2,000 steps of one target that serves by rank, then in the order of arrival.
-fn play(senders: &mut [Sender]) {
+/// Simulates 2,000 steps of one target that serves by rank, then in order of arrival.
+fn simulate(senders: &mut [Sender]) {
     let mut shares = CustomerShares::default();
     let mut running: Vec<(usize, usize)> = Vec::new();
-    let mut begun = 0;
+    let mut started = 0;
     let mut waiting: Vec<(usize, usize)> = Vec::new();
     for step in 0..2_000_usize {
         let now = Duration::from_millis(50 * u64::try_from(step).expect("a small step"));
@@ -64,16 +64,16 @@
             runs
         });
         for (index, sender) in senders.iter_mut().enumerate() {
-            let due = (step + 1) * sender.rate / 10 - step * sender.rate / 10;
-            for _ in 0..due {
+            let arrivals = (step + 1) * sender.rate / 10 - step * sender.rate / 10;
+            for _ in 0..arrivals {
                 sender.sent += 1;
                 shares.record_arrival(&sender.customer, now);
                 let class = AdmissionClass {
                     higher_ranks: sender.higher_ranks,
                     over_share: shares.is_over_share(&sender.customer, now),
                 };
-                let there = count(running.len() + waiting.len());
-                if there >= count(PLACES) + QUEUE * class.queue_fraction() {
+                let occupied = count(running.len() + waiting.len());
+                if occupied >= count(SLOTS) + MAX_QUEUE * class.queue_fraction() {
                     continue;
                 }
                 sender.served += 1;
@@ -82,47 +82,50 @@
             }
         }
         waiting.sort_by_key(|(rank, _)| *rank);
-        while running.len() < PLACES && !waiting.is_empty() {
+        while running.len() < SLOTS && !waiting.is_empty() {
             let (_, index) = waiting.remove(0);
-            begun += 1;
-            running.push((step + STAY / 2 + begun * 7 % (STAY + 1), index));
+            started += 1;
+            running.push((
+                step + MEAN_DURATION / 2 + started * 7 % (MEAN_DURATION + 1),
+                index,
+            ));
         }
     }
 }
 
-/// One customer sends four times what the target can serve, beside three small ones that need
-/// less than a third of it. With one limit for all each is refused alike, and the small customers
-/// lose three of four requests to a burst that is none of theirs.
+/// One customer sends four times what the target can serve, alongside three small customers that
+/// need less than a third of it. With one limit for all, every customer would be refused alike and
+/// the small ones would lose three of four requests to a burst that they did not cause.
 #[test]
-fn small_customers_served() {
+fn small_customers_are_served() {
     let mut senders = [
         Sender::new("large", 52, 0),
         Sender::new("small-1", 1, 0),
         Sender::new("small-2", 1, 0),
         Sender::new("small-3", 2, 0),
     ];
-    play(&mut senders);
+    simulate(&mut senders);
     for small in &senders[1..] {
-        assert!(small.served_part() > 0.95, "{small:?}");
+        assert!(small.served_fraction() > 0.95, "{small:?}");
     }
     let all: usize = senders.iter().map(|sender| sender.served).sum();
-    assert!(count(all) > 0.95 * 2_000.0 * count(PLACES) / count(STAY));
+    assert!(count(all) > 0.95 * 2_000.0 * count(SLOTS) / count(MEAN_DURATION));
 }
 
-/// Urgent and less urgent requests of one customer, together twice what the target can serve. The
-/// urgent ones alone would fit; refused alike, half of them would be turned away for work that
+/// Urgent and less urgent requests of one customer add up to twice what the target can serve. The
+/// urgent ones alone would fit; if all were refused alike, half of them would be lost to work that
 /// can wait.
 #[test]
-fn least_urgent_refused() {
+fn least_urgent_requests_are_refused() {
     let mut senders = [Sender::new("desk", 12, 0), Sender::new("desk", 14, 1)];
-    play(&mut senders);
-    assert!(senders[0].served_part() > 0.95, "{senders:?}");
+    simulate(&mut senders);
+    assert!(senders[0].served_fraction() > 0.95, "{senders:?}");
     assert!(senders[1].served > 0, "{senders:?}");
 }
 
-/// A customer that is alone has the whole target, whatever it sends.
+/// A customer that is alone may use the whole target, regardless of its demand.
 #[test]
-fn lone_customer_unbounded() {
+fn single_customer_is_not_limited() {
     let mut shares = CustomerShares::default();
     let only = customer("only");
     for _ in 0..100 {
@@ -132,37 +135,41 @@
     }
 }
 
-/// Customers that left share nothing any more. Counted for ever, each that was here once would
-/// halve what the others may use.
+/// Inactive customers get no share. If they were counted forever, each former customer would reduce
+/// the share of the others.
 #[test]
-fn absent_customer_forgotten() {
+fn inactive_customer_is_ignored() {
     let mut shares = CustomerShares::default();
-    let (here, gone) = (customer("here"), customer("gone"));
-    shares.record_arrival(&gone, Duration::ZERO);
-    shares.record_arrival(&here, Duration::ZERO);
-    shares.record_sent(&here);
-    assert!(!shares.is_over_share(&here, Duration::ZERO), "one request");
-    shares.record_sent(&here);
-    shares.record_sent(&here);
-    assert!(shares.is_over_share(&here, Duration::ZERO));
-    assert!(!shares.is_over_share(&here, Duration::from_secs(11)));
+    let (active, inactive) = (customer("active"), customer("inactive"));
+    shares.record_arrival(&inactive, Duration::ZERO);
+    shares.record_arrival(&active, Duration::ZERO);
+    shares.record_sent(&active);
+    assert!(
+        !shares.is_over_share(&active, Duration::ZERO),
+        "one request"
+    );
+    shares.record_sent(&active);
+    shares.record_sent(&active);
+    assert!(shares.is_over_share(&active, Duration::ZERO));
+    assert!(!shares.is_over_share(&active, Duration::from_secs(11)));
 }
 
-/// Size is no part of the decision, so the largest prompts are refused as often as the smallest:
-/// all that competes is the rank and the share, and a request alone of its kind loses nothing.
+/// The queue fraction falls with each higher rank and for customers over their share, but never to
+/// zero, and a request with neither gets the whole queue. Size has no effect, so the largest
+/// prompts are refused as often as the smallest.
 #[test]
-fn parts_fall_with_rank() {
-    let part = |higher_ranks, over_share| {
+fn queue_fraction_falls_with_rank() {
+    let fraction = |higher_ranks, over_share| {
         let class = AdmissionClass {
             higher_ranks,
             over_share,
         };
         class.queue_fraction()
     };
-    assert!((part(0, false) - 1.0).abs() < 1e-9);
+    assert!((fraction(0, false) - 1.0).abs() < 1e-9);
     for rank in 0..9 {
-        assert!(part(rank + 1, false) < part(rank, false));
-        assert!(part(rank, true) < part(rank, false));
-        assert!(part(rank + 1, true) > 0.0);
+        assert!(fraction(rank + 1, false) < fraction(rank, false));
+        assert!(fraction(rank, true) < fraction(rank, false));
+        assert!(fraction(rank + 1, true) > 0.0);
     }
 }
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -1,68 +1,76 @@
-//! Each entry's part of the targets' slots.
+//! Each entry's share of the targets' slots.
 
 use std::time::Duration;
 
 use crate::baseline::ShareKind;
-use crate::driver::callers::steady;
-use crate::driver::{Driver, RunResult, Setup};
+use crate::simulation::workload::poisson_calls;
+use crate::simulation::{Scenario, Simulation, SimulationResult};
 use policy::capacity::{CapacityShare, PoolReport, ShareSettings};
 use rand::Rng;
 
-fn run(entries: usize, times: f64, share: ShareKind, blackout: (f64, f64)) -> (RunResult, f64) {
-    let setup = Setup {
+fn run(
+    entries: usize,
+    times: f64,
+    share: ShareKind,
+    report_outage: (f64, f64),
+) -> (SimulationResult, f64) {
+    let scenario = Scenario {
         entries,
         share,
-        blackout,
-        ..Setup::plain(20, 8)
+        report_outage,
+        ..Scenario::standard(20, 8)
     };
-    let rate = setup.capacity(400, 100);
-    let calls = steady(9, rate * times, (0.0, 40.0), |call, rng| {
-        let few = (entries / 3).max(1);
-        let uneven = rng.random_bool(0.8);
-        call.entry = rng.random_range(if uneven { 0..few } else { few..entries });
+    let rate = scenario.capacity(400, 100);
+    let calls = poisson_calls(9, rate * times, (0.0, 40.0), |call, rng| {
+        let busy = (entries / 3).max(1);
+        let to_busy = rng.random_bool(0.8);
+        call.entry = rng.random_range(if to_busy { 0..busy } else { busy..entries });
     });
-    let result = Driver::new(&setup).run(&calls);
+    let result = Simulation::new(&scenario).run(&calls);
     let goodput = result.goodput(15.0, 40.0) / (rate * 100.0);
     (result, goodput)
 }
 
-/// The balancer sends four fifths of the calls to a third of the entries. With even parts those
-/// refuse callers while slots idle.
+/// The load balancer sends four fifths of the calls to a third of the entries. With equal shares
+/// these would refuse callers while slots are idle.
 #[test]
-fn uneven_balancer_leaves_no_slot_idle() {
+fn uneven_load_balancing_leaves_no_slot_idle() {
     for entries in [3, 24] {
         let (scaled, goodput) = run(entries, 0.8, ShareKind::Scaled, (0.0, 0.0));
-        let (parts, even) = run(entries, 0.8, ShareKind::EvenPart, (0.0, 0.0));
-        assert!(scaled.busy_slots > parts.busy_slots * 1.2, "slots idle");
+        let (even, even_goodput) = run(entries, 0.8, ShareKind::EvenShare, (0.0, 0.0));
+        assert!(
+            scaled.slot_seconds > even.slot_seconds * 1.2,
+            "slots are idle"
+        );
         assert!(goodput > 0.76, "{goodput} of 0.8 with {entries} entries");
-        assert!(even < 0.6, "even parts gave {even}");
-        let refused = scaled.pick(|job| job.refused).len();
+        assert!(even_goodput < 0.6, "even shares gave {even_goodput}");
+        let refused = scaled.filter(|job| job.refused).len();
         assert!(refused * 50 < scaled.jobs.len(), "{refused} refused");
     }
 }
 
-/// Every entry sees the same free slots in the same old report. If each took them all, the
-/// engines would queue, and callers' first tokens would come late.
+/// All entries see the same free slots in the same outdated report. If each took all of them,
+/// requests would queue at the engines and callers' first tokens would be late.
 #[test]
-fn slots_are_not_taken_many_times() {
+fn entries_do_not_oversubscribe_slots() {
     let (scaled, goodput) = run(24, 2.0, ShareKind::Scaled, (0.0, 0.0));
     let (all_free, baseline) = run(24, 2.0, ShareKind::AllFree, (0.0, 0.0));
-    assert!(goodput > baseline + 0.05, "{goodput} against {baseline}");
-    assert!(scaled.deepest * 3 < all_free.deepest * 2);
+    assert!(goodput > baseline + 0.05, "{goodput} versus {baseline}");
+    assert!(scaled.max_engine_queue * 3 < all_free.max_engine_queue * 2);
 }
 
-/// Reports stop for 20 seconds, as when the links between failure domains are cut. Callers should
-/// notice nothing at usual load.
+/// Reports stop for 20 seconds, as when the links between failure domains are cut. At normal load,
+/// callers must not be affected.
 #[test]
-fn lost_reports_stop_no_one() {
-    let (cut, _) = run(6, 0.7, ShareKind::Scaled, (10.0, 30.0));
-    let on_time = cut.on_time(|job| job.call.at > 5.0);
+fn lost_reports_do_not_stop_requests() {
+    let (outage, _) = run(6, 0.7, ShareKind::Scaled, (10.0, 30.0));
+    let on_time = outage.on_time(|job| job.call.at > 5.0);
     assert!(on_time > 0.95, "{on_time} on time");
 }
 
-/// An engine that says it is full cuts the window, but one wave of refusals only once.
+/// An answer that an engine is full decreases the window, but a burst of them does so only once.
 #[test]
-fn full_answers_cut_the_window_once() {
+fn refusal_burst_decreases_window_once() {
     let settings = ShareSettings::builder().entries(3).build();
     let mut share = CapacityShare::new(settings, 1);
     let report = PoolReport {
@@ -71,7 +79,7 @@
     };
     share.record_report(Duration::from_secs(1), report);
     let window = share.window();
-    assert!((window - 100.0).abs() < 1.0, "a third of the idle slots");
+    assert!((window - 100.0).abs() < 1.0, "one third of the idle slots");
     for _ in 0..50 {
         share.record_full(Duration::from_secs(2));
     }
@@ -79,8 +87,8 @@
     assert!(share.window() < window);
 }
 
-/// With more entries than slots each may send now and then, and all together about as many
-/// streams as there are slots.
+/// With more entries than slots, each entry may send only in some of the rounds, and all together
+/// about as many streams as there are slots.
 #[test]
 fn many_entries_share_few_slots() {
     let settings = ShareSettings::builder().entries(410).build();
--- a/crates/policy/tests/load/fair_admission.rs
+++ b/crates/policy/tests/load/fair_admission.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::baseline::QueueKind;
-use crate::driver::callers::{merged, steady};
-use crate::driver::{Call, Driver, Job, Setup};
+use crate::simulation::workload::{merge_calls, poisson_calls};
+use crate::simulation::{Call, Job, Scenario, Simulation};
 use domain::CustomerKey;
 use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome, RequestKey};
 use quickcheck::{Arbitrary, Gen};
@@ -38,41 +38,44 @@
 }
 
 fn small_calls(rate: f64) -> Vec<Call> {
-    steady(2, rate, (0.0, 60.0), |call, rng| {
+    poisson_calls(2, rate, (0.0, 60.0), |call, rng| {
         call.customer = rng.random_range(1..4);
     })
 }
 
-/// A large customer sends four times the capacity for 20 seconds, as on the last day of a licence
-/// period. Traders of three small customers ask as on any day, and notice if theirs come late.
+/// A large customer sends four times the capacity for 20 seconds. The requests of three small
+/// customers, at their normal rate, must stay on time.
 #[test]
 fn burst_leaves_small_customers_on_time() {
     let run = |queue| {
-        let setup = Setup {
+        let scenario = Scenario {
             queue,
-            ..Setup::plain(10, 1)
+            ..Scenario::standard(10, 1)
         };
-        let rate = setup.capacity(400, 100);
-        let burst = steady(3, rate * 4.0, (20.0, 40.0), |_, _| {});
-        let calls = merged(vec![small_calls(rate * 0.3), burst]);
-        Driver::new(&setup).run(&calls)
+        let rate = scenario.capacity(400, 100);
+        let burst = poisson_calls(3, rate * 4.0, (20.0, 40.0), |_, _| {});
+        let calls = merge_calls(vec![small_calls(rate * 0.3), burst]);
+        Simulation::new(&scenario).run(&calls)
     };
     let small = |job: &Job| job.call.customer > 0 && (20.0..40.0).contains(&job.call.at);
     let fair = run(QueueKind::Fair);
-    let first_come = run(QueueKind::FirstCome { bound: 200 });
+    let fifo = run(QueueKind::Fifo { limit: 200 });
     assert!(fair.on_time(small) > 0.99, "{}", fair.on_time(small));
-    assert!(first_come.on_time(small) < 0.3);
-    let quiet = Setup::plain(10, 1);
+    assert!(fifo.on_time(small) < 0.3);
+    let quiet = Scenario::standard(10, 1);
     let rate = quiet.capacity(400, 100);
-    let alone = Driver::new(&quiet).run(&small_calls(rate * 0.3));
-    let more = fair.first_token(0.95, small) - alone.first_token(0.95, small);
-    assert!(more < 0.4, "the burst cost the small ones {more} s");
+    let alone = Simulation::new(&quiet).run(&small_calls(rate * 0.3));
+    let added_delay = fair.first_token(0.95, small) - alone.first_token(0.95, small);
+    assert!(
+        added_delay < 0.4,
+        "the burst delayed small customers by {added_delay} s"
+    );
 }
 
-/// Two customers with shares of 3 and 1 that both always have work get three quarters and one
-/// quarter of what is sent.
+/// Two customers with shares of 3 and 1 always have requests waiting; three quarters and one
+/// quarter of the dispatched requests are theirs.
 #[test]
-fn shares_weigh_the_turns() {
+fn dispatches_follow_shares() {
     let keys = customers(2);
     let mut queue = AdmissionQueue::builder().seed(1).build();
     let mut owners = slotmap::SecondaryMap::new();
@@ -82,7 +85,7 @@
                 share,
                 ..request(customer, 1_000)
             };
-            let key = admit(&mut queue, Duration::ZERO, request).expect("there is room");
+            let key = admit(&mut queue, Duration::ZERO, request).expect("the queue has room");
             owners.insert(key, customer);
         }
     }
@@ -93,7 +96,7 @@
     assert!((59..=61).contains(&first), "{first} of 80");
 }
 
-/// Background work yields to everyone, but goes on at one turn in 16.
+/// Background work yields to all other requests, but gets one dispatch in 16.
 #[test]
 fn background_work_is_not_starved() {
     let keys = customers(2);
@@ -102,24 +105,24 @@
         priority: -1,
         ..request(keys[0], 1_000)
     };
-    let last = admit(&mut queue, Duration::ZERO, background).expect("there is room");
+    let last = admit(&mut queue, Duration::ZERO, background).expect("the queue has room");
     for _ in 0..64 {
         admit(&mut queue, Duration::ZERO, request(keys[1], 1_000));
     }
-    let turn = (1..=64).find(|_| queue.next(Duration::ZERO, 1) == Some(last));
-    assert_eq!(turn, Some(16));
+    let position = (1..=64).find(|_| queue.next(Duration::ZERO, 1) == Some(last));
+    assert_eq!(position, Some(16));
 }
 
-/// One step of a random use of the queue.
+/// One operation of a random sequence on the queue.
 #[derive(Debug, Clone, Copy)]
-enum Step {
+enum Operation {
     Offer(usize, u32),
     Next,
     Cancel,
     Wait(u64),
 }
 
-impl Arbitrary for Step {
+impl Arbitrary for Operation {
     fn arbitrary(source: &mut Gen) -> Self {
         match u8::arbitrary(source) % 8 {
             0..=3 => Self::Offer(
@@ -133,19 +136,20 @@
     }
 }
 
-/// Whatever the order of calls: the queue stays bounded, a free slot never waits for work that is
-/// there, no request is named twice, and each admitted one is sent, expired or cancelled.
+/// For any sequence of operations, the queue stays within its limit, a free slot is used whenever a
+/// request waits, no request is returned twice, and each admitted one is dispatched, expired or
+/// cancelled.
 #[test]
-fn queue_conserves_work_within_its_bound() {
+fn queue_is_work_conserving_and_bounded() {
     for seed in 0..CASES {
-        let steps = Vec::<Step>::arbitrary(&mut Gen::from_size_and_seed(200, seed));
+        let operations = Vec::<Operation>::arbitrary(&mut Gen::from_size_and_seed(200, seed));
         let keys = customers(3);
         let mut queue = AdmissionQueue::builder().max_waiting(20).seed(seed).build();
         let mut waiting = domain::FastSet::default();
         let mut now = Duration::ZERO;
-        for step in steps {
-            match step {
-                Step::Offer(customer, cost) => {
+        for operation in operations {
+            match operation {
+                Operation::Offer(customer, cost) => {
                     let request = AdmissionRequest {
                         cost,
                         deadline: now + Duration::from_secs(2),
@@ -155,18 +159,18 @@
                         assert!(waiting.insert(key));
                     }
                 }
-                Step::Next => {
+                Operation::Next => {
                     let next = queue.next(now, 1);
                     assert_eq!(next.is_none(), waiting.is_empty());
                     assert!(next.is_none_or(|key| waiting.remove(&key)));
                 }
-                Step::Cancel => {
+                Operation::Cancel => {
                     let Some(key) = waiting.iter().copied().next() else {
                         continue;
                     };
                     assert!(queue.cancel(key) && waiting.remove(&key));
                 }
-                Step::Wait(millis) => {
+                Operation::Wait(millis) => {
                     now += Duration::from_millis(millis);
                     for key in queue.expire(now) {
                         assert!(waiting.remove(&key));
@@ -179,10 +183,10 @@
     }
 }
 
-/// With any backlogs of others, a customer's first request is sent after at most one of each other
-/// customer's.
+/// For any backlogs of other customers, a customer's first request is dispatched after at most one
+/// request of each of them.
 #[test]
-fn every_customer_gets_its_turn() {
+fn new_customer_waits_for_one_request_per_customer() {
     for seed in 0..CASES {
         let sizes = Vec::<u8>::arbitrary(&mut Gen::from_size_and_seed(8, seed));
         let keys = customers(sizes.len() + 1);
@@ -193,8 +197,8 @@
             }
         }
         let newcomer = request(keys[sizes.len()], 1_000);
-        let key = admit(&mut queue, Duration::ZERO, newcomer).expect("there is room");
-        let turn = (0..=sizes.len()).find(|_| queue.next(Duration::ZERO, 1) == Some(key));
-        assert!(turn.is_some(), "seed {seed}");
+        let key = admit(&mut queue, Duration::ZERO, newcomer).expect("the queue has room");
+        let position = (0..=sizes.len()).find(|_| queue.next(Duration::ZERO, 1) == Some(key));
+        assert!(position.is_some(), "seed {seed}");
     }
 }
--- a/crates/policy/tests/load/main.rs
+++ b/crates/policy/tests/load/main.rs
@@ -1,10 +1,10 @@
-//! Decisions under load, played on a virtual clock.
+//! Decisions under load, simulated in virtual time.
 
 #[path = "../../examples/compare/baseline/mod.rs"]
 mod baseline;
 mod capacity_share;
-mod driver;
 mod early_refusal;
 mod fair_admission;
 mod prefix_affinity;
+mod simulation;
 mod target_choice;
--- a/crates/policy/tests/load/prefix_affinity.rs
+++ b/crates/policy/tests/load/prefix_affinity.rs
@@ -1,8 +1,8 @@
-//! Sending prompts to the targets that hold their prefixes.
+//! Routing of prompts to targets that hold their prefixes.
 
-use crate::baseline::{PlaceKind, QueueKind, ShareKind};
-use crate::driver::callers::steady;
-use crate::driver::{Driver, RunResult, Setup};
+use crate::baseline::{PlacementKind, QueueKind, ShareKind};
+use crate::simulation::workload::poisson_calls;
+use crate::simulation::{Scenario, Simulation, SimulationResult};
 use domain::TargetKey;
 use policy::placement::PrefixIndex;
 use quickcheck::{Arbitrary, Gen};
@@ -14,64 +14,65 @@
     (0..count).map(|_| arena.insert(())).collect()
 }
 
-/// Shared prompts of 2,400 tokens; each engine's cache holds `cache` of the 160.
-fn run(place: PlaceKind, affinity: bool, cache: usize) -> RunResult {
-    let mut setup = Setup {
+/// Runs calls with 160 shared prompts of 2,400 tokens; each engine's cache holds `cache` of them.
+fn run(placement: PlacementKind, affinity: bool, cache: usize) -> SimulationResult {
+    let mut scenario = Scenario {
         entries: 2,
-        place,
+        placement,
         affinity,
         share: ShareKind::Unlimited,
-        queue: QueueKind::FirstCome { bound: usize::MAX },
-        ..Setup::plain(20, 10)
+        queue: QueueKind::Fifo { limit: usize::MAX },
+        ..Scenario::standard(20, 10)
     };
-    for engine in &mut setup.engines {
-        engine.cache = cache;
+    for engine in &mut scenario.engines {
+        engine.cache_capacity = cache;
     }
-    let rate = setup.capacity(400, 100) * 0.5;
-    let calls = steady(11, rate, (0.0, 40.0), |call, rng| {
+    let rate = scenario.capacity(400, 100) * 0.5;
+    let calls = poisson_calls(11, rate, (0.0, 40.0), |call, rng| {
         call.entry = rng.random_range(0..2);
         call.shared = (rng.random_range(1..160_u64) << 20, 2_400);
         call.prompt += 2_400;
     });
-    Driver::new(&setup).run(&calls)
+    Simulation::new(&scenario).run(&calls)
 }
 
-/// Instructors share a few long instructions. A target that has read them gives the first token
-/// sooner.
+/// Many callers share a few long prompts. A target with the prompt in its cache returns the first
+/// token sooner.
 #[test]
-fn held_prefixes_shorten_the_wait() {
-    let with = run(PlaceKind::Predicted, true, 16).first_token(0.5, |job| job.call.at > 10.0);
-    let without = run(PlaceKind::Predicted, false, 16).first_token(0.5, |job| job.call.at > 10.0);
-    assert!(with < without * 0.85, "{with} against {without}");
+fn cached_prefixes_reduce_first_token_time() {
+    let with = run(PlacementKind::Predicted, true, 16).first_token(0.5, |job| job.call.at > 10.0);
+    let without =
+        run(PlacementKind::Predicted, false, 16).first_token(0.5, |job| job.call.at > 10.0);
+    assert!(with < without * 0.85, "{with} versus {without}");
 }
 
-/// The caches forget nearly everything and no event says so. Affinity must not draw requests into
-/// queues for prefixes that are gone.
+/// The caches evict nearly everything without any event. Affinity must not direct requests into
+/// queues for prefixes that are no longer cached.
 #[test]
-fn forgetful_caches_do_no_harm() {
-    let with = run(PlaceKind::Predicted, true, 1);
-    let without = run(PlaceKind::Predicted, false, 1);
-    let tail = |result: &RunResult| result.first_token(0.95, |job| job.call.at > 10.0);
+fn outdated_index_does_not_increase_latency() {
+    let with = run(PlacementKind::Predicted, true, 1);
+    let without = run(PlacementKind::Predicted, false, 1);
+    let tail = |result: &SimulationResult| result.first_token(0.95, |job| job.call.at > 10.0);
     assert!(tail(&with) < tail(&without) * 1.15);
     assert!(with.on_time(|_| true) > without.on_time(|_| true) - 0.01);
 }
 
-/// Whatever is inserted, the index keeps to its bound.
+/// The index stays within its capacity for any insertions.
 #[test]
 fn index_memory_is_bounded() {
     let targets = targets(4);
     for seed in 0..100 {
         let prefixes = Vec::<u64>::arbitrary(&mut Gen::from_size_and_seed(400, seed));
         let mut index = PrefixIndex::new(64);
-        for (place, prefix) in prefixes.iter().enumerate() {
-            index.insert(*prefix, targets[place % 4]);
+        for (position, prefix) in prefixes.iter().enumerate() {
+            index.insert(*prefix, targets[position % 4]);
             assert!(index.len() <= 64);
         }
     }
 }
 
-/// The longest held prefix is named first; one that left is not named; one that every target
-/// holds is common.
+/// The holder of the longest prefix comes first, a removed holder is not returned, and a prefix
+/// held by all targets counts as common.
 #[test]
 fn longest_prefix_comes_first() {
     let targets = targets(12);
--- a/crates/policy/tests/load/driver/callers.rs
+++ b/crates/policy/tests/load/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! What callers ask for and what becomes of it.
+//! Scenarios, the calls in them and their results.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::baseline::{PlaceKind, QueueKind, ShareKind};
+use crate::baseline::{PlacementKind, QueueKind, ShareKind};
 
-/// Time of one token of an answer, in seconds.
+/// Time per token of an answer, in seconds.
 pub const TOKEN_TIME: f64 = 0.036;
-/// A first token later than this is late.
-pub const PATIENCE: Duration = Duration::from_millis(1_700);
+/// Time after a call's arrival up to which a first token counts as on time.
+pub const FIRST_TOKEN_LIMIT: Duration = Duration::from_millis(1_700);
 
 pub fn seconds(value: f64) -> Duration {
     Duration::from_secs_f64(value)
@@ -21,21 +21,21 @@
 pub struct EngineSpec {
     pub slots: u32,
     pub prompt_rate: f64,
-    /// Factor on every time, within the span.
-    pub slow: (f64, f64, f64),
-    /// Span in which every stream fails at once.
-    pub fails: (f64, f64),
-    /// Shared prompts that the cache holds.
-    pub cache: usize,
+    /// Factor on all processing times, with the start and end of the slowdown in seconds.
+    pub slowdown: (f64, f64, f64),
+    /// Start and end of the time in which every stream fails immediately, in seconds.
+    pub failing: (f64, f64),
+    /// Number of shared prompts that the engine's cache holds.
+    pub cache_capacity: usize,
     pub max_queue: usize,
 }
 
 pub const ENGINE: EngineSpec = EngineSpec {
     slots: 16,
     prompt_rate: 8_000.0,
-    slow: (1.0, 0.0, 0.0),
-    fails: (0.0, 0.0),
-    cache: 8,
+    slowdown: (1.0, 0.0, 0.0),
+    failing: (0.0, 0.0),
+    cache_capacity: 8,
     max_queue: 64,
 };
 
@@ -46,68 +46,70 @@
     pub customer: usize,
     pub prompt: u32,
     pub answer: u32,
-    /// Shared prompt and its tokens.
+    /// Identifier of the shared part of the prompt, and its length in tokens.
     pub shared: (u64, u32),
 }
 
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct Scenario {
     pub entries: usize,
     pub engines: Vec<EngineSpec>,
     pub customers: usize,
     pub queue: QueueKind,
-    pub place: PlaceKind,
-    pub draws: usize,
+    pub placement: PlacementKind,
+    pub samples: usize,
     pub affinity: bool,
     pub share: ShareKind,
-    /// Period and lag of the load reports in seconds.
-    pub reports: (f64, f64),
-    /// Span without reports.
-    pub blackout: (f64, f64),
-    /// How often a refused caller comes back.
-    pub returns: u32,
-    /// Time after which it does, instead of the one it was told.
-    pub fixed_return: Option<Duration>,
+    /// Interval and lag of the load reports, in seconds.
+    pub report_timing: (f64, f64),
+    /// Start and end of the time without reports, in seconds.
+    pub report_outage: (f64, f64),
+    /// Maximum number of retries by a refused caller.
+    pub max_retries: u32,
+    /// Delay before a retry, instead of the one that the caller was given.
+    pub fixed_retry_after: Option<Duration>,
     pub seed: u64,
 }
 
-impl Setup {
-    /// One entry before engines of 16 slots, with the product's own decisions.
-    pub fn plain(engines: usize, seed: u64) -> Self {
+impl Scenario {
+    /// One entry in front of engines with 16 slots, with the policies of this crate.
+    pub fn standard(engines: usize, seed: u64) -> Self {
         Self {
             entries: 1,
             engines: vec![ENGINE; engines],
             customers: 4,
             queue: QueueKind::Fair,
-            place: PlaceKind::Predicted,
-            draws: 4,
+            placement: PlacementKind::Predicted,
+            samples: 4,
             affinity: true,
             share: ShareKind::Scaled,
-            reports: (0.5, 0.5),
-            blackout: (0.0, 0.0),
-            returns: 0,
-            fixed_return: None,
+            report_timing: (0.5, 0.5),
+            report_outage: (0.0, 0.0),
+            max_retries: 0,
+            fixed_retry_after: None,
             seed,
         }
     }
 
-    /// Answers of `prompt` and `answer` tokens a second that the engines can give.
+    /// Returns how many answers per second the engines can give, at `prompt` and `answer` tokens
+    /// each.
     pub fn capacity(&self, prompt: u32, answer: u32) -> f64 {
         let rates = self.engines.iter().map(|engine| {
-            let read = f64::from(prompt) / engine.prompt_rate + 0.01;
-            let stay = read + f64::from(answer) * TOKEN_TIME;
-            (f64::from(engine.slots) / stay).min(1.0 / read)
+            let prefill = f64::from(prompt) / engine.prompt_rate + 0.01;
+            let duration = prefill + f64::from(answer) * TOKEN_TIME;
+            (f64::from(engine.slots) / duration).min(1.0 / prefill)
         });
         rates.sum()
     }
 }
 
-/// Calls at a mean rate a second within a span, with answers of 20 to 180 tokens.
-pub fn steady(
+/// Generates calls as a Poisson process with a mean rate per second, with answers of 20 to 180
+/// tokens.
+pub fn poisson_calls(
     seed: u64,
     rate: f64,
     span: (f64, f64),
-    form: impl Fn(&mut Call, &mut SmallRng),
+    adjust: impl Fn(&mut Call, &mut SmallRng),
 ) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut calls = Vec::new();
@@ -125,19 +127,19 @@
             answer: rng.random_range(20..180),
             shared: (calls.len() as u64, 0),
         };
-        form(&mut call, &mut rng);
+        adjust(&mut call, &mut rng);
         calls.push(call);
     }
 }
 
-/// Several streams of calls as one, in the order of their times.
-pub fn merged(streams: Vec<Vec<Call>>) -> Vec<Call> {
+/// Merges several sequences of calls, ordered by time.
+pub fn merge_calls(streams: Vec<Vec<Call>>) -> Vec<Call> {
     let mut calls: Vec<Call> = streams.into_iter().flatten().collect();
     calls.sort_by(|left, right| left.at.total_cmp(&right.at));
     calls
 }
 
-/// A caller's request and what became of it.
+/// A call and its result.
 #[derive(Debug)]
 pub struct Job {
     pub call: Call,
@@ -147,13 +149,13 @@
     pub retry_after: f64,
     pub choice: Option<PlacementChoice>,
     pub engine: usize,
-    pub sent: Duration,
-    pub arrived: Duration,
+    pub sent_at: Duration,
+    pub arrived_at: Duration,
     pub attempts: u32,
     pub started: bool,
-    pub returns: u32,
-    /// Time from sending to the first token.
-    pub first: Option<Duration>,
+    pub retries: u32,
+    /// Time from the last sending to the first token.
+    pub target_first_token: Option<Duration>,
     prefixes: Vec<u64>,
 }
 
@@ -176,19 +178,19 @@
             retry_after: 0.0,
             choice: None,
             engine: 0,
-            sent: Duration::ZERO,
-            arrived: Duration::ZERO,
+            sent_at: Duration::ZERO,
+            arrived_at: Duration::ZERO,
             attempts: 0,
             started: false,
-            returns: 0,
-            first: None,
+            retries: 0,
+            target_first_token: None,
             prefixes: (0..u64::from(call.prompt / 16)).map(hash).collect(),
         }
     }
 
     pub fn on_time(&self) -> bool {
         self.first_token
-            .is_some_and(|time| time <= PATIENCE.as_secs_f64())
+            .is_some_and(|time| time <= FIRST_TOKEN_LIMIT.as_secs_f64())
     }
 
     pub fn cost(&self) -> u32 {
@@ -208,46 +210,46 @@
     }
 }
 
-/// What a run did for its callers.
+/// Results of a simulation.
 #[derive(Debug)]
-pub struct RunResult {
+pub struct SimulationResult {
     pub jobs: Vec<Job>,
-    pub deepest: usize,
-    pub busy_slots: f64,
+    pub max_engine_queue: usize,
+    pub slot_seconds: f64,
 }
 
-impl RunResult {
-    pub fn pick(&self, keep: impl Fn(&Job) -> bool) -> Vec<&Job> {
+impl SimulationResult {
+    pub fn filter(&self, keep: impl Fn(&Job) -> bool) -> Vec<&Job> {
         self.jobs.iter().filter(|job| keep(job)).collect()
     }
 
     pub fn on_time(&self, keep: impl Fn(&Job) -> bool) -> f64 {
-        let picked = self.pick(keep);
-        let good = picked.iter().filter(|job| job.on_time()).count();
-        good as f64 / picked.len().max(1) as f64
+        let selected = self.filter(keep);
+        let good = selected.iter().filter(|job| job.on_time()).count();
+        good as f64 / selected.len().max(1) as f64
     }
 
-    /// Tokens of answers that began on time, a second of the span.
+    /// Returns the tokens per second of answers that started on time.
     pub fn goodput(&self, from: f64, until: f64) -> f64 {
-        let good = self.pick(|job| job.on_time() && (from..until).contains(&job.call.at));
+        let good = self.filter(|job| job.on_time() && (from..until).contains(&job.call.at));
         good.iter()
             .map(|job| f64::from(job.call.answer))
             .fold(0.0, |sum, tokens| sum + tokens)
             / (until - from)
     }
 
-    /// Percentile of the time to the first token among those that got one.
-    pub fn first_token(&self, part: f64, keep: impl Fn(&Job) -> bool) -> f64 {
+    /// Returns a quantile of the time to first token, over the selected calls that got one.
+    pub fn first_token(&self, quantile: f64, keep: impl Fn(&Job) -> bool) -> f64 {
         let mut times: Vec<f64> = self
-            .pick(keep)
+            .filter(keep)
             .iter()
             .filter_map(|job| job.first_token)
             .collect();
         times.sort_by(f64::total_cmp);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let place = (times.len() as f64 * part) as usize;
+        let index = (times.len() as f64 * quantile) as usize;
         times
-            .get(place.min(times.len().saturating_sub(1)))
+            .get(index.min(times.len().saturating_sub(1)))
             .copied()
             .unwrap_or(f64::NAN)
     }
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -1,10 +1,10 @@
-//! Choosing a target by its predicted time to the first token.
+//! Target selection by the predicted time to first token.
 
 use std::time::Duration;
 
-use crate::baseline::{PlaceKind, QueueKind, ShareKind};
-use crate::driver::callers::steady;
-use crate::driver::{Call, Driver, Job, RunResult, Setup};
+use crate::baseline::{PlacementKind, QueueKind, ShareKind};
+use crate::simulation::workload::poisson_calls;
+use crate::simulation::{Call, Job, Scenario, Simulation, SimulationResult};
 use domain::{AdapterName, TargetKey};
 use policy::placement::{
     AttemptOutcome, PlacementRequest, PlacementSettings, TargetLoad, TargetPool, TargetProperties,
@@ -12,86 +12,87 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const BASELINES: [PlaceKind; 4] = [
-    PlaceKind::Random,
-    PlaceKind::RoundRobin,
-    PlaceKind::LeastReported,
-    PlaceKind::TwoReported,
+const BASELINES: [PlacementKind; 4] = [
+    PlacementKind::Random,
+    PlacementKind::RoundRobin,
+    PlacementKind::LeastLoaded,
+    PlacementKind::TwoChoices,
 ];
 
-/// Two entries before 20 engines at three quarters of their capacity; one call in ten is long.
-fn run(place: PlaceKind, form: impl Fn(&mut Setup)) -> RunResult {
-    let mut setup = Setup {
+/// Runs two entries in front of 20 engines at three quarters of their capacity; one call in ten is
+/// long.
+fn run(placement: PlacementKind, adjust: impl Fn(&mut Scenario)) -> SimulationResult {
+    let mut scenario = Scenario {
         entries: 2,
-        place,
+        placement,
         share: ShareKind::Unlimited,
-        queue: QueueKind::FirstCome { bound: usize::MAX },
-        ..Setup::plain(20, 6)
+        queue: QueueKind::Fifo { limit: usize::MAX },
+        ..Scenario::standard(20, 6)
     };
-    form(&mut setup);
-    let rate = setup.capacity(400, 100) * 0.55;
-    let calls = steady(7, rate, (0.0, 40.0), |call: &mut Call, rng| {
+    adjust(&mut scenario);
+    let rate = scenario.capacity(400, 100) * 0.55;
+    let calls = poisson_calls(7, rate, (0.0, 40.0), |call: &mut Call, rng| {
         call.entry = rng.random_range(0..2);
         if rng.random_bool(0.1) {
             call.prompt *= 8;
             call.answer *= 4;
         }
     });
-    Driver::new(&setup).run(&calls)
+    Simulation::new(&scenario).run(&calls)
 }
 
 fn after_start(job: &Job) -> bool {
     job.call.at > 5.0
 }
 
-/// Short and long work together: no baseline has a better tail of first-token times.
+/// With a mix of short and long calls, no baseline has a lower tail latency to the first token.
 #[test]
-fn mixed_work_beats_the_baselines() {
-    let ours = run(PlaceKind::Predicted, |_| {});
+fn mixed_workload_beats_baselines() {
+    let ours = run(PlacementKind::Predicted, |_| {});
     assert!(ours.on_time(after_start) > 0.998);
     let tail = ours.first_token(0.99, after_start);
     for baseline in BASELINES {
-        let theirs = run(baseline, |_| {}).first_token(0.99, after_start);
+        let other = run(baseline, |_| {}).first_token(0.99, after_start);
         assert!(
-            tail < theirs * 0.98,
-            "{tail} against {theirs} of {baseline:?}"
+            tail < other * 0.98,
+            "{tail} versus {other} for {baseline:?}"
         );
     }
 }
 
-/// One engine becomes four times slower for 20 seconds and recovers. Its callers' first tokens
-/// are late with the baselines.
+/// One engine is four times slower for 20 seconds and then recovers. With the baselines, its
+/// callers' first tokens are late.
 #[test]
-fn straggler_is_left_out() {
-    let slow = |setup: &mut Setup| setup.engines[3].slow = (4.0, 10.0, 30.0);
-    let ours = run(PlaceKind::Predicted, slow);
+fn straggler_is_ejected() {
+    let slow = |scenario: &mut Scenario| scenario.engines[3].slowdown = (4.0, 10.0, 30.0);
+    let ours = run(PlacementKind::Predicted, slow);
     assert!(ours.on_time(after_start) > 0.995);
-    for baseline in [PlaceKind::Random, PlaceKind::RoundRobin] {
-        let theirs = run(baseline, slow).on_time(after_start);
-        assert!(theirs < 0.98, "{theirs} of {baseline:?}");
+    for baseline in [PlacementKind::Random, PlacementKind::RoundRobin] {
+        let other = run(baseline, slow).on_time(after_start);
+        assert!(other < 0.98, "{other} for {baseline:?}");
     }
 }
 
-/// One engine fails every stream at once and therefore looks idle. A choice by reported load
-/// sends it more and more; callers notice by the retries.
+/// One engine fails every stream immediately and therefore looks idle. Selection by reported load
+/// sends it more and more calls, and callers have to wait for the retries.
 #[test]
-fn fast_failures_attract_nothing() {
-    let failing = |setup: &mut Setup| setup.engines[3].fails = (10.0, 30.0);
-    let count = |result: RunResult| result.jobs.iter().map(|job| job.failures).sum::<u32>();
-    let ours = count(run(PlaceKind::Predicted, failing));
-    let random = count(run(PlaceKind::Random, failing));
-    let reported = count(run(PlaceKind::TwoReported, failing));
-    assert!(ours * 2 < random, "{ours} against {random}");
-    assert!(ours * 4 < reported, "{ours} against {reported}");
+fn fast_failures_attract_no_requests() {
+    let failing = |scenario: &mut Scenario| scenario.engines[3].failing = (10.0, 30.0);
+    let count = |result: SimulationResult| result.jobs.iter().map(|job| job.failures).sum::<u32>();
+    let ours = count(run(PlacementKind::Predicted, failing));
+    let random = count(run(PlacementKind::Random, failing));
+    let reported = count(run(PlacementKind::TwoChoices, failing));
+    assert!(ours * 2 < random, "{ours} versus {random}");
+    assert!(ours * 4 < reported, "{ours} versus {reported}");
 }
 
-/// The reports stop for 20 seconds. Whoever trusts the last ones sends everything to the engines
-/// that were idle then.
+/// Reports stop for 20 seconds. A selection that relies on the last ones sends everything to the
+/// engines that were idle then.
 #[test]
-fn old_reports_mislead_no_one() {
-    let cut = |setup: &mut Setup| setup.blackout = (10.0, 30.0);
-    let ours = run(PlaceKind::Predicted, cut).on_time(after_start);
-    let reported = run(PlaceKind::TwoReported, cut).on_time(after_start);
+fn outdated_reports_do_not_misdirect_requests() {
+    let outage = |scenario: &mut Scenario| scenario.report_outage = (10.0, 30.0);
+    let ours = run(PlacementKind::Predicted, outage).on_time(after_start);
+    let reported = run(PlacementKind::TwoChoices, outage).on_time(after_start);
     assert!(ours > 0.99, "{ours}");
     assert!(reported < 0.97, "{reported}");
 }
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Sends a request at `now` and ends it with `outcome`, and tells where it went.
+    /// Sends a request at `now`, ends it with `outcome` and returns the target that it was sent to.
     fn send(&mut self, now: Duration, outcome: impl Fn(TargetKey) -> AttemptOutcome) -> TargetKey {
         let list = self.pool.candidates(self.targets.iter().copied());
         let request = PlacementRequest::default();
         let choice = self
             .pool
             .choose(&list, &request, now, |_| true, &mut self.rng);
-        let choice = choice.expect("there are targets");
+        let choice = choice.expect("targets are available");
         self.pool.record_sent(&choice, &request, now);
         let outcome = outcome(choice.target);
         let later = now + Duration::from_millis(10);
@@ -137,13 +138,13 @@
     }
 }
 
-/// A target that failed is tried again with one request at a time, and is back in use soon after
-/// it has recovered; while it flaps it gets ever fewer tries.
+/// A failed target is probed with one request at a time and used again soon after it has recovered;
+/// the longer it keeps failing, the fewer probes it gets.
 #[test]
-fn recovered_target_returns() {
+fn recovered_target_is_used_again() {
     let mut fixture = Fixture::new(4);
     let bad = fixture.targets[0];
-    let mut tries = 0;
+    let mut attempts = 0;
     for step in 0..600 {
         let now = Duration::from_millis(step * 100);
         let target = fixture.send(now, |target| {
@@ -153,22 +154,25 @@
                 AttemptOutcome::Finished
             }
         });
-        tries += usize::from(target == bad);
+        attempts += usize::from(target == bad);
     }
-    assert!((3..=12).contains(&tries), "{tries} tries in a minute");
-    let mut back = 0;
+    assert!(
+        (3..=12).contains(&attempts),
+        "{attempts} attempts in a minute"
+    );
+    let mut used = 0;
     for step in 600..1_200 {
         let now = Duration::from_millis(step * 100);
         let target = fixture.send(now, |_| AttemptOutcome::Finished);
-        back += usize::from(target == bad && step > 950);
+        used += usize::from(target == bad && step > 950);
     }
-    assert!(back > 30, "{back} of 250 requests after its recovery");
+    assert!(used > 30, "{used} of 250 requests after its recovery");
 }
 
-/// A target fails in every other second. Its good seconds must not win it back at once, or callers
-/// of the bad ones meet it as often as by chance, which is 150 times.
+/// A target fails in every other second. If it were used again immediately after each good second,
+/// its failures would be as frequent as with random selection, which is 150.
 #[test]
-fn flapping_target_costs_little() {
+fn flapping_target_causes_few_failures() {
     let mut fixture = Fixture::new(4);
     let bad = fixture.targets[0];
     let mut failures = 0;
@@ -187,8 +191,8 @@
     assert!(failures < 75, "{failures} failures");
 }
 
-/// The entry's own network fails, so that every target seems to fail. It must go on trying, or
-/// callers would be refused long after the network is back.
+/// The entry's own network fails, so that every target appears to fail. The entry must keep
+/// sending, or callers would be refused long after the network has recovered.
 #[test]
 fn most_targets_stay_in_use() {
     let mut fixture = Fixture::new(10);
@@ -200,29 +204,29 @@
             seen.insert(target);
         }
     }
-    assert!(seen.len() >= 7, "{} of 10 are still tried", seen.len());
+    assert!(seen.len() >= 7, "{} of 10 are still in use", seen.len());
 }
 
-/// The gate closes for all targets but one; that one is found.
+/// The filter accepts a single target, which is found; if it accepts none, none is chosen.
 #[test]
-fn closed_gate_is_respected() {
+fn usable_filter_is_respected() {
     let mut fixture = Fixture::new(500);
-    let open = fixture.targets[321];
+    let usable = fixture.targets[321];
     let list = fixture.pool.candidates(fixture.targets.iter().copied());
     let request = PlacementRequest::default();
-    let only = |target| target == open;
+    let filter = |target| target == usable;
     let choice = fixture
         .pool
-        .choose(&list, &request, Duration::ZERO, only, &mut fixture.rng);
-    assert_eq!(choice.map(|choice| choice.target), Some(open));
+        .choose(&list, &request, Duration::ZERO, filter, &mut fixture.rng);
+    assert_eq!(choice.map(|choice| choice.target), Some(usable));
     let none = fixture
         .pool
         .choose(&list, &request, Duration::ZERO, |_| false, &mut fixture.rng);
     assert!(none.is_none());
 }
 
-/// Forty requests arrive between two reports, of which the last shows one target idle and one with
-/// a little work. The own sends count, so that not all of them go to the idle one.
+/// Forty requests arrive between two reports, after one that shows one target idle and one lightly
+/// loaded. The entry's own sends are counted, so that not all requests go to the idle one.
 #[test]
 fn own_sends_correct_the_report() {
     let mut fixture = Fixture::new(2);
@@ -242,14 +246,15 @@
         let choice = fixture
             .pool
             .choose(&list, &request, now, |_| true, &mut fixture.rng)
-            .expect("there are targets");
+            .expect("targets are available");
         fixture.pool.record_sent(&choice, &request, now);
         counts[usize::from(choice.target == fixture.targets[1])] += 1;
     }
     assert!(counts[0] >= 16 && counts[1] >= 16, "{counts:?}");
 }
 
-/// Near targets are preferred until they are loaded, and a loaded adapter is worth a longer way.
+/// Near targets are preferred until they are loaded, and a loaded adapter outweighs a longer round
+/// trip.
 #[test]
 fn round_trip_and_adapters_are_weighed() {
     let adapter: AdapterName = "badges".parse().expect("a name");
@@ -267,10 +272,10 @@
     let mut choose = |pool: &mut TargetPool, adapter| {
         let request = PlacementRequest::builder().maybe_adapter(adapter).build();
         let choice = pool.choose(&list, &request, Duration::ZERO, |_| true, &mut rng);
-        choice.expect("there are targets").target
+        choice.expect("targets are available").target
     };
     let to_far = (0..50).filter(|_| choose(&mut pool, None) == far).count();
-    assert!(to_far < 5, "{to_far} of 50 took the long way");
+    assert!(to_far < 5, "{to_far} of 50 went to the distant target");
     let to_far = (0..50).filter(|_| choose(&mut pool, Some(&adapter)) == far);
     assert!(to_far.count() > 40);
 }
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries within a budget.
+//! Retry decisions within the budget.
 
 use std::time::Duration;
 
@@ -15,10 +15,11 @@
         .build()
 }
 
-/// Every target fails for a minute while 100 callers a second ask. If each request were sent four
-/// times, the targets would get 400 a second just when they struggle.
+/// Every target fails for a minute while callers send 100 requests per second. Without the budget
+/// each request would be sent four times, and the targets would get 400 requests per second while
+/// they are struggling.
 #[test]
-fn retries_stay_bounded_when_all_fails() {
+fn retries_are_bounded_when_everything_fails() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut budget = RetryBudget::new(RetrySettings::default());
     let mut retries = 0;
@@ -33,13 +34,14 @@
     }
     assert!(
         (30..=45).contains(&retries),
-        "{retries} retries of 6000 calls"
+        "{retries} retries for 6000 calls"
     );
 }
 
-/// One call in twenty fails. Each is retried, because the successes pay for it.
+/// One call in twenty fails. Each one is retried, because the successes have added enough to the
+/// budget.
 #[test]
-fn rare_failures_are_all_retried() {
+fn rare_failures_are_always_retried() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut budget = RetryBudget::new(RetrySettings::default());
     for call in 0..2_000_u64 {
@@ -56,10 +58,10 @@
     }
 }
 
-/// A fee payment was sent and no answer came. To send it again could charge the trader twice,
-/// whatever budget is left.
+/// A payment was sent and no answer arrived. Sending it again could charge the user twice, so it is
+/// not retried regardless of the budget.
 #[test]
-fn begun_payment_is_never_repeated() {
+fn possibly_sent_payment_is_not_retried() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut budget = RetryBudget::new(RetrySettings::default());
     let payment = FailedAttempt {
@@ -76,16 +78,16 @@
     assert!(matches!(decision, RetryDecision::Retry { .. }));
 }
 
-/// No attempt starts after its deadline or beyond the limit, and the waits differ.
+/// No attempt starts after the deadline or beyond the limit, and the delays differ.
 #[test]
-fn attempts_end_in_time() {
+fn attempts_respect_deadline_and_limit() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut budget = RetryBudget::new(RetrySettings::default());
-    let late = FailedAttempt {
+    let expired = FailedAttempt {
         deadline: Duration::from_secs(1),
         ..attempt(1)
     };
-    let decision = budget.decide(Duration::from_secs(1), &late, &mut rng);
+    let decision = budget.decide(Duration::from_secs(1), &expired, &mut rng);
     assert_eq!(
         decision,
         RetryDecision::GiveUp(GiveUpReason::DeadlineExceeded)
@@ -95,15 +97,15 @@
         decision,
         RetryDecision::GiveUp(GiveUpReason::AttemptsExhausted)
     );
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..5 {
         if let RetryDecision::Retry { wait } =
             budget.decide(Duration::from_secs(1), &attempt(2), &mut rng)
         {
-            waits.push(wait);
+            delays.push(wait);
         }
     }
-    waits.sort();
-    waits.dedup();
-    assert_eq!(waits.len(), 5);
+    delays.sort();
+    delays.dedup();
+    assert_eq!(delays.len(), 5);
 }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,11 +1,11 @@
-//! How many replicas of an old version may be drained at a time.
+//! Number of replicas of an old version that may be drained at a time.
 
 use policy::rollout::allowed_drains;
 
-/// The room follows what serves, a model of few replicas still gets on, and one that nobody wants
-/// goes at once.
+/// The number follows the serving replicas, a model with few replicas still makes progress, and a
+/// model that is no longer desired may be drained at once.
 #[test]
-fn room_follows_serving() {
+fn allowed_drains_follow_serving_replicas() {
     assert_eq!(allowed_drains(20, 20, 20), 1);
     assert_eq!(allowed_drains(20, 19, 20), 0);
     assert_eq!(allowed_drains(20, 24, 20), 5);
--- a/crates/policy/tests/service_choice.rs
+++ b/crates/policy/tests/service_choice.rs
@@ -1,4 +1,4 @@
-//! Choosing an instance of a plain service.
+//! Selection of an instance of a plain service.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     vec![InstanceStats::default(); 3]
 }
 
-/// Sends a call each 10 ms; `answer` gives each instance's time and outcome.
+/// Sends a call every 10 ms; `answer` returns an instance's latency and outcome.
 fn send_calls(
     instances: &mut [InstanceStats],
     calls: u64,
@@ -18,10 +18,10 @@
 ) -> [usize; 3] {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts = [0; 3];
-    let mut open: Vec<(Duration, usize, Duration, CallOutcome)> = Vec::new();
+    let mut in_progress: Vec<(Duration, usize, Duration, CallOutcome)> = Vec::new();
     for call in 0..calls {
         let now = Duration::from_millis(call * 10);
-        open.retain(|(end, index, elapsed, outcome)| {
+        in_progress.retain(|(end, index, elapsed, outcome)| {
             if *end <= now {
                 instances[*index].record_ended(*end, *elapsed, *outcome);
             }
@@ -31,32 +31,32 @@
         instances[index].record_sent();
         counts[index] += 1;
         let (elapsed, outcome) = answer(index);
-        open.push((now + elapsed, index, elapsed, outcome));
+        in_progress.push((now + elapsed, index, elapsed, outcome));
     }
     counts
 }
 
-/// Equal instances share the calls.
+/// Equal instances get about the same number of calls.
 #[test]
-fn equal_instances_share() {
-    let even = |_| (Duration::from_millis(20), CallOutcome::Answered);
-    let counts = send_calls(&mut instances(), 3_000, even);
+fn equal_instances_share_the_calls() {
+    let fast = |_| (Duration::from_millis(20), CallOutcome::Answered);
+    let counts = send_calls(&mut instances(), 3_000, fast);
     assert!(counts.iter().all(|count| *count > 700), "{counts:?}");
 }
 
-/// One instance of the registry is ten times slower. Clerks notice if they still meet it.
+/// One instance is ten times slower. If it still got its share of the calls, users would notice.
 #[test]
-fn slow_instance_gets_little() {
+fn slow_instance_gets_few_calls() {
     let counts = send_calls(&mut instances(), 3_000, |index| {
-        let slow = if index == 0 { 10 } else { 1 };
-        (Duration::from_millis(20 * slow), CallOutcome::Answered)
+        let factor = if index == 0 { 10 } else { 1 };
+        (Duration::from_millis(20 * factor), CallOutcome::Answered)
     });
     assert!(counts[0] < 450, "{counts:?}");
 }
 
-/// One instance refuses every connection at once and so looks idle.
+/// One instance refuses every connection immediately and therefore looks idle.
 #[test]
-fn failing_instance_gets_hardly_any() {
+fn failing_instance_gets_hardly_any_calls() {
     let counts = send_calls(&mut instances(), 3_000, |index| match index {
         0 => (Duration::from_millis(1), CallOutcome::Failed),
         _ => (Duration::from_millis(20), CallOutcome::Answered),
@@ -64,10 +64,10 @@
     assert!((2..=40).contains(&counts[0]), "{counts:?}");
 }
 
-/// All instances failed. One is still chosen, because only a call finds out that it is back; an
-/// instance that the caller rules out never is.
+/// All instances have failed. One is still chosen, because only a call detects recovery; an
+/// instance that the caller excludes is never chosen.
 #[test]
-fn last_resort_is_tried() {
+fn ejected_instance_is_used_as_last_resort() {
     let mut instances = instances();
     for instance in &mut instances {
         for _ in 0..4 {
