--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a gateway knows of its deployment and what it decides from it.
+//! A gateway's view of its deployment, and the decisions that it derives from it.
 //!
-//! Everything here is plain data with rules: no input, output, clocks or hidden randomness. A
-//! time is a [`std::time::Duration`] since the start of the process, on its own monotonic clock.
+//! The code is deterministic and free of side effects: no I/O, no clocks and no random numbers.
+//! Times are passed in as a [`std::time::Duration`] since the start of the process, measured on
+//! its monotonic clock.
 
 pub mod choose;
-pub mod events;
+pub mod event_stream;
 pub mod hashing;
 pub mod plan;
 pub mod poison;
@@ -18,7 +19,7 @@
 pub mod timing;
 
 pub use choose::{ChoiceLimits, TargetLoad, choose_target};
-pub use events::EventSplitter;
+pub use event_stream::EventSplitter;
 pub use poison::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint, TargetCrash};
 pub use prompt_backlog::PromptBacklog;
 pub use registry::{ReplicaView, TargetRegistry};
--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -1,4 +1,4 @@
-//! Which request ends the targets that run it.
+//! Detection of poison requests: requests that crash the targets that run them.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,8 +7,9 @@
 
 use domain::{BootNumber, FastMap, FastSet, HostId};
 
-/// Stands for all requests with the same path, customer and body: half of a SHA-256, in text 32
-/// hexadecimal digits.
+/// Identifies all requests with the same path, customer and body.
+///
+/// It is the first half of a SHA-256 hash, printed as 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint(pub u128);
 
@@ -26,92 +27,95 @@
     }
 }
 
-/// A request that was at a target when it ended.
+/// A request that was at a target when the target crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// How long its answer had been under way; nothing if none had begun.
+    /// Time since its answer began; `None` if no answer had begun.
     pub answer_age: Option<Duration>,
 }
 
-/// Targets that must have ended under a request, and under no other that explains their ends, before
-/// it is barred. Two hosts may be lost under one request by chance; three seldom are.
+/// Crashes that must involve a request, and no other barred request, before it is barred. Two
+/// hosts may be lost under the same request by chance; three seldom are.
 pub const MIN_CRASHES_TO_BAR: usize = 3;
 
-/// Ends from which on a request is sent to one target for each of its arrivals.
-const SUSPECT_ENDS: usize = 2;
+/// Unexplained crashes that must involve a request before it is suspect. A suspect request is sent
+/// to a single target per arrival.
+const MIN_CRASHES_TO_SUSPECT: usize = 2;
 
-/// Time for which an end is remembered. What ends targets comes back with its caller, who tries for
-/// minutes.
+/// Time for which a crash counts as evidence. A caller whose request crashes targets sends it again
+/// for minutes.
 pub const CRASH_RETENTION: Duration = Duration::from_mins(10);
 
-/// Ends remembered at most; of more the oldest are forgotten.
-const MOST_REMEMBERED: usize = 1024;
+/// Maximum number of crashes kept; beyond it the oldest are dropped.
+const MAX_CRASHES: usize = 1024;
 
-/// Counts for a request whose answer had not begun, when two are equally often to blame: it waited
-/// beside what ran.
-const WAITING_AGE: Duration = Duration::from_secs(10);
+/// Answer age assumed for a request whose answer had not begun. It was queued while others ran, so
+/// of two requests that were at equally many crashes the running one is the likelier cause.
+const QUEUED_ANSWER_AGE: Duration = Duration::from_secs(10);
 
-/// One end of a target's process.
+/// A crash of one target process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TargetCrash {
-    /// The target.
+    /// Host of the target.
     pub host: HostId,
-    /// Start of the process that ended: the same host may end more than once.
+    /// Boot number of the process that crashed. It tells repeated crashes of a host apart.
     pub boot: BootNumber,
 }
 
-/// How far a request is to blame for the ends of targets.
+/// Result of the detection for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonVerdict {
-    /// Not more than those beside it.
+    /// No more likely a cause than the requests next to it.
     Clear,
-    /// It may be; it is not sent on to a second target.
+    /// A possible cause; it is not sent to a second target.
     Suspect,
-    /// It ends what runs it, and is sent to no target any more.
+    /// The cause of several crashes; it is not sent to any target.
     Barred,
 }
 
 #[derive(Debug)]
-struct EndRecord {
+struct CrashRecord {
     at: Duration,
-    runs: FastMap<RequestFingerprint, Duration>,
+    /// Requests at the target, with the age of their answers.
+    requests: FastMap<RequestFingerprint, Duration>,
 }
 
-/// What ran at targets that ended, and which request that speaks against.
+/// Finds poison requests from the requests that were at crashed targets.
 ///
-/// Dozens of requests run at a target when it ends, and are moved together, so that each of them soon
-/// has seen two or three ends. The one that was there each time explains all of them; once it does,
-/// they speak against nobody else. Of two that were there equally often, the one whose answers had
-/// been under way for less is to blame: it ends what begins to run it.
+/// Dozens of requests run at a target when it crashes, and they move on together, so each of them
+/// has soon been at two or three crashes. The request that was at the most crashes explains them;
+/// those crashes then no longer count against the others. Of two requests that were at equally
+/// many crashes, the one with the younger answers is the likelier cause, since it crashes a target
+/// as soon as it begins to run.
 #[derive(Debug, Default)]
 pub struct PoisonDetector {
-    ends: FastMap<TargetCrash, EndRecord>,
+    crashes: FastMap<TargetCrash, CrashRecord>,
     barred: FastSet<RequestFingerprint>,
     suspects: FastSet<RequestFingerprint>,
 }
 
 impl PoisonDetector {
-    /// Whether no request is barred or suspected.
+    /// Returns whether no request is barred or suspect.
     #[must_use]
     pub fn is_clear(&self) -> bool {
         self.barred.is_empty() && self.suspects.is_empty()
     }
 
-    /// What is held against a request.
+    /// Returns the verdict on a request as of the last evaluation.
     #[must_use]
-    pub fn verdict(&self, mark: RequestFingerprint) -> PoisonVerdict {
-        if self.barred.contains(&mark) {
+    pub fn verdict(&self, fingerprint: RequestFingerprint) -> PoisonVerdict {
+        if self.barred.contains(&fingerprint) {
             PoisonVerdict::Barred
-        } else if self.suspects.contains(&mark) {
+        } else if self.suspects.contains(&fingerprint) {
             PoisonVerdict::Suspect
         } else {
             PoisonVerdict::Clear
         }
     }
 
-    /// Requests that are barred.
+    /// Returns the barred requests in ascending order.
     #[must_use]
     pub fn barred(&self) -> Vec<RequestFingerprint> {
         let mut barred: Vec<RequestFingerprint> = self.barred.iter().copied().collect();
@@ -119,69 +123,71 @@
         barred
     }
 
-    /// Notes what ran at a target that ended, as far as one node knows; other nodes may add to it.
-    pub fn record(&mut self, end: TargetCrash, at: Duration, runs: &[CrashedRequest]) {
-        let record = self.ends.entry(end).or_insert_with(|| EndRecord {
+    /// Adds the requests that one node had at a crashed target.
+    ///
+    /// Several nodes may report the same crash; their requests are merged.
+    pub fn record(&mut self, crash: TargetCrash, at: Duration, requests: &[CrashedRequest]) {
+        let record = self.crashes.entry(crash).or_insert_with(|| CrashRecord {
             at,
-            runs: FastMap::default(),
+            requests: FastMap::default(),
         });
-        for run in runs {
-            let ran = run.answer_age.unwrap_or(WAITING_AGE);
-            let known = record.runs.entry(run.fingerprint).or_insert(ran);
-            *known = ran.min(*known);
+        for request in requests {
+            let age = request.answer_age.unwrap_or(QUEUED_ANSWER_AGE);
+            let known = record.requests.entry(request.fingerprint).or_insert(age);
+            *known = age.min(*known);
         }
     }
 
-    /// Judges anew, from the ends within [`CRASH_RETENTION`].
+    /// Recomputes all verdicts from the crashes within [`CRASH_RETENTION`].
     pub fn evaluate(&mut self, now: Duration) {
-        self.forget(now);
+        self.expire(now);
         self.barred.clear();
-        let mut open: Vec<&EndRecord> = self.ends.values().collect();
-        while let Some((mark, count)) = most_to_blame(&open) {
+        let mut unexplained: Vec<&CrashRecord> = self.crashes.values().collect();
+        while let Some((fingerprint, count)) = most_frequent(&unexplained) {
             if count < MIN_CRASHES_TO_BAR {
                 break;
             }
-            self.barred.insert(mark);
-            open.retain(|end| !end.runs.contains_key(&mark));
+            self.barred.insert(fingerprint);
+            unexplained.retain(|crash| !crash.requests.contains_key(&fingerprint));
         }
-        self.suspects = seen_often(&open);
+        self.suspects = find_suspects(&unexplained);
     }
 
-    fn forget(&mut self, now: Duration) {
-        self.ends
-            .retain(|_, end| now.saturating_sub(end.at) < CRASH_RETENTION);
-        if self.ends.len() <= MOST_REMEMBERED {
+    fn expire(&mut self, now: Duration) {
+        self.crashes
+            .retain(|_, crash| now.saturating_sub(crash.at) < CRASH_RETENTION);
+        if self.crashes.len() <= MAX_CRASHES {
             return;
         }
-        let mut times: Vec<Duration> = self.ends.values().map(|end| end.at).collect();
+        let mut times: Vec<Duration> = self.crashes.values().map(|crash| crash.at).collect();
         times.sort_unstable();
-        let oldest = times[times.len() - MOST_REMEMBERED];
-        self.ends.retain(|_, end| end.at >= oldest);
+        let oldest = times[times.len() - MAX_CRASHES];
+        self.crashes.retain(|_, crash| crash.at >= oldest);
     }
 }
 
-/// The request that was at most of the ends, and at how many.
-fn most_to_blame(ends: &[&EndRecord]) -> Option<(RequestFingerprint, usize)> {
+/// Returns the request that was at the most crashes, and their number.
+fn most_frequent(crashes: &[&CrashRecord]) -> Option<(RequestFingerprint, usize)> {
     let mut seen: FastMap<RequestFingerprint, (usize, Duration)> = FastMap::default();
-    for end in ends {
-        for (mark, ran) in &end.runs {
-            let (count, total) = seen.entry(*mark).or_default();
+    for crash in crashes {
+        for (fingerprint, age) in &crash.requests {
+            let (count, total_age) = seen.entry(*fingerprint).or_default();
             *count += 1;
-            *total += *ran;
+            *total_age += *age;
         }
     }
-    let rank = |(mark, (count, total)): &(RequestFingerprint, (usize, Duration))| {
-        (std::cmp::Reverse(*count), *total, *mark)
+    let rank = |(fingerprint, (count, total_age)): &(RequestFingerprint, (usize, Duration))| {
+        (std::cmp::Reverse(*count), *total_age, *fingerprint)
     };
     let most = seen.into_iter().min_by_key(rank)?;
     Some((most.0, most.1.0))
 }
 
-fn seen_often(ends: &[&EndRecord]) -> FastSet<RequestFingerprint> {
+fn find_suspects(crashes: &[&CrashRecord]) -> FastSet<RequestFingerprint> {
     let mut seen: FastMap<RequestFingerprint, usize> = FastMap::default();
-    for mark in ends.iter().flat_map(|end| end.runs.keys()) {
-        *seen.entry(*mark).or_default() += 1;
+    for fingerprint in crashes.iter().flat_map(|crash| crash.requests.keys()) {
+        *seen.entry(*fingerprint).or_default() += 1;
     }
-    seen.retain(|_, count| *count >= SUSPECT_ENDS);
+    seen.retain(|_, count| *count >= MIN_CRASHES_TO_SUSPECT);
     seen.into_keys().collect()
 }
