--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -1,95 +1,99 @@
-//! How often requests may be sent a second time.
+//! Limits on how many requests are retried.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Limits of repeats over a sliding window, for all nodes together.
+/// Retry limits over a sliding window, shared by all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
     /// Length of the window.
     pub window: Duration,
-    /// Repeats allowed for each request.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Repeats allowed besides, summed over all nodes.
+    /// Retries allowed in the window on top of the ratio, for all nodes together.
     pub extra: f64,
 }
 
-/// Part of the limit that is used. The rest covers requests that other nodes saw as theirs and
-/// windows that begin between two slices.
-const USED_PART: f64 = 0.7;
+/// Fraction of the limit that is used. The rest covers requests that other nodes counted as theirs
+/// and windows that begin between two buckets.
+const USED_FRACTION: f64 = 0.7;
 
-/// Slices of a window; the more, the closer the count follows a sliding window.
-const SLICES: u32 = 20;
+/// Number of buckets per window. More buckets follow a sliding window more closely.
+const BUCKETS: u32 = 20;
 
-/// Repeats of one service on one node.
+/// Retry budget of one service on one node.
 ///
-/// Made for the moment at which a replica or a service fails: without a limit each request would
-/// be sent to all that is left, which then fails as well. A node spends what its own requests
-/// earn and its even part of what is allowed besides, so the sum holds without a message.
+/// Without a limit, the failure of a replica or a service would send every request to all that is
+/// left, which then fails too. Each node may use what its own requests earn and an equal part of
+/// the extra retries, so the nodes together stay within the limit without exchanging messages.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    slices: VecDeque<BudgetSlice>,
+    buckets: VecDeque<BudgetBucket>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct BudgetSlice {
+struct BudgetBucket {
+    /// Position on the time axis, in bucket lengths since the start of the process.
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl RetryBudget {
-    /// An empty window.
+    /// Creates a budget with an empty window.
     #[must_use]
     pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
-            slices: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    fn slice(&mut self, now: Duration) -> &mut BudgetSlice {
-        let length = (self.limits.window / SLICES).as_millis().max(1);
+    /// Drops the buckets that have left the window and returns the current one.
+    fn bucket(&mut self, now: Duration) -> &mut BudgetBucket {
+        let length = (self.limits.window / BUCKETS).as_millis().max(1);
         let number = u64::try_from(now.as_millis() / length).unwrap_or(u64::MAX);
-        while let Some(first) = self.slices.front() {
-            if first.number + u64::from(SLICES) >= number {
+        while let Some(first) = self.buckets.front() {
+            if first.number + u64::from(BUCKETS) >= number {
                 break;
             }
-            self.slices.pop_front();
+            self.buckets.pop_front();
         }
-        if self.slices.back().is_none_or(|last| last.number < number) {
-            self.slices.push_back(BudgetSlice {
+        if self.buckets.back().is_none_or(|last| last.number < number) {
+            self.buckets.push_back(BudgetBucket {
                 number,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        let last = self.slices.len() - 1;
-        &mut self.slices[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    /// Counts a caller's request.
+    /// Counts a request that a caller sent.
     pub fn record_request(&mut self, now: Duration) {
-        self.slice(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
-    /// Repeats that this node may make now, if `nodes` nodes share the limit.
+    /// Returns how many retries this node may make now if `nodes` nodes share the limit; negative
+    /// if it has exceeded its part.
     pub fn remaining(&mut self, now: Duration, nodes: usize) -> f64 {
-        self.slice(now);
-        let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
+        self.bucket(now);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
         let allowed = self.limits.ratio * f64::from(requests) + self.limits.extra / nodes;
-        allowed * USED_PART - f64::from(repeats)
+        allowed * USED_FRACTION - f64::from(retries)
     }
 
-    /// Takes one repeat, if `nodes` nodes that all do so stay within the limit.
+    /// Takes one retry from the budget and returns whether it was allowed, if `nodes` nodes share
+    /// the limit.
     pub fn take(&mut self, now: Duration, nodes: usize) -> bool {
         if self.remaining(now, nodes) < 1.0 {
             return false;
         }
-        self.slice(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 }
