--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -1,96 +1,101 @@
-//! Which target takes a request, and when none should.
+//! Load balancing: which target takes a request, and when none should.
 
 use std::time::Duration;
 
-/// How long a reported load is believed. Targets report with each answer; a replica answers
-/// several times a second under load, so an older report means that little runs there.
-const REPORT_AGE: Duration = Duration::from_millis(1500);
+/// Age up to which a reported load is used. Targets report with each answer, and a replica under
+/// load answers several times a second, so an older report means that little runs there.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
 
-/// Failures in a row after which a target is taken only where no other has room. One may be the
-/// request's own doing; a target that fails fast has no load and would look like the best one.
-const MOST_FAILURES: u32 = 2;
+/// Consecutive failures from which on a target is used only if no other has capacity. A single
+/// failure may be caused by the request; a target that fails fast has no load and would otherwise
+/// look like the best choice.
+const FAILURE_THRESHOLD: u32 = 2;
 
-/// Time after its last failure in which a target is avoided. Without an end to it a replica that
-/// has recovered would get nothing while others have room, and so never show that it has.
-const FAILURE_MEMORY: Duration = Duration::from_secs(1);
+/// Time after its last failure for which a target is avoided. Without a limit, a recovered replica
+/// would get no requests while others have capacity, and could never show that it has recovered.
+const FAILURE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time that each request at a target adds to a first token: its part of a step, seven times a pass,
-/// and of the places that will be full sooner. Small beside a prompt of 1,400 tokens, 28 ms.
-const RUNNING_WAIT: Duration = Duration::from_millis(2);
+/// Delay that each request at a target adds to a first token: its part of a decode step, of which
+/// there are seven per pass, and of the slots that will be full sooner. It is small next to the
+/// prefill of a prompt of 1,400 tokens, which takes 28 ms.
+const WAIT_PER_REQUEST: Duration = Duration::from_millis(2);
 
 /// Load of one target, as one node knows it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TargetLoad {
-    /// Requests of this node there.
+    /// Requests of this node that are at the target.
     pub in_flight: u32,
-    /// Requests running and waiting there, as it reported.
+    /// Running and queued requests of all nodes in the target's last report.
     pub reported: u32,
-    /// When it reported.
+    /// Time of the last report; `None` before the first.
     pub reported_at: Option<Duration>,
-    /// Requests sent since the report, less those that ended.
+    /// Requests sent since the last report, minus those of this node that have ended; may be
+    /// negative.
     pub sent_since_report: i32,
-    /// Failures since the last success.
+    /// Consecutive failures since the last success.
     pub failures: u32,
-    /// When the last of them was.
+    /// Time of the last failure; meaningful only if `failures` is above 0.
     pub failed_at: Duration,
 }
 
 impl TargetLoad {
-    /// Notes a request that was sent.
+    /// Counts a request that this node sent.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
         self.sent_since_report += 1;
     }
 
-    /// Notes a request that another node sent. Its end shows in the next report only.
+    /// Counts a request that another node sent. Its end shows only in the next report.
     pub fn record_sent_elsewhere(&mut self) {
         self.sent_since_report += 1;
     }
 
-    /// Notes the end of a request.
+    /// Counts the end of a request that this node sent.
     pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.sent_since_report -= 1;
     }
 
-    /// Notes a failure.
+    /// Counts a failed request.
     pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         self.failed_at = now;
     }
 
-    /// Notes that it can't be reached now: it is taken only where no other has room.
+    /// Marks the target as unreachable, so that it is used only if no other has capacity.
     pub fn record_unreachable(&mut self, now: Duration) {
-        self.failures = self.failures.max(MOST_FAILURES);
+        self.failures = self.failures.max(FAILURE_THRESHOLD);
         self.failed_at = now;
     }
 
-    /// Notes an answer that is no failure.
+    /// Resets the consecutive failures after an answer that is not a failure.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Whether it failed in a row until just now.
+    /// Returns whether recent requests have failed consecutively.
     #[must_use]
     pub fn is_failing(&self, now: Duration) -> bool {
-        let recent = now.saturating_sub(self.failed_at) < FAILURE_MEMORY;
-        recent && self.failures >= MOST_FAILURES
+        let recent = now.saturating_sub(self.failed_at) < FAILURE_WINDOW;
+        recent && self.failures >= FAILURE_THRESHOLD
     }
 
-    /// Notes a report.
+    /// Takes over the number of requests that the target reported.
     pub fn record_report(&mut self, total: u32, now: Duration) {
         self.reported = total;
         self.reported_at = Some(now);
         self.sent_since_report = 0;
     }
 
-    /// Requests that are probably there, of all nodes.
+    /// Estimates how many requests of all nodes are at the target.
+    ///
+    /// Without a recent report it assumes that all nodes send as many as this one.
     #[must_use]
     pub fn estimate(&self, now: Duration, nodes: usize) -> f64 {
         let own = f64::from(self.in_flight);
         let fresh = self
             .reported_at
-            .is_some_and(|at| now.saturating_sub(at) < REPORT_AGE);
+            .is_some_and(|at| now.saturating_sub(at) < MAX_REPORT_AGE);
         if !fresh {
             let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
             return own * nodes;
@@ -99,88 +104,93 @@
     }
 }
 
-/// One target that could take a request.
+/// A target that could take a request.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetCandidate {
-    /// Its load.
+    /// Load of the target, as this node knows it.
     pub load: TargetLoad,
-    /// Requests it runs at once.
+    /// Requests that the target runs at once.
     pub slots: u32,
-    /// Time until it has read the prompts that wait there, as far as this node knows; nothing for a
-    /// target that reads none, of which any with room will do.
+    /// Estimated time until the prompts queued at the target are prefilled. `None` for targets
+    /// without prompts, of which the first with capacity is used.
     pub prefill_wait: Option<Duration>,
-    /// Requests that this node may have there: its part of the connections that the target takes
-    /// from all nodes. Beyond them the target resets connections, and requests with them.
+    /// Requests that this node may have at the target: its part of the connections that the target
+    /// accepts from all nodes. Beyond its limit the target resets connections, which loses requests.
     pub in_flight_limit: u32,
 }
 
 impl TargetCandidate {
-    fn has_room(&self, limits: ChoiceLimits, now: Duration) -> bool {
-        let places = f64::from(self.slots.max(1)) + limits.queue_limit;
-        self.load.estimate(now, limits.nodes) < places && self.load.in_flight < self.in_flight_limit
+    fn has_capacity(&self, limits: ChoiceLimits, now: Duration) -> bool {
+        let capacity = f64::from(self.slots.max(1)) + limits.queue_limit;
+        self.load.estimate(now, limits.nodes) < capacity
+            && self.load.in_flight < self.in_flight_limit
     }
 
-    /// About how long a request waits there for its first token, beyond what it would anywhere.
-    fn wait(&self, limits: ChoiceLimits, now: Duration) -> Duration {
-        let Some(unread) = self.prefill_wait else {
+    /// Estimates the delay of a first token that is specific to this target.
+    fn expected_wait(&self, limits: ChoiceLimits, now: Duration) -> Duration {
+        let Some(prefill_wait) = self.prefill_wait else {
             return Duration::ZERO;
         };
-        unread + RUNNING_WAIT.mul_f64(self.load.estimate(now, limits.nodes))
+        prefill_wait + WAIT_PER_REQUEST.mul_f64(self.load.estimate(now, limits.nodes))
     }
 }
 
-/// Limits of a choice.
+/// Limits of a choice that are the same for all candidates.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceLimits {
-    /// Requests that may wait at a target beyond those it runs.
+    /// Requests that may wait at a target on top of those that it runs.
     pub queue_limit: f64,
-    /// Nodes that send to the same targets.
+    /// Number of nodes that send to the same targets.
     pub nodes: usize,
 }
 
 /// Why no target takes a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoTarget {
-    /// There is none.
+    /// There are no candidates.
     Absent,
-    /// All are full.
+    /// No candidate has capacity.
     Full,
 }
 
-/// The target among those with room that begins a request soonest, of equal ones the first.
-/// Callers pass candidates in an order drawn for each request, so that is one by chance.
+/// Returns the index of the candidate with capacity that should begin the request soonest.
 ///
-/// Made for several nodes that send prompts of very different lengths to a dozen replicas. What
-/// delays a first token, and breaks the pauses of streams that run, is prompts that wait unread; so
-/// the head with the least of them goes first. Requests alone say little: when each node went to the
-/// one with the fewest, all ran to the same replica until its next report, most of all to one that
-/// had just begun to serve. A head that runs more counts as busier by [`RUNNING_WAIT`] each.
+/// The first of equal candidates wins. Callers pass them in an order drawn per request, which makes
+/// the choice among equals random.
 ///
-/// Where each target has as much waiting as can begin in time, one more request would be late and
-/// make those behind it late as well. It is refused at once instead, while its caller still has
-/// time to come back.
+/// Several nodes send prompts of very different lengths to a dozen replicas. First tokens are late,
+/// and running streams pause, mainly because of prompts that wait for prefill; so the head with the
+/// shortest prefill wait is chosen. The number of requests alone says little: when each node chose
+/// the head with the fewest, all of them chose the same replica until its next report, especially
+/// one that had just begun to serve. Each request at a head adds [`WAIT_PER_REQUEST`].
+///
+/// If as many requests wait at each target as can begin in time, one more would be late and delay
+/// those behind it. It is refused at once, while its caller still has time to retry.
 ///
 /// # Errors
 ///
-/// [`NoTarget`] with the reason.
+/// Returns [`NoTarget`] if there are no candidates or all are full.
 pub fn choose_target(
-    choices: &[TargetCandidate],
+    candidates: &[TargetCandidate],
     limits: ChoiceLimits,
     now: Duration,
 ) -> Result<usize, NoTarget> {
     let mut best: Option<((bool, Duration), usize)> = None;
-    for (index, choice) in choices.iter().enumerate() {
-        if !choice.has_room(limits, now) {
+    for (index, candidate) in candidates.iter().enumerate() {
+        if !candidate.has_capacity(limits, now) {
             continue;
         }
-        let rank = (choice.load.is_failing(now), choice.wait(limits, now));
+        let rank = (
+            candidate.load.is_failing(now),
+            candidate.expected_wait(limits, now),
+        );
         if best.is_none_or(|(least, _)| rank < least) {
             best = Some((rank, index));
         }
     }
     match best {
         Some((_, index)) => Ok(index),
-        None if choices.is_empty() => Err(NoTarget::Absent),
+        None if candidates.is_empty() => Err(NoTarget::Absent),
         None => Err(NoTarget::Full),
     }
 }
