--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -1,19 +1,21 @@
-//! What a node that was told to stop still does, and for how long.
+//! What a node still does after it was told to stop, and for how long.
 
 use std::time::Duration;
 
-/// Time from the signal to the end that is not used for requests: the end of the process itself,
-/// and timers that fire late on a busy host.
-const END_MARGIN: Duration = Duration::from_millis(700);
+/// Time before the kill that is not used for requests. It covers the exit of the process, and timers
+/// that fire late on a busy host.
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time after the signal in which a node serves as before. The balancer takes a node out after two
-/// missed answers, a second apart, and connections opened until then bring requests.
-const LINGER: Duration = Duration::from_millis(2600);
+/// Time after the signal for which a node accepts requests as before. The load balancer takes a node
+/// out after two failed health checks, one second apart, and connections opened until then still
+/// bring requests.
+const FULL_SERVICE_TIME: Duration = Duration::from_millis(2600);
 
-/// Least time from the signal to the end, in which the balancer and callers learn of it.
-const LEAST_TIME: Duration = Duration::from_millis(3200);
+/// Minimum time between the signal and the exit, in which the load balancer and callers learn of the
+/// shutdown.
+const MIN_DURATION: Duration = Duration::from_millis(3200);
 
-/// The course of one stop.
+/// Timeline of one graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownPlan {
     began: Duration,
@@ -21,39 +23,40 @@
 }
 
 impl ShutdownPlan {
-    /// A stop that began with a signal, with the time from it to the kill.
+    /// Creates the plan for a signal that came at `began` and is followed by a kill after `grace`.
     #[must_use]
     pub fn new(began: Duration, grace: Duration) -> Self {
         Self { began, grace }
     }
 
-    /// When what still runs is cut off.
+    /// Returns when the requests that still run are cut off.
     #[must_use]
     pub fn end(&self) -> Duration {
-        self.began + self.grace.saturating_sub(END_MARGIN)
+        self.began + self.grace.saturating_sub(EXIT_MARGIN)
     }
 
-    /// Whether connections should close after the request in progress.
+    /// Returns whether connections are closed after their current request.
     #[must_use]
     pub fn closes_connections(&self, now: Duration) -> bool {
-        now.saturating_sub(self.began) >= LINGER
+        now.saturating_sub(self.began) >= FULL_SERVICE_TIME
     }
 
-    /// Whether a request that arrives now is served; `deadline` is when its time is over.
+    /// Returns whether a request that arrives now and ends by `deadline` is accepted.
     ///
-    /// A balancer that has too few ready nodes in a failure domain goes on sending to those that
-    /// stop, until they are gone: with nodes stopped in series there are always some. A stream
-    /// taken in the last seconds is then cut off in the middle, and its caller, who could have
-    /// been served by another node, has lost the seconds that it waited. So once the balancer has
-    /// had its time, only what is over in time for certain is taken.
+    /// A load balancer with too few healthy nodes in a failure domain keeps sending to nodes that
+    /// stop until they are gone, and during a rolling restart there always are some. A stream
+    /// accepted in the last seconds would be cut off halfway, and its caller, whom another node
+    /// could have served, would have waited for nothing. So once the load balancer has had time to
+    /// react, only requests that are sure to end in time are accepted.
     #[must_use]
     pub fn accepts(&self, now: Duration, deadline: Duration) -> bool {
         !self.closes_connections(now) || deadline <= self.end()
     }
 
-    /// Whether the process may end; `idle` says that no request runs and no connection is open.
+    /// Returns whether the process may exit. `idle` means that no request runs and no connection is
+    /// open.
     #[must_use]
     pub fn is_over(&self, now: Duration, idle: bool) -> bool {
-        now >= self.end() || (idle && now.saturating_sub(self.began) >= LEAST_TIME)
+        now >= self.end() || (idle && now.saturating_sub(self.began) >= MIN_DURATION)
     }
 }
--- a/crates/serving/src/stall.rs
+++ b/crates/serving/src/stall.rs
@@ -1,74 +1,78 @@
-//! Noticing a replica that stands still.
+//! Detection of replicas whose requests make no progress.
 
 use std::time::Duration;
 
-/// Silence after which the members of a replica are asked whether they live.
+/// Time without progress after which the members of a replica are probed.
 ///
-/// A pass of a full replica that also reads prompts takes up to a quarter of a second; a head
-/// whose member is gone moves nothing for seconds and goes on accepting. Twice the longest pass
-/// separates the two.
+/// A decode pass of a full replica that also prefills prompts takes up to a quarter of a second. A
+/// head that has lost a member makes no progress for seconds and still accepts requests. Twice the
+/// longest pass separates the two cases.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Time after the last movement in which a replica counts as moving: a long pass. What does not
-/// answer meanwhile is out of this node's reach and not gone.
+/// Time after the last progress for which a replica counts as progressing: one long decode pass. A
+/// member that does not answer meanwhile is unreachable from this node, not lost.
 pub const PROGRESS_WINDOW: Duration = Duration::from_millis(300);
 
-/// Pause between two rounds of questions while the silence lasts.
+/// Interval between two rounds of probes while the stall lasts.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When something last moved on one replica, as one node sees it.
+/// Progress of the requests that one node has at one replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallDetector {
     running: u32,
-    moved: Duration,
-    asked: Option<Duration>,
+    last_progress: Duration,
+    last_probe: Option<Duration>,
 }
 
 impl StallDetector {
-    /// A request was sent. The first one after an idle time starts the clock: nothing could have
-    /// moved before.
+    /// Counts a request that was sent. The first one after an idle time restarts the stall clock,
+    /// since no progress was possible before.
     pub fn request_started(&mut self, now: Duration) {
         if self.running == 0 {
-            self.moved = now;
+            self.last_progress = now;
         }
         self.running += 1;
     }
 
-    /// A request ended.
+    /// Counts the end of a request.
     pub fn request_ended(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Bytes of an answer came.
+    /// Takes the arrival of answer bytes as progress.
     pub fn record_progress(&mut self, now: Duration) {
-        self.moved = now;
+        self.last_progress = now;
     }
 
-    /// How long nothing has moved, while requests run.
+    /// Returns how long the running requests have made no progress; zero if none run.
     #[must_use]
     pub fn stalled_for(&self, now: Duration) -> Duration {
         if self.running == 0 {
             return Duration::ZERO;
         }
-        now.saturating_sub(self.moved)
+        now.saturating_sub(self.last_progress)
     }
 
-    /// Whether something moved until just now.
+    /// Returns whether requests run and made progress within [`PROGRESS_WINDOW`].
     #[must_use]
     pub fn is_progressing(&self, now: Duration) -> bool {
         self.running > 0 && self.stalled_for(now) < PROGRESS_WINDOW
     }
 
-    /// Whether the members should be asked now; true once a pause.
+    /// Returns whether the members should be probed now. It is true at most once per
+    /// [`PROBE_INTERVAL`].
     pub fn should_probe(&mut self, now: Duration) -> bool {
         if self.stalled_for(now) < STALL_TIMEOUT {
-            self.asked = None;
+            self.last_probe = None;
             return false;
         }
-        if self.asked.is_some_and(|asked| now < asked + PROBE_INTERVAL) {
+        if self
+            .last_probe
+            .is_some_and(|probed| now < probed + PROBE_INTERVAL)
+        {
             return false;
         }
-        self.asked = Some(now);
+        self.last_probe = Some(now);
         true
     }
 }
