--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -1,18 +1,20 @@
-//! Splitting a stream into whole events.
+//! Splitting a server-sent event stream into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is buffered, in bytes; a target that never ends one would fill the memory.
+/// Maximum size of a buffered event in bytes. Without it a target that never ends an event would
+/// exhaust the memory.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// The stream can't be split: an event exceeds [`MAX_EVENT_BYTES`].
+/// Error for a stream that can't be split because an event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OversizedEvent;
 
-/// Cuts a stream of events at their ends and remembers the last id.
+/// Splits a stream into whole events and keeps the last event id.
 ///
-/// A target that dies leaves half an event behind. Passed on, it would join with the first event
-/// of the target that goes on, and the caller would read a piece that nobody made.
+/// A target that crashes leaves a partial event behind. If it were forwarded, it would merge with
+/// the first event of the target that resumes the stream, and the caller would read an event that no
+/// target sent.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -20,7 +22,8 @@
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that goes on after `last_id`.
+    /// Creates a splitter for a stream that resumes after the event `last_id`. Events with this id or
+    /// a lower one are dropped.
     #[must_use]
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
@@ -29,29 +32,30 @@
         }
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last whole event that had one.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether bytes of an unfinished event wait.
+    /// Returns whether bytes of an incomplete event are buffered.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets an unfinished event, before another target goes on.
+    /// Drops an incomplete event, before another target resumes the stream.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes and returns the whole events that they end, without those whose id came
-    /// before.
+    /// Adds bytes and returns the events that they complete, if any. Events whose id is not above
+    /// the last one are dropped.
     ///
     /// # Errors
     ///
-    /// [`OversizedEvent`].
+    /// Returns [`OversizedEvent`] if the bytes left after the last whole event exceed
+    /// [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, OversizedEvent> {
         self.partial.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -75,7 +79,7 @@
     }
 }
 
-/// Length of the first event with the empty line that ends it.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/crates/serving/src/hashing.rs
+++ b/crates/serving/src/hashing.rs
@@ -1,8 +1,8 @@
-//! Which node acts first for a fabric domain.
+//! Hashing that gives the same result on all nodes, and the order of nodes that follows from it.
 
 use std::hash::{Hash, Hasher};
 
-/// A stable hash (FNV-1a), the same on all nodes and in all versions of the program.
+/// An FNV-1a hasher whose results are the same on all nodes and in all versions of the program.
 #[derive(Debug, Clone, Copy)]
 pub struct StableHasher(u64);
 
@@ -14,7 +14,8 @@
 
 impl Hasher for StableHasher {
     fn finish(&self) -> u64 {
-        // The last bytes of an FNV hash reach few of its high bits; one more mixing spreads them.
+        // The last bytes of the input affect few of the high bits of an FNV hash. One more mixing
+        // step spreads them.
         let mixed = (self.0 ^ (self.0 >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         mixed ^ (mixed >> 29)
     }
@@ -27,7 +28,7 @@
     }
 }
 
-/// A stable hash of a value.
+/// Hashes a value with [`StableHasher`].
 #[must_use]
 pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = StableHasher::default();
@@ -35,8 +36,10 @@
     hasher.finish()
 }
 
-/// How many nodes go before `node` for a subject, by rendezvous hashing: the loss of a node moves
-/// only what it acted for, and each node finds the same order without a message.
+/// Returns the rank of `node` among `nodes` for a subject by rendezvous hashing; 0 is first.
+///
+/// Each node computes the same order without exchanging messages, and the loss of a node moves only
+/// the subjects for which it was first.
 #[must_use]
 pub fn rendezvous_rank<'a>(
     node: &str,
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -1,4 +1,4 @@
-//! The targets that are known, and the replicas that they say they form.
+//! The known targets, and the replicas that they report to be members of.
 
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
@@ -7,42 +7,42 @@
 
 use crate::target::{MemberState, ReplicaMembership, TargetEntry, TargetState};
 
-/// A replica as its members describe it.
+/// A replica, assembled from what its members report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// Name, never given twice.
+    /// Name of the replica; names are never reused.
     pub id: ReplicaId,
-    /// Epoch of its formation.
+    /// Epoch in which the replica was formed.
     pub epoch: u64,
-    /// Service.
+    /// Service of the member that was seen first.
     pub service: ServiceName,
-    /// Fabric domain.
+    /// Fabric domain of that member, if it has one.
     pub fabric: Option<FabricId>,
-    /// Model, as its head says.
+    /// Model that the head has loaded; `None` while the head is unknown or loads.
     pub model: Option<ModelName>,
-    /// Known members by rank.
+    /// Hosts of the known members by rank.
     pub members: BTreeMap<u32, HostId>,
-    /// Whether each known member reports its weights as loaded.
+    /// Whether all known members have loaded their weights.
     pub loaded: bool,
-    /// Progress of the head, if it is known.
+    /// State of the head; `None` while the head is unknown.
     pub head_state: Option<MemberState>,
 }
 
 impl ReplicaView {
-    /// The host that takes requests.
+    /// Returns the member that takes the requests, if it is known.
     #[must_use]
     pub fn head(&self) -> Option<&HostId> {
         self.members.get(&0)
     }
 
-    /// Whether all hosts of a replica of `size` are known.
+    /// Returns whether all members are known, for a replica of `size` hosts.
     #[must_use]
     pub fn is_complete(&self, size: usize) -> bool {
         self.members.len() == size
     }
 
-    /// Whether the head takes requests or still runs some. Its members can't be given to another
-    /// replica then: a host would belong to two.
+    /// Returns whether the head takes requests or still runs some. Its members can't join another
+    /// replica then, since a host would be in two.
     #[must_use]
     pub fn is_open_or_closing(&self) -> bool {
         matches!(
@@ -52,17 +52,17 @@
     }
 }
 
-/// All targets.
+/// The targets that are known, by host.
 #[derive(Debug, Clone, Default)]
 pub struct TargetRegistry {
     targets: FastMap<HostId, TargetEntry>,
-    /// Made at the first look after a change: a series of changes, as at the start of a large
-    /// deployment, then costs one arrangement instead of one for each.
+    /// Computed on first use after a change, so that a series of changes, such as the start of a
+    /// large deployment, causes one computation instead of one per change.
     replicas: OnceCell<BTreeMap<(ReplicaId, u64), ReplicaView>>,
 }
 
 impl TargetRegistry {
-    /// Adds or replaces a target; whether anything changed.
+    /// Adds or replaces a target and returns whether anything changed.
     pub fn put(&mut self, entry: TargetEntry) -> bool {
         if self.targets.get(&entry.id) == Some(&entry) {
             return false;
@@ -72,53 +72,53 @@
         true
     }
 
-    /// Removes a target.
+    /// Removes a target and returns its entry, if it was known.
     pub fn remove(&mut self, id: &HostId) -> Option<TargetEntry> {
         let entry = self.targets.remove(id)?;
         self.replicas.take();
         Some(entry)
     }
 
-    /// A target.
+    /// Returns the entry of a target, if it is known.
     #[must_use]
     pub fn get(&self, id: &HostId) -> Option<&TargetEntry> {
         self.targets.get(id)
     }
 
-    /// All targets, in no order.
+    /// Returns all targets in arbitrary order.
     pub fn targets(&self) -> impl Iterator<Item = &TargetEntry> {
         self.targets.values()
     }
 
-    /// How many targets are known.
+    /// Returns the number of known targets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether no target is known.
+    /// Returns whether no target is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// All replicas, by name.
+    /// Returns all replicas, ordered by name and epoch.
     pub fn replicas(&self) -> impl Iterator<Item = &ReplicaView> {
-        self.arranged().values()
+        self.cached_replicas().values()
     }
 
-    /// A replica.
+    /// Returns the replica of a membership, if a known target is in it.
     #[must_use]
     pub fn replica(&self, membership: &ReplicaMembership) -> Option<&ReplicaView> {
-        self.arranged()
+        self.cached_replicas()
             .get(&(membership.replica.clone(), membership.epoch))
     }
 
-    fn arranged(&self) -> &BTreeMap<(ReplicaId, u64), ReplicaView> {
-        self.replicas.get_or_init(|| self.arrange())
+    fn cached_replicas(&self) -> &BTreeMap<(ReplicaId, u64), ReplicaView> {
+        self.replicas.get_or_init(|| self.assemble_replicas())
     }
 
-    fn arrange(&self) -> BTreeMap<(ReplicaId, u64), ReplicaView> {
+    fn assemble_replicas(&self) -> BTreeMap<(ReplicaId, u64), ReplicaView> {
         let mut replicas: BTreeMap<(ReplicaId, u64), ReplicaView> = BTreeMap::new();
         for entry in self.targets.values() {
             let Some(membership) = &entry.membership else {
@@ -145,7 +145,7 @@
         replicas
     }
 
-    /// Whether a member of a replica is leaving.
+    /// Returns whether a member of a replica is draining.
     #[must_use]
     pub fn has_draining_member(&self, replica: &ReplicaView) -> bool {
         replica.members.values().any(|id| {
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -1,4 +1,4 @@
-//! The configuration as a gateway uses it.
+//! The gateway configuration: routes, services, keys and request limits.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use domain::{ConfigRevision, CustomerId, FastMap, ModelName, ServiceName};
 
-/// What may be repeated on a route.
+/// Whether requests on a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// A request may run more than once, so it may be retried.
     Idempotent,
-    /// A request runs at most once.
+    /// A request must not run more than once, so it is not retried once it may have run.
     NonIdempotent,
     /// The answer is a stream of events.
     Streaming {
-        /// Whether another target may go on where a stream broke off.
+        /// Whether another target may resume a stream that broke off.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be sent again after it may have run.
     #[must_use]
     pub fn allows_retry(self) -> bool {
         match self {
@@ -33,32 +33,34 @@
     }
 }
 
-/// One route.
+/// A route from request paths to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// Beginning of the paths it takes; begins and ends with a slash.
+    /// Prefix of the request paths; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: RouteKind,
-    /// Longest time from a request's arrival to the end of its answer.
+    /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is worth most to its caller.
+    /// Latency to aim for: of the answer, or of the first event of a stream.
     pub target_latency: Duration,
-    /// Rank among routes; 0 goes first.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights; more than one while traffic is split.
+    /// Services and their weights; more than one while traffic is split.
     pub services: Vec<(ServiceName, u32)>,
-    /// Targets that one request may be sent to.
+    /// Maximum number of targets that a request is sent to.
     pub max_attempts: u32,
-    /// Whether a request needs no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// The service for a request, by a hash of its id, so that the split holds over all nodes
-    /// without a count kept anywhere.
+    /// Returns the service for a request, selected by a hash of its id.
+    ///
+    /// All nodes together keep to the weights without shared counters. If all weights are 0, the
+    /// first service takes the request; `None` means that the route has no services.
     #[must_use]
     pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self
@@ -69,133 +71,137 @@
         if total == 0 {
             return self.services.first().map(|(service, _)| service);
         }
-        let mut place = hash % total;
+        let mut offset = hash % total;
         for (service, weight) in &self.services {
-            if place < u64::from(*weight) {
+            if offset < u64::from(*weight) {
                 return Some(service);
             }
-            place -= u64::from(*weight);
+            offset -= u64::from(*weight);
         }
         None
     }
 }
 
-/// How a model is served by replicas.
+/// How replicas serve a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelConfig {
-    /// Model.
+    /// Name of the model.
     pub name: ModelName,
-    /// Hosts of one replica.
+    /// Number of hosts in a replica.
     pub size: usize,
-    /// Expected part of the hosts that the model needs, between 0 and 1.
+    /// Expected share of the hosts that the model needs, between 0 and 1.
     pub share: f64,
-    /// Factor on all of its times.
+    /// Factor on the times of [`ServiceConfig::timing`]; 2 means half as fast.
     pub time_factor: f64,
-    /// Time to load its weights from the weight store.
+    /// Time to load the weights from the weight store.
     pub load_time: Duration,
 }
 
-/// A service.
+/// A service and its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceConfig {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one target takes from all nodes together.
+    /// Connections that one target accepts from all nodes together.
     pub max_connections: u32,
-    /// Models with replicas; empty for a plain service.
+    /// Models that replicas serve; empty for a plain service, whose targets serve on their own.
     pub models: Vec<ModelConfig>,
     /// Requests that a replica runs at once; 0 for a plain service.
     pub slots: u32,
-    /// Times of a full replica of a model whose pace is 1.
+    /// Timing of a full replica of a model whose time factor is 1.
     pub timing: ReplicaTiming,
-    /// Weight loads that may start a second.
+    /// Weight loads that may start per second.
     pub loads_per_second: f64,
-    /// Ranks of the requests that may come, the most urgent first; see
-    /// [`GatewayConfig::with_priorities`].
+    /// Priorities that requests to the service may have, the most urgent first. They are filled in
+    /// by [`GatewayConfig::with_priorities`].
     pub priorities: Vec<u8>,
 }
 
 impl ServiceConfig {
-    /// The shape of a model.
+    /// Returns the configuration of a model, if the service has it.
     #[must_use]
     pub fn model(&self, name: &ModelName) -> Option<&ModelConfig> {
         self.models.iter().find(|model| model.name == *name)
     }
 
-    /// Times of a full replica of a model.
+    /// Returns the timing of a full replica of a model.
     #[must_use]
     pub fn replica_timing(&self, model: &ModelConfig) -> ReplicaTiming {
         self.timing.scaled(model.time_factor)
     }
 
-    /// How many ranks in use go before one.
+    /// Returns how many priorities in use are more urgent than the given one.
     #[must_use]
-    pub fn higher_priorities(&self, rank: u8) -> usize {
+    pub fn higher_priorities(&self, priority: u8) -> usize {
         self.priorities
             .iter()
-            .filter(|other| **other < rank)
+            .filter(|other| **other < priority)
             .count()
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on what a caller may send, and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of the request head in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of the request body in bytes.
     pub body_bytes: usize,
-    /// Longest wait for a whole head.
+    /// Maximum time until the request head is complete.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// Whose key it is.
+/// The customer that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
-    /// The customer.
+    /// Id of the customer.
     pub customer: CustomerId,
-    /// The customer's rank, which goes before the route's.
+    /// Priority of the customer's requests, which overrides that of the route; `None` keeps the
+    /// route's.
     pub priority: Option<u8>,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayConfig {
-    /// Version; only grows within a process.
+    /// Version of the configuration. Within a process it only increases.
     pub revision: ConfigRevision,
-    /// Routes by host name, the longest prefix first.
+    /// Routes by host name, in descending order of prefix length.
     pub routes: FastMap<String, Vec<Route>>,
     /// Services by name.
     pub services: FastMap<ServiceName, ServiceConfig>,
-    /// Keys, if requests need one.
+    /// Owners by API key; `None` if requests need no key.
     pub keys: Option<FastMap<String, KeyOwner>>,
-    /// Limits of requests.
+    /// Limits on requests.
     pub limits: RequestLimits,
 }
 
 impl GatewayConfig {
-    /// The same configuration, with the ranks in use noted at each service: those of the routes
-    /// to it, and those of customers, whose requests may come on any route.
+    /// Returns the configuration with [`ServiceConfig::priorities`] filled in.
+    ///
+    /// These are the priorities of the routes to the service, and those of all customers, since
+    /// their requests may come on any route.
     #[must_use]
     pub fn with_priorities(mut self) -> Self {
         let keys = self.keys.iter().flat_map(FastMap::values);
         let customers: BTreeSet<u8> = keys.filter_map(|key| key.priority).collect();
         let routes: Vec<&Route> = self.routes.values().flatten().collect();
         for service in self.services.values_mut() {
-            let mut ranks = customers.clone();
+            let mut priorities = customers.clone();
             for route in &routes {
                 if route.services.iter().any(|(name, _)| *name == service.name) {
-                    ranks.insert(route.priority);
+                    priorities.insert(route.priority);
                 }
             }
-            service.priorities = ranks.into_iter().collect();
+            service.priorities = priorities.into_iter().collect();
         }
         self
     }
 
-    /// The route of a request: the longest prefix among the routes of its host.
+    /// Returns the route of a request: among the routes of its host name, the one with the longest
+    /// matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.get(host)?;
--- a/crates/serving/src/target.rs
+++ b/crates/serving/src/target.rs
@@ -1,4 +1,4 @@
-//! A target: one engine process, as it describes itself.
+//! A target: one engine process, described by its registry entry.
 
 use std::net::SocketAddr;
 
@@ -7,69 +7,70 @@
 /// Whether a target takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// It does.
+    /// Takes new work.
     Ready,
-    /// It is leaving; what runs may end.
+    /// Takes no new work; requests that run may complete.
     Draining,
 }
 
-/// Progress of one member of a replica.
+/// State of one member of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Weights are being loaded.
+    /// Loads its weights.
     Joining,
-    /// Loaded, not serving.
+    /// Has its weights in memory and does not serve.
     Ready,
-    /// The head serves requests.
+    /// Serves requests, as the head of its replica.
     Open,
-    /// The head ends its requests and takes no new ones.
+    /// Completes its requests and takes no new ones, as the head of its replica.
     Closing,
-    /// The head found another member missing.
+    /// Has lost another member, as the head of its replica.
     Broken,
 }
 
-/// A target's place in a replica.
+/// Membership of a target in a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaMembership {
-    /// The replica; a name is never given twice.
+    /// Name of the replica; names are never reused.
     pub replica: ReplicaId,
-    /// Epoch of the formation.
+    /// Epoch in which the replica was formed.
     pub epoch: u64,
-    /// Place in the member list; 0 is the head, the only one that takes requests.
+    /// Position in the member list. Rank 0 is the head, the only member that takes requests.
     pub rank: u32,
-    /// Progress.
+    /// State that the member reports.
     pub state: MemberState,
 }
 
-/// One target.
+/// Registry entry of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// The incarnation's id.
+    /// Id of the host incarnation.
     pub id: HostId,
-    /// What it serves.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it listens; reused by other targets once this one is gone.
+    /// Address that the target listens on. Other targets may reuse it once this one is gone.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: DomainId,
-    /// Requests it runs at once.
+    /// Requests that the target runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the target takes new work.
     pub state: TargetState,
-    /// Start of the process; differs when it starts again under the same id.
+    /// Identifies the start of the process; it changes when the process restarts under the same id.
     pub boot: BootNumber,
-    /// Fabric domain, for model engines.
+    /// Fabric domain; `None` for targets of plain services.
     pub fabric: Option<FabricId>,
-    /// Model whose weights it held last since its start.
+    /// Model whose weights were last in memory since the start of the process.
     pub loaded: Option<ModelName>,
-    /// Models whose weights lie on its host.
+    /// Models whose weights are stored on the host, ready to load.
     pub staged: Vec<ModelName>,
-    /// Its replica, if it is in one.
+    /// Replica that the target is a member of, if any.
     pub membership: Option<ReplicaMembership>,
 }
 
 impl TargetEntry {
-    /// Whether it holds or has staged a model's weights, so that it can join without the store.
+    /// Returns whether a model's weights are in memory or staged, so that the target can join a
+    /// replica without the weight store.
     #[must_use]
     pub fn has_weights(&self, model: &ModelName) -> bool {
         self.loaded.as_ref() == Some(model) || self.staged.contains(model)
