--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -115,7 +115,8 @@
     /// without prompts, of which the first with capacity is used.
     pub prefill_wait: Option<Duration>,
     /// Requests that this node may have at the target: its part of the connections that the target
-    /// accepts from all nodes. Beyond its limit the target resets connections, which loses requests.
+    /// accepts from all nodes. Beyond its limit the target resets connections, which loses
+    /// requests.
     pub in_flight_limit: u32,
 }
 
--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -13,8 +13,8 @@
 /// Splits a stream into whole events and keeps the last event id.
 ///
 /// A target that crashes leaves a partial event behind. If it were forwarded, it would merge with
-/// the first event of the target that resumes the stream, and the caller would read an event that no
-/// target sent.
+/// the first event of the target that resumes the stream, and the caller would read an event that
+/// no target sent.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -22,8 +22,8 @@
 }
 
 impl EventSplitter {
-    /// Creates a splitter for a stream that resumes after the event `last_id`. Events with this id or
-    /// a lower one are dropped.
+    /// Creates a splitter for a stream that resumes after the event `last_id`. Events with this id
+    /// or a lower one are dropped.
     #[must_use]
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
--- a/crates/serving/src/plan/fabric.rs
+++ b/crates/serving/src/plan/fabric.rs
@@ -2,91 +2,92 @@
 
 use domain::ModelName;
 
-use super::exchange::{ServingReplica, yield_replicas};
-use super::fate::{ReplicaFate, judge, known_replicas, replica_model};
-use super::forming::{form_replicas, keep_for_successors};
+use super::counts::ReplicaCounts;
+use super::forming::{form_replicas, reserve_for_successors};
+use super::rebalance::{ServingReplica, yield_replicas};
+use super::replica_status::{ReplicaStatus, assess, observe_replicas, replica_model};
 use super::spares::warm_spares;
-use super::staging::stage_second;
+use super::staging::stage_second_models;
 use super::state::{FabricState, HostState};
 use super::step::PlanStep;
-use super::tally::ReplicaTally;
 use crate::route::ModelConfig;
 
-/// What to do in a fabric domain, and what was found there.
+/// Plan for a fabric domain, with a summary of the state that it starts from.
 #[derive(Debug, Default)]
 pub struct FabricPlan {
-    /// The next steps.
+    /// Steps to take now; empty if nothing is to be done.
     pub steps: Vec<PlanStep>,
-    /// What was found.
+    /// Replicas and idle hosts before the steps.
     pub summary: FabricSummary,
 }
 
 /// Replicas and idle hosts of a fabric domain before the steps of a plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FabricSummary {
-    /// Its models.
+    /// Replica counts of each model, in the order of the configuration.
     pub models: Vec<ModelSummary>,
-    /// Usable hosts in no replica that stands.
+    /// Usable hosts that are in no existing replica.
     pub idle_hosts: usize,
 }
 
-/// Replicas of one model in a fabric domain.
+/// Replica counts of one model in a fabric domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelSummary {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Replicas that serve, form or end.
+    /// Replicas that serve, form or close.
     pub current: usize,
     /// Replicas that the domain should have.
     pub desired: usize,
 }
 
-/// Plans the next steps.
+/// Plans the next steps for a fabric domain.
 #[must_use]
-pub fn plan_fabric(situation: &FabricState<'_>) -> FabricPlan {
+pub fn plan_fabric(fabric: &FabricState<'_>) -> FabricPlan {
     let mut steps = Vec::new();
-    let mut lost = Vec::new();
-    let mut ending = Vec::new();
+    let mut failed = Vec::new();
+    let mut closing = Vec::new();
     let mut serving = Vec::new();
-    let mut tally = ReplicaTally::new(situation);
-    for known in known_replicas(situation.hosts) {
-        let model = replica_model(&known, situation.models);
-        let fate = judge(&known, model, situation, &mut steps);
-        match fate {
-            ReplicaFate::Over => continue,
-            ReplicaFate::Lost(close) => {
-                lost.push(close);
+    let mut counts = ReplicaCounts::new(fabric);
+    for observed in observe_replicas(fabric.hosts) {
+        let model = replica_model(&observed, fabric.models);
+        let status = assess(&observed, model, fabric, &mut steps);
+        match status {
+            ReplicaStatus::Released => continue,
+            ReplicaStatus::Failed(close) => {
+                failed.push(close);
                 continue;
             }
-            ReplicaFate::Ending(leaving) => ending.extend(model.map(|model| (model, leaving))),
-            ReplicaFate::Stays | ReplicaFate::Changing => {}
+            ReplicaStatus::Closing(leaving) => closing.extend(model.map(|model| (model, leaving))),
+            ReplicaStatus::Serving | ReplicaStatus::InTransition => {}
         }
-        tally.stand(model, known.members.values().map(|host| &host.id));
-        if let (ReplicaFate::Stays, Some(model)) = (fate, model) {
-            serving.push(ServingReplica { known, model });
+        counts.add_existing(model, observed.members.values().map(|host| &host.id));
+        if let (ReplicaStatus::Serving, Some(model)) = (status, model) {
+            serving.push(ServingReplica { observed, model });
         }
     }
-    let mut free: Vec<&HostState> = situation
+    let mut free: Vec<&HostState> = fabric
         .hosts
         .iter()
         .filter(|host| host.is_usable())
-        .filter(|host| !tally.is_taken(&host.id))
+        .filter(|host| !counts.is_taken(&host.id))
         .collect();
-    let summary = summarize(situation, &tally, free.len());
-    let kept = keep_for_successors(&ending, &mut free);
-    form_replicas(situation, &mut tally, &mut free, &mut steps);
-    yield_replicas(situation, &tally, &serving, &mut steps);
-    free.extend(kept);
-    close_idle_heads(lost, &mut free, &mut steps);
-    warm_spares(situation, &tally, &free, &mut steps);
-    stage_second(situation, &mut steps);
+    let summary = summarize(fabric, &counts, free.len());
+    let reserved = reserve_for_successors(&closing, &mut free);
+    form_replicas(fabric, &mut counts, &mut free, &mut steps);
+    yield_replicas(fabric, &counts, &serving, &mut steps);
+    free.extend(reserved);
+    close_idle_heads(failed, &mut free, &mut steps);
+    warm_spares(fabric, &counts, &free, &mut steps);
+    stage_second_models(fabric, &mut steps);
     FabricPlan { steps, summary }
 }
 
-/// Closes heads of lost replicas that nobody joined; they get no other step.
-fn close_idle_heads(lost: Vec<PlanStep>, free: &mut Vec<&HostState>, steps: &mut Vec<PlanStep>) {
+/// Closes the heads of failed replicas that were not used for a new replica. They get no other
+/// step.
+fn close_idle_heads(failed: Vec<PlanStep>, free: &mut Vec<&HostState>, steps: &mut Vec<PlanStep>) {
     let mut idle_heads = Vec::new();
-    for close in lost {
+    for close in failed {
         let PlanStep::Close { head, .. } = &close else {
             continue;
         };
@@ -99,17 +100,17 @@
 }
 
 fn summarize(
-    situation: &FabricState<'_>,
-    tally: &ReplicaTally<'_>,
+    fabric: &FabricState<'_>,
+    counts: &ReplicaCounts<'_>,
     idle_hosts: usize,
 ) -> FabricSummary {
     let count = |model: &ModelConfig| ModelSummary {
         model: model.name.clone(),
-        current: tally.standing(&model.name),
-        desired: tally.wanted(&model.name),
+        current: counts.current(&model.name),
+        desired: counts.desired(&model.name),
     };
     FabricSummary {
-        models: situation.models.iter().map(count).collect(),
+        models: fabric.models.iter().map(count).collect(),
         idle_hosts,
     }
 }
--- a/crates/serving/src/plan/forming.rs
+++ b/crates/serving/src/plan/forming.rs
@@ -1,126 +1,142 @@
-//! Which hosts join which new replicas.
+//! Selection of the hosts that form new replicas.
 
 use domain::HostId;
 
-use super::exchange::must_wait;
+use super::counts::ReplicaCounts;
+use super::rebalance::must_defer;
 use super::state::{FabricState, HostState};
 use super::step::PlanStep;
-use super::tally::ReplicaTally;
 use crate::route::ModelConfig;
 
-/// Takes out of `free` the hosts that replicas which end will need beside those of their own that
-/// stay.
+/// Removes from `free` the hosts that closing replicas need to replace their departing members, and
+/// returns them.
 ///
-/// A replica ends within seconds. Were its spare given to another one meanwhile, the hosts that stay
-/// would be too few for a successor: with one host that left, a model then lost four, and its
+/// A replica closes within seconds. If its spares joined another replica meanwhile, its remaining
+/// hosts would be too few for a successor: with one departed host, a model lost all four, and its
 /// callers were refused.
-pub(super) fn keep_for_successors<'a>(
-    ending: &[(&ModelConfig, usize)],
+pub(super) fn reserve_for_successors<'a>(
+    closing: &[(&ModelConfig, usize)],
     free: &mut Vec<&'a HostState>,
 ) -> Vec<&'a HostState> {
-    let mut kept: Vec<&HostState> = Vec::new();
-    for (model, missing) in ending {
-        let mut fitting: Vec<&HostState> = free
+    let mut reserved: Vec<&HostState> = Vec::new();
+    for (model, missing) in closing {
+        let mut eligible: Vec<&HostState> = free
             .iter()
             .copied()
             .filter(|host| host.has_weights(&model.name) && !host.is_joining())
             .collect();
-        // Too few for a successor, they may serve in another replica.
-        if fitting.len() < *missing {
+        // If there are too few for a successor, they may serve in another replica.
+        if eligible.len() < *missing {
             continue;
         }
-        fitting.sort_by_key(|host| !host.is_warm(&model.name));
-        fitting.truncate(*missing);
-        free.retain(|host| !fitting.iter().any(|taken| taken.id == host.id));
-        kept.extend(fitting);
+        eligible.sort_by_key(|host| !host.is_warm(&model.name));
+        eligible.truncate(*missing);
+        free.retain(|host| !eligible.iter().any(|taken| taken.id == host.id));
+        reserved.extend(eligible);
     }
-    kept
+    reserved
 }
 
+/// Forms new replicas from free hosts, by descending need of their models, and removes those hosts
+/// from `free`.
 pub(super) fn form_replicas<'a>(
-    situation: &FabricState<'a>,
-    tally: &mut ReplicaTally<'a>,
+    fabric: &FabricState<'a>,
+    counts: &mut ReplicaCounts<'a>,
     free: &mut Vec<&HostState>,
     steps: &mut Vec<PlanStep>,
 ) {
-    while let Some((model, members)) = next_replica(situation, tally, free) {
+    while let Some((model, members)) = next_replica(fabric, counts, free) {
         steps.push(PlanStep::Form {
             model: model.name.clone(),
             members,
         });
-        tally.form(model);
+        counts.add_formed(model);
     }
 }
 
 fn next_replica<'a>(
-    situation: &FabricState<'a>,
-    tally: &ReplicaTally<'a>,
+    fabric: &FabricState<'a>,
+    counts: &ReplicaCounts<'a>,
     free: &mut Vec<&HostState>,
 ) -> Option<(&'a ModelConfig, Vec<HostId>)> {
-    for model in tally.by_lack() {
-        let Some(reserve) = spares_kept(situation, tally, model) else {
+    for model in counts.by_need() {
+        let Some(spares) = required_spares(fabric, counts, model) else {
             continue;
         };
-        let may_load = situation.may_load_members && tally.is_lacking(model);
-        if let Some(members) = take_members(free, model, reserve, may_load) {
+        let may_load = fabric.may_load_members && counts.needs_replica(model);
+        if let Some(members) = take_members(free, model, spares, may_load) {
             return Some((model, members));
         }
     }
     None
 }
 
-/// Hosts that stay free when one more replica of a model is formed; nothing if it should not be.
+/// Returns how many hosts must stay free if one more replica of a model is formed, or `None` if it
+/// should not be formed.
 ///
-/// Beyond what is wanted one host stays a spare, so that the next loss costs a second. Where a wanted
-/// replica of another model lacks hosts, those that are left would serve nobody: they serve this
-/// one, unless the fleet has more of it already. A host that has changed its model takes a load of
-/// many seconds to change back, so small replicas would else use up one by one what a large one
-/// needs at once.
-fn spares_kept(
-    situation: &FabricState<'_>,
-    tally: &ReplicaTally<'_>,
+/// If the desired replicas exist, one host stays free as a spare, so that the next loss is repaired
+/// within a second. If another model needs a replica but lacks hosts for it, the remaining hosts
+/// would serve no requests, so they may all serve this model, unless its coverage in the fleet is
+/// already higher. Otherwise small replicas would use up one by one the hosts that a large replica
+/// needs together, and a host needs many seconds to load its former model again.
+fn required_spares(
+    fabric: &FabricState<'_>,
+    counts: &ReplicaCounts<'_>,
     model: &ModelConfig,
 ) -> Option<usize> {
-    if must_wait(situation, tally, model) {
+    if must_defer(fabric, counts, model) {
         return None;
     }
-    if tally.is_lacking(model) {
+    if counts.needs_replica(model) {
         return Some(0);
     }
-    let own = tally.cover(model, 0);
-    let mut reserve = 1;
-    for other in situation.models {
-        if !tally.is_lacking(other) {
+    let own = counts.coverage(model, 0);
+    let mut spares = 1;
+    for other in fabric.models {
+        if !counts.needs_replica(other) {
             continue;
         }
-        if own > tally.cover(other, 0) {
+        if own > counts.coverage(other, 0) {
             return None;
         }
-        reserve = 0;
+        spares = 0;
     }
-    Some(reserve)
+    Some(spares)
 }
 
+/// Removes the members of a new replica from `free` and returns them, or returns `None` if fewer
+/// than `spares` eligible hosts would be left. Hosts that can serve soonest are preferred.
 fn take_members(
     free: &mut Vec<&HostState>,
     model: &ModelConfig,
-    reserve: usize,
+    spares: usize,
     may_load: bool,
 ) -> Option<Vec<HostId>> {
-    let fits = |host: &&HostState| {
+    let is_eligible = |host: &&HostState| {
         if host.has_weights(&model.name) {
             return !host.is_joining();
         }
         may_load && !host.has_any_weights() && !host.is_joining()
     };
-    let fitting = free.iter().copied().filter(|host| fits(host)).count();
-    if model.size == 0 || fitting < model.size + reserve {
+    let eligible = free
+        .iter()
+        .copied()
+        .filter(|host| is_eligible(host))
+        .count();
+    if model.size == 0 || eligible < model.size + spares {
         return None;
     }
-    let mut chosen: Vec<&HostState> = free.iter().copied().filter(|host| fits(host)).collect();
+    let mut chosen: Vec<&HostState> = free
+        .iter()
+        .copied()
+        .filter(|host| is_eligible(host))
+        .collect();
     chosen.sort_by(|left, right| {
-        let cold = |host: &HostState| (!host.is_warm(&model.name), !host.has_weights(&model.name));
-        cold(left).cmp(&cold(right)).then(left.id.cmp(&right.id))
+        let load_cost =
+            |host: &HostState| (!host.is_warm(&model.name), !host.has_weights(&model.name));
+        load_cost(left)
+            .cmp(&load_cost(right))
+            .then(left.id.cmp(&right.id))
     });
     chosen.truncate(model.size);
     free.retain(|host| !chosen.iter().any(|taken| taken.id == host.id));
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -1,26 +1,26 @@
-//! How many replicas of each model a fabric domain should have.
+//! Layout: how many replicas of each model each fabric domain should have.
 
 use std::collections::BTreeMap;
 
 use domain::{FabricId, ModelName};
 
-use super::cover::Cover;
+use super::coverage::Coverage;
 use crate::route::ModelConfig;
 
-/// Replicas wanted in each fabric domain, by model.
+/// Desired number of replicas by fabric domain and model.
 pub type FabricLayout = BTreeMap<FabricId, BTreeMap<ModelName, usize>>;
 
-/// What a fabric domain has for a layout.
+/// Hosts that a fabric domain offers to a layout.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FabricCapacity {
-    /// Its hosts.
+    /// Number of hosts that may join replicas.
     pub hosts: usize,
-    /// Of these: hosts that hold a model in memory, by model.
+    /// Number of these hosts that have a model in memory, by model.
     pub loaded: BTreeMap<ModelName, usize>,
 }
 
 impl FabricCapacity {
-    /// Counts a host that may hold a model in memory.
+    /// Counts a host; `loaded` is the model that it has in memory, if any.
     pub fn add(&mut self, loaded: Option<&ModelName>) {
         self.hosts += 1;
         let Some(model) = loaded else { return };
@@ -34,91 +34,95 @@
 
 /// Spreads models over fabric domains in proportion to their shares.
 ///
-/// Models stay where hosts hold them. Beyond that the one that lacks most goes first, into a fabric
-/// domain that has no replica of it, of these into the one with the most hosts left. Once a domain has
-/// a replica of a model, a further one must leave a spare host for each model: a lost host is then
-/// replaced within a second instead of after a load of many seconds.
+/// Models stay where hosts have them in memory. Further replicas go to the model with the lowest
+/// coverage, and to a fabric domain without a replica of it, or else to the domain with the most
+/// free hosts. Once a domain has a replica of a model, a further one must leave a spare host for
+/// each model, so that a lost host is replaced within a second instead of after a load of many
+/// seconds.
 ///
-/// Small replicas fill the gaps between large ones, never their places: a model gets hosts back from
-/// one that still has as much for its share without them.
+/// Small replicas only fill the gaps that large ones leave: a model gets hosts back from one whose
+/// coverage is still at least as high without them.
 #[must_use]
 pub fn compute_layout(
-    rooms: &BTreeMap<FabricId, FabricCapacity>,
+    capacities: &BTreeMap<FabricId, FabricCapacity>,
     models: &[ModelConfig],
 ) -> FabricLayout {
-    let mut draft = LayoutDraft::new(rooms, models);
-    draft.keep_places();
+    let mut draft = LayoutDraft::new(capacities, models);
+    draft.place_existing();
     while draft.place_next() {}
-    while draft.exchange() {
+    while draft.exchange_next() {
         while draft.place_next() {}
     }
-    draft.into_layout(rooms, models)
+    draft.into_layout(capacities, models)
 }
 
-/// Room of one fabric domain.
+/// A fabric domain while its layout is computed.
 #[derive(Debug, Clone)]
-struct DomainRoom {
-    left: usize,
-    /// Hosts that hold a model, by its index.
+struct DomainDraft {
+    /// Hosts that are in no placed replica.
+    free_hosts: usize,
+    /// Hosts that have a model in memory, by the index of the model.
     loaded: Vec<usize>,
-    /// Replicas by the index of their model.
-    held: Vec<usize>,
+    /// Placed replicas, by the index of their model.
+    replicas: Vec<usize>,
 }
 
-/// Replicas of one model given up in a domain for one of another.
+/// Replacement of replicas of one model by a single replica of another, in one domain.
 #[derive(Debug, Clone, Copy)]
-struct RoomExchange {
-    room: usize,
+struct ReplicaExchange {
+    domain: usize,
     donor: usize,
-    given: usize,
+    /// Number of replicas that the donor gives up.
+    released: usize,
 }
 
-/// Domains and models by index, in the order of their names and of the configuration.
+/// Layout under construction. Domains are indexed in the order of their names, models in the order
+/// of the configuration.
 struct LayoutDraft<'a> {
     models: &'a [ModelConfig],
-    rooms: Vec<DomainRoom>,
+    domains: Vec<DomainDraft>,
     /// Replicas placed in all domains, by model.
     placed: Vec<usize>,
 }
 
 impl<'a> LayoutDraft<'a> {
-    fn new(rooms: &BTreeMap<FabricId, FabricCapacity>, models: &'a [ModelConfig]) -> Self {
-        let room = |room: &FabricCapacity| {
-            let loaded = |model: &ModelConfig| room.loaded.get(&model.name).copied();
-            DomainRoom {
-                left: room.hosts,
+    fn new(capacities: &BTreeMap<FabricId, FabricCapacity>, models: &'a [ModelConfig]) -> Self {
+        let domain = |capacity: &FabricCapacity| {
+            let loaded = |model: &ModelConfig| capacity.loaded.get(&model.name).copied();
+            DomainDraft {
+                free_hosts: capacity.hosts,
                 loaded: models
                     .iter()
                     .map(|model| loaded(model).unwrap_or(0))
                     .collect(),
-                held: vec![0; models.len()],
+                replicas: vec![0; models.len()],
             }
         };
         Self {
             models,
-            rooms: rooms.values().map(room).collect(),
+            domains: capacities.values().map(domain).collect(),
             placed: vec![0; models.len()],
         }
     }
 
-    fn cover(&self, model: usize, replicas: usize) -> Cover {
-        Cover::of(&self.models[model], replicas)
+    fn coverage(&self, model: usize, replicas: usize) -> Coverage {
+        Coverage::of(&self.models[model], replicas)
     }
 
-    /// Models, the one with the least for its share first, of equal ones the larger.
-    fn by_lack(&self) -> Vec<usize> {
+    /// Returns the models by ascending coverage, and by descending size where that is equal.
+    fn by_need(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by(|left, right| {
-            let cover = |model: usize| self.cover(model, self.placed[model]);
+            let coverage = |model: usize| self.coverage(model, self.placed[model]);
             let sizes = self.models[*right].size.cmp(&self.models[*left].size);
-            cover(*left).cmp(&cover(*right)).then(sizes)
+            coverage(*left).cmp(&coverage(*right)).then(sizes)
         });
         order
     }
 
-    /// Places the replicas that stand, the largest first. One that has lost up to half of its hosts
-    /// counts: a spare repairs it sooner than another domain loads its model.
-    fn keep_places(&mut self) {
+    /// Places the existing replicas, the largest first. A replica that has lost up to half of its
+    /// hosts counts as existing, since spares repair it sooner than another domain loads its model.
+    fn place_existing(&mut self) {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|model| std::cmp::Reverse(self.models[*model].size));
         for model in order {
@@ -126,54 +130,55 @@
             if size == 0 {
                 continue;
             }
-            for room in 0..self.rooms.len() {
-                let standing = (self.rooms[room].loaded[model] + size / 2) / size;
-                for _ in 0..standing {
-                    if self.rooms[room].left < self.needed(model, room) {
+            for domain in 0..self.domains.len() {
+                let existing = (self.domains[domain].loaded[model] + size / 2) / size;
+                for _ in 0..existing {
+                    if self.domains[domain].free_hosts < self.required_hosts(model, domain) {
                         break;
                     }
-                    self.place(model, room);
+                    self.place(model, domain);
                 }
             }
         }
     }
 
-    /// Places one replica more; whether there was room.
+    /// Places one more replica and returns whether a domain had room for one.
     fn place_next(&mut self) -> bool {
-        for model in self.by_lack() {
-            let Some(room) = self.best_room(model) else {
+        for model in self.by_need() {
+            let Some(domain) = self.best_domain(model) else {
                 continue;
             };
-            self.place(model, room);
+            self.place(model, domain);
             return true;
         }
         false
     }
 
-    fn place(&mut self, model: usize, room: usize) {
-        self.rooms[room].left -= self.models[model].size;
-        self.rooms[room].held[model] += 1;
+    fn place(&mut self, model: usize, domain: usize) {
+        self.domains[domain].free_hosts -= self.models[model].size;
+        self.domains[domain].replicas[model] += 1;
         self.placed[model] += 1;
     }
 
-    /// Hosts that a domain must have left for one replica more of a model.
-    fn needed(&self, model: usize, room: usize) -> usize {
-        let has_one = self.rooms[room].held[model] > 0;
+    /// Returns how many free hosts a domain must have for one more replica of a model.
+    fn required_hosts(&self, model: usize, domain: usize) -> usize {
+        let has_one = self.domains[domain].replicas[model] > 0;
         let spares = if has_one { self.models.len() } else { 0 };
         self.models[model].size + spares
     }
 
-    /// A domain without the model goes first: the loss of one then leaves the others.
-    fn best_room(&self, model: usize) -> Option<usize> {
+    /// Returns the domain for one more replica of a model. Domains without the model come first, so
+    /// that the loss of a domain leaves other replicas.
+    fn best_domain(&self, model: usize) -> Option<usize> {
         if self.models[model].size == 0 {
             return None;
         }
         let mut best: Option<((bool, usize), usize)> = None;
-        for (index, room) in self.rooms.iter().enumerate() {
-            if room.left < self.needed(model, index) {
+        for (index, domain) in self.domains.iter().enumerate() {
+            if domain.free_hosts < self.required_hosts(model, index) {
                 continue;
             }
-            let rank = (room.held[model] == 0, room.left);
+            let rank = (domain.replicas[model] == 0, domain.free_hosts);
             if best.is_none_or(|(most, _)| rank > most) {
                 best = Some((rank, index));
             }
@@ -181,59 +186,71 @@
         best.map(|(_, index)| index)
     }
 
-    /// Gives a model a replica in place of some of another model that has room to give; whether any
-    /// could be.
-    fn exchange(&mut self) -> bool {
-        for recipient in self.by_lack() {
+    /// Replaces replicas of one model by one of a model with less coverage and returns whether this
+    /// was possible.
+    fn exchange_next(&mut self) -> bool {
+        for recipient in self.by_need() {
             let Some(exchange) = self.best_exchange(recipient) else {
                 continue;
             };
-            let RoomExchange { room, donor, given } = exchange;
-            self.rooms[room].left += given * self.models[donor].size;
-            self.rooms[room].held[donor] -= given;
-            self.placed[donor] -= given;
-            self.place(recipient, room);
+            let ReplicaExchange {
+                domain,
+                donor,
+                released,
+            } = exchange;
+            self.domains[domain].free_hosts += released * self.models[donor].size;
+            self.domains[domain].replicas[donor] -= released;
+            self.placed[donor] -= released;
+            self.place(recipient, domain);
             return true;
         }
         false
     }
 
-    /// The exchange for one replica more of a model: in a domain without it where there is one, and
-    /// for as few hosts as can be.
-    fn best_exchange(&self, recipient: usize) -> Option<RoomExchange> {
+    /// Returns the best exchange for one more replica of a model: preferably in a domain without
+    /// the model, and for as few hosts as possible.
+    fn best_exchange(&self, recipient: usize) -> Option<ReplicaExchange> {
         if self.models[recipient].size == 0 {
             return None;
         }
-        let mut best: Option<((bool, usize), RoomExchange)> = None;
-        for room in 0..self.rooms.len() {
-            let Some((donor, given)) = self.donor(recipient, room) else {
+        let mut best: Option<((bool, usize), ReplicaExchange)> = None;
+        for domain in 0..self.domains.len() {
+            let Some((donor, released)) = self.find_donor(recipient, domain) else {
                 continue;
             };
-            let has_one = self.rooms[room].held[recipient] > 0;
-            let rank = (has_one, given * self.models[donor].size);
+            let has_one = self.domains[domain].replicas[recipient] > 0;
+            let rank = (has_one, released * self.models[donor].size);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
-                best = Some((rank, RoomExchange { room, donor, given }));
+                best = Some((
+                    rank,
+                    ReplicaExchange {
+                        domain,
+                        donor,
+                        released,
+                    },
+                ));
             }
         }
         best.map(|(_, exchange)| exchange)
     }
 
-    /// The model that gives up replicas in a domain for one of `recipient`, and how many.
-    fn donor(&self, recipient: usize, room: usize) -> Option<(usize, usize)> {
-        let gained = self.cover(recipient, self.placed[recipient] + 1);
+    /// Returns the model that can give up replicas in a domain for one of `recipient`, and how
+    /// many.
+    fn find_donor(&self, recipient: usize, domain: usize) -> Option<(usize, usize)> {
+        let gained = self.coverage(recipient, self.placed[recipient] + 1);
         let missing = self
-            .needed(recipient, room)
-            .checked_sub(self.rooms[room].left)?;
+            .required_hosts(recipient, domain)
+            .checked_sub(self.domains[domain].free_hosts)?;
         for (donor, model) in self.models.iter().enumerate() {
             if donor == recipient || model.size == 0 {
                 continue;
             }
-            let given = missing.div_ceil(model.size);
-            if given > self.rooms[room].held[donor] {
+            let released = missing.div_ceil(model.size);
+            if released > self.domains[domain].replicas[donor] {
                 continue;
             }
-            if self.cover(donor, self.placed[donor] - given) >= gained {
-                return Some((donor, given));
+            if self.coverage(donor, self.placed[donor] - released) >= gained {
+                return Some((donor, released));
             }
         }
         None
@@ -241,18 +258,18 @@
 
     fn into_layout(
         self,
-        rooms: &BTreeMap<FabricId, FabricCapacity>,
+        capacities: &BTreeMap<FabricId, FabricCapacity>,
         models: &[ModelConfig],
     ) -> FabricLayout {
         let mut layout = FabricLayout::new();
-        for (fabric, room) in rooms.keys().zip(self.rooms) {
-            let mut wanted = BTreeMap::new();
-            for (model, held) in models.iter().zip(room.held) {
-                if held > 0 {
-                    wanted.insert(model.name.clone(), held);
+        for (fabric, domain) in capacities.keys().zip(self.domains) {
+            let mut desired = BTreeMap::new();
+            for (model, count) in models.iter().zip(domain.replicas) {
+                if count > 0 {
+                    desired.insert(model.name.clone(), count);
                 }
             }
-            layout.insert(fabric.clone(), wanted);
+            layout.insert(fabric.clone(), desired);
         }
         layout
     }
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -1,42 +1,46 @@
-//! Spare hosts: which model each holds, so that it can step in within a fraction of a second.
+//! Spare hosts: which model each has in memory, so that it can replace a member within a fraction
+//! of a second.
 
 use domain::{ModelName, ReplicaId};
 
+use super::counts::ReplicaCounts;
 use super::state::{FabricState, HostState};
 use super::step::PlanStep;
-use super::tally::ReplicaTally;
 use crate::hashing::stable_hash;
 use crate::route::ModelConfig;
 
-/// Beginning of the names of one-host groups that only hold a spare's weights in memory.
+/// Name prefix of the one-host groups that spares form to load a model into memory.
 pub const SPARE_PREFIX: &str = "spare-";
 
-/// Beginning of the names of the groups of one host that load a model. A host does not say which
-/// model it loads, so the name does: otherwise each new host would load what the last one does.
+/// Returns the name prefix of the spare groups that load a model.
+///
+/// A host does not report which model it is loading, so the name of its group tells. Otherwise each
+/// new host would load the same model as the one before.
 #[must_use]
 pub fn spare_prefix(model: &ModelName) -> String {
-    let mark = stable_hash(&model.as_str()) & 0xffff_ffff;
-    format!("{SPARE_PREFIX}{mark:08x}-")
+    let hash = stable_hash(&model.as_str()) & 0xffff_ffff;
+    format!("{SPARE_PREFIX}{hash:08x}-")
 }
 
 pub(super) fn is_spare_name(replica: &ReplicaId) -> bool {
     replica.as_str().starts_with(SPARE_PREFIX)
 }
 
-/// Whether a host that joins nothing else is loading a model.
+/// Returns whether a host is loading a model as a spare.
 fn is_loading(host: &HostState, model: &ModelName) -> bool {
     let membership = host.membership.as_ref();
     let name = membership.map_or("", |membership| membership.replica.as_str());
     host.is_joining() && name.starts_with(&spare_prefix(model))
 }
 
+/// Adds a step for each free host that should load a model into memory.
 pub(super) fn warm_spares(
-    situation: &FabricState<'_>,
-    tally: &ReplicaTally<'_>,
+    fabric: &FabricState<'_>,
+    counts: &ReplicaCounts<'_>,
     free: &[&HostState],
     steps: &mut Vec<PlanStep>,
 ) {
-    let mut spares: Vec<usize> = situation
+    let mut spares: Vec<usize> = fabric
         .models
         .iter()
         .map(|model| {
@@ -47,27 +51,25 @@
         })
         .collect();
     for host in free {
-        // One that has a model in memory joins at once, or soon where another one is staged.
-        let is_warm = situation
-            .models
-            .iter()
-            .any(|model| host.is_warm(&model.name));
+        // A host with a model in memory can join a replica of it at once, and soon one of a model
+        // that it has staged.
+        let is_warm = fabric.models.iter().any(|model| host.is_warm(&model.name));
         if host.is_joining() || is_warm {
             continue;
         }
-        let owned = situation
+        let staged = fabric
             .models
             .iter()
             .find(|model| host.has_weights(&model.name));
-        if let Some(model) = owned {
+        if let Some(model) = staged {
             steps.push(warm_step(host, model));
             continue;
         }
-        let Some(index) = neediest(situation, tally, &spares) else {
+        let Some(index) = neediest_model(fabric, counts, &spares) else {
             continue;
         };
         spares[index] += 1;
-        steps.push(warm_step(host, &situation.models[index]));
+        steps.push(warm_step(host, &fabric.models[index]));
     }
 }
 
@@ -78,28 +80,29 @@
     }
 }
 
-/// The model for the next spare: the one whose next replica here is the nearest, where the fleet
-/// has little of it, counting the time that the missing hosts take to load.
+/// Returns the index of the model that the next spare should load.
 ///
-/// Where the domain has all that it should, the one with the most hosts at risk for each spare.
-fn neediest(
-    situation: &FabricState<'_>,
-    tally: &ReplicaTally<'_>,
+/// Models that need a replica in the domain come first. Among them the model wins whose missing
+/// hosts load soonest, weighted towards low coverage in the fleet. If the domain has all desired
+/// replicas, the model with the most serving hosts per spare wins.
+fn neediest_model(
+    fabric: &FabricState<'_>,
+    counts: &ReplicaCounts<'_>,
     spares: &[usize],
 ) -> Option<usize> {
     let mut best: Option<((bool, f64), usize)> = None;
-    for (index, model) in situation.models.iter().enumerate() {
-        let have = tally.standing(&model.name);
-        let lacks = tally.is_lacking(model) && spares[index] < model.size;
-        let need = if lacks {
+    for (index, model) in fabric.models.iter().enumerate() {
+        let current = counts.current(&model.name);
+        let needs_replica = counts.needs_replica(model) && spares[index] < model.size;
+        let need = if needs_replica {
             let missing = to_f64(model.size - spares[index]) * model.load_time.as_secs_f64();
-            // One replica more, so that a model of which nothing stands is still compared by time.
-            1.0 / (missing.max(1.0) * situation.cover(model, 1).hosts_per_share())
+            // Coverage with one more replica, so that models without any are compared by time.
+            1.0 / (missing.max(1.0) * fabric.coverage(model, 1).hosts_per_share())
         } else {
-            // Of two in equal need the one with fewer spares goes first.
-            to_f64(have * model.size) / to_f64(spares[index] + 1) - to_f64(spares[index]) * 1e-3
+            // Of two models in equal need the one with fewer spares comes first.
+            to_f64(current * model.size) / to_f64(spares[index] + 1) - to_f64(spares[index]) * 1e-3
         };
-        let rank = (lacks, need);
+        let rank = (needs_replica, need);
         if best.is_none_or(|(most, _)| rank > most) {
             best = Some((rank, index));
         }
--- a/crates/serving/src/plan/staging.rs
+++ b/crates/serving/src/plan/staging.rs
@@ -1,35 +1,38 @@
-//! A second model on each host, so that any host can step in for any replica of its fabric domain.
+//! Staging of a second model on each host, so that any host can join any replica of its fabric
+//! domain.
 //!
-//! With two hosts lost every few seconds and one model a host, a domain soon has three hosts of one
-//! model, two of the other, and no replica of either: they wait for a load of many seconds while
-//! callers are refused. A host that also holds the other model's weights joins within two seconds.
+//! With two hosts lost every few seconds and one model per host, a domain soon has three hosts of
+//! one model, two of the other and no replica of either. Their callers are refused for the many
+//! seconds that a load takes. A host that also has the weights of the other model joins within two
+//! seconds.
 
 use domain::{FastMap, FastSet, HostId, ModelName};
 
 use super::state::{FabricState, HostState};
 use super::step::PlanStep;
 
-/// Stages on each host the model that the fewest hosts of its domain could serve otherwise.
-pub(super) fn stage_second(situation: &FabricState<'_>, steps: &mut Vec<PlanStep>) {
-    if !situation.may_stage {
+/// Adds a step for each host that should stage a second model: the one that the fewest hosts of the
+/// domain have.
+pub(super) fn stage_second_models(fabric: &FabricState<'_>, steps: &mut Vec<PlanStep>) {
+    if !fabric.may_stage {
         return;
     }
     let mut holders: FastMap<&ModelName, usize> = FastMap::default();
-    for model in situation.models {
-        let held = situation.hosts.iter();
-        let held = held.filter(|host| host.has_weights(&model.name));
-        holders.insert(&model.name, held.count());
+    for model in fabric.models {
+        let having = fabric.hosts.iter();
+        let having = having.filter(|host| host.has_weights(&model.name));
+        holders.insert(&model.name, having.count());
     }
-    let taken: FastSet<HostId> = steps.iter().flat_map(PlanStep::hosts).cloned().collect();
-    for host in situation.hosts {
-        if !may_stage_on(host) || taken.contains(&host.id) {
+    let busy: FastSet<HostId> = steps.iter().flat_map(PlanStep::hosts).cloned().collect();
+    for host in fabric.hosts {
+        if !may_stage_on(host) || busy.contains(&host.id) {
             continue;
         }
-        let lacking = situation
+        let missing = fabric
             .models
             .iter()
             .filter(|model| !host.has_weights(&model.name));
-        let Some(model) = lacking.min_by_key(|model| holders.get(&model.name)) else {
+        let Some(model) = missing.min_by_key(|model| holders.get(&model.name)) else {
             continue;
         };
         *holders.entry(&model.name).or_default() += 1;
@@ -40,8 +43,8 @@
     }
 }
 
-/// Whether a host has the model of its replica in memory and no second one yet. Staging any sooner
-/// would be undone by the load of its first model.
+/// Returns whether a host has a model in memory and no second one staged. If it staged a model
+/// before, the load of its first model would remove it again.
 fn may_stage_on(host: &HostState) -> bool {
     let Some(loaded) = &host.loaded else {
         return false;
--- a/crates/serving/src/plan/state.rs
+++ b/crates/serving/src/plan/state.rs
@@ -1,56 +1,57 @@
-//! What a plan starts from: hosts of one fabric domain, and what is wanted of them.
+//! Input of a plan: the hosts of a fabric domain and the replicas desired there.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId};
 
-use super::cover::Cover;
+use super::coverage::Coverage;
 use crate::route::ModelConfig;
 use crate::target::{MemberState, ReplicaMembership};
 
-/// Whether a host stays with its replica.
+/// Whether a host is available for replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostLifecycle {
-    /// It does.
+    /// It is available.
     Active,
-    /// The registry does not name it any more, though it still answers. It works on in its replica;
-    /// nothing new is built on it.
+    /// It is no longer in the registry but still answers. It keeps working in its replica and joins
+    /// no new one.
     Unlisted,
-    /// It has said that it leaves, and serves on for a while.
+    /// It has announced that it leaves, and serves for a while longer.
     Draining,
-    /// It leaves and takes no connections any more, orders neither. It works on as long as its head
+    /// It leaves and accepts no more connections, and so no orders. It keeps working while its head
     /// has requests.
     Retired,
 }
 
 impl HostLifecycle {
-    /// Whether its replica must end soon; a member that is only unlisted may be back.
-    pub(super) fn ends(self) -> bool {
+    /// Returns whether its replica must close soon. A member that is only unlisted may come back.
+    pub(super) fn closes_replica(self) -> bool {
         matches!(self, Self::Draining | Self::Retired)
     }
 }
 
-/// What is known of a host.
+/// State of one host, as this node knows it.
 #[derive(Debug, Clone)]
 pub struct HostState {
-    /// The host.
+    /// Id of the host.
     pub id: HostId,
-    /// Time since when it does not answer, if it does not.
+    /// Time for which it has not answered; `None` if it answers.
     pub silent_for: Option<Duration>,
-    /// Whether it stays.
+    /// Whether it is available for replicas.
     pub lifecycle: HostLifecycle,
-    /// Whether an order to it is not settled yet.
+    /// Whether this node has sent it an order whose outcome is still unknown. It joins no new
+    /// replica until then.
     pub order_pending: bool,
-    /// Model that it held last.
+    /// Model whose weights were last in memory; `None` while it is loading one.
     pub loaded: Option<ModelName>,
-    /// Models on its disk or memory.
+    /// Models whose weights are stored on the host, ready to load.
     pub staged: Vec<ModelName>,
-    /// Second model that this node told it to load, if that may still be under way.
+    /// Second model that this node told it to stage, if it may still be doing so.
     pub staging: Option<ModelName>,
-    /// Its replica.
+    /// Membership in a replica, if any.
     pub membership: Option<ReplicaMembership>,
-    /// Time since the last change of its membership, as this node saw it.
+    /// Time since this node saw its membership change.
     pub unchanged_for: Duration,
 }
 
@@ -59,15 +60,17 @@
         self.silent_for.is_none()
     }
 
-    /// Whether it stays, answers, and waits for no order.
+    /// Returns whether it may join a new replica: it is active, answers and has no pending order.
     pub(super) fn is_usable(&self) -> bool {
         self.answers() && self.lifecycle == HostLifecycle::Active && !self.order_pending
     }
 
+    /// Returns whether the weights of a model are in its memory.
     pub(super) fn is_warm(&self, model: &ModelName) -> bool {
         self.loaded.as_ref() == Some(model)
     }
 
+    /// Returns whether it has the weights of a model in memory or staged.
     pub(super) fn has_weights(&self, model: &ModelName) -> bool {
         self.is_warm(model) || self.staged.contains(model)
     }
@@ -83,36 +86,37 @@
     }
 }
 
-/// A fabric domain with what is wanted of it.
+/// State of a fabric domain and the replicas desired there.
 #[derive(Debug)]
 pub struct FabricState<'a> {
-    /// Models.
+    /// Models of the service.
     pub models: &'a [ModelConfig],
-    /// Replicas wanted by model.
+    /// Desired number of replicas by model; a model without an entry has none.
     pub desired: &'a BTreeMap<ModelName, usize>,
-    /// Hosts.
+    /// Hosts of the domain.
     pub hosts: &'a [HostState],
-    /// Replicas of each model that stand in all fabric domains together.
+    /// Existing replicas of each model in all fabric domains together.
     pub fleet_replicas: &'a FastMap<ModelName, usize>,
-    /// Replicas that were seen serving, or whose formation failed; none of them is opened again.
+    /// Replicas, with their epochs, that were seen serving or whose formation failed. None of them
+    /// is opened again.
     pub never_reopen: &'a FastSet<(ReplicaId, u64)>,
-    /// Whether hosts without weights may join replicas: true before the first request, when
-    /// loads are quick and nobody waits for a spare.
+    /// Whether hosts without weights may join replicas. It is set before the first request, when
+    /// loads are quick and no caller waits for a spare.
     pub may_load_members: bool,
-    /// Whether the weight store has time for weights that nobody waits for.
+    /// Whether hosts may stage second models, which takes up the weight store without being urgent.
     pub may_stage: bool,
 }
 
 impl FabricState<'_> {
-    /// The cover of a model in all fabric domains; `formed` replicas are new.
-    pub(super) fn cover(&self, model: &ModelConfig, formed: usize) -> Cover {
-        let standing = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
-        Cover::of(model, standing + formed)
+    /// Returns the coverage of a model in all fabric domains with `formed` additional replicas.
+    pub(super) fn coverage(&self, model: &ModelConfig, formed: usize) -> Coverage {
+        let current = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
+        Coverage::of(model, current + formed)
     }
 
-    /// The cover of a model in all fabric domains when some of its replicas are given up.
-    pub(super) fn cover_without(&self, model: &ModelConfig, given: usize) -> Cover {
-        let standing = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
-        Cover::of(model, standing.saturating_sub(given))
+    /// Returns the coverage of a model in all fabric domains without `released` of its replicas.
+    pub(super) fn coverage_without(&self, model: &ModelConfig, released: usize) -> Coverage {
+        let current = self.fleet_replicas.get(&model.name).copied().unwrap_or(0);
+        Coverage::of(model, current.saturating_sub(released))
     }
 }
--- a/crates/serving/src/plan/step.rs
+++ b/crates/serving/src/plan/step.rs
@@ -1,74 +1,75 @@
-//! Steps of a plan.
+//! The steps that a plan consists of.
 
 use domain::{HostId, ModelName, ReplicaId};
 
-/// How a replica stops serving.
+/// How a replica that closes handles its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CloseMode {
-    /// Its requests end first.
+    /// It completes its requests first.
     Wait,
-    /// Its requests are cancelled; those that had not begun are said to be not run.
+    /// It cancels its requests, and reports those that had not begun as not run.
     Cancel,
 }
 
-/// One thing to do now. Each is safe to do late, twice or not at all: the next plan starts from
-/// what has become of it.
+/// A step to take now. It is safe to take a step late, twice or not at all, since the next plan
+/// starts from the state that results.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum PlanStep {
-    /// Let a replica serve whose members all have its weights.
+    /// Lets a replica serve whose members have all loaded its weights.
     Open {
-        /// Its head.
+        /// Head of the replica.
         head: HostId,
-        /// The replica.
+        /// Name of the replica.
         replica: ReplicaId,
-        /// Its epoch.
+        /// Epoch in which it was formed.
         epoch: u64,
     },
-    /// Stop a replica whose members are not all there any more.
+    /// Closes a replica that has lost members, or is about to.
     Close {
-        /// Its head.
+        /// Head of the replica.
         head: HostId,
-        /// The replica.
+        /// Name of the replica.
         replica: ReplicaId,
-        /// Its epoch.
+        /// Epoch in which it was formed.
         epoch: u64,
-        /// What becomes of its requests.
+        /// Whether its requests complete or are cancelled.
         mode: CloseMode,
     },
-    /// End a whole replica, so that its hosts serve another model.
+    /// Gives up an intact replica, so that its hosts serve another model.
     Yield {
-        /// Its head.
+        /// Head of the replica.
         head: HostId,
-        /// The replica.
+        /// Name of the replica.
         replica: ReplicaId,
-        /// Its epoch.
+        /// Epoch in which it was formed.
         epoch: u64,
     },
-    /// Join hosts to a new replica.
+    /// Forms a new replica.
     Form {
-        /// Model.
+        /// Model to serve.
         model: ModelName,
-        /// Members by rank.
+        /// Members in the order of their ranks; the first is the head.
         members: Vec<HostId>,
     },
-    /// Load a second model's weights onto a host, which goes on with its work meanwhile.
+    /// Stages the weights of a second model on a host, which keeps serving meanwhile.
     Stage {
-        /// The host.
+        /// Host that stages the weights.
         host: HostId,
-        /// The model.
+        /// Model to stage.
         model: ModelName,
     },
-    /// Load a model on a spare host, so that it can step in within a fraction of a second.
+    /// Loads a model into the memory of a spare host, so that it can join a replica within a
+    /// fraction of a second.
     Warm {
-        /// The host.
+        /// Spare host.
         host: HostId,
-        /// The model.
+        /// Model to load.
         model: ModelName,
     },
 }
 
 impl PlanStep {
-    /// The hosts that get an order by it.
+    /// Returns the hosts that receive an order when the step is taken.
     #[must_use]
     pub fn hosts(&self) -> &[HostId] {
         match self {
--- a/crates/serving/src/prompt_backlog.rs
+++ b/crates/serving/src/prompt_backlog.rs
@@ -8,9 +8,9 @@
 
 use std::time::Duration;
 
-/// Fraction of a replica's time that goes to prefill while prompts wait. The rest goes to the tokens
-/// that other requests decode in the same steps: a chunk of 2,048 prompt tokens takes 40 ms, next to
-/// 7 ms for those.
+/// Fraction of a replica's time that goes to prefill while prompts wait. The rest goes to the
+/// tokens that other requests decode in the same steps: a chunk of 2,048 prompt tokens takes 40 ms,
+/// next to 7 ms for those.
 const PREFILL_FRACTION: f64 = 0.85;
 
 /// Estimated prompt tokens that a head has not prefilled yet.
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-/// Time before the kill that is not used for requests. It covers the exit of the process, and timers
-/// that fire late on a busy host.
+/// Time before the kill that is not used for requests. It covers the exit of the process, and
+/// timers that fire late on a busy host.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time after the signal for which a node accepts requests as before. The load balancer takes a node
-/// out after two failed health checks, one second apart, and connections opened until then still
-/// bring requests.
+/// Time after the signal for which a node accepts requests as before. The load balancer takes a
+/// node out after two failed health checks, one second apart, and connections opened until then
+/// still bring requests.
 const FULL_SERVICE_TIME: Duration = Duration::from_millis(2600);
 
-/// Minimum time between the signal and the exit, in which the load balancer and callers learn of the
-/// shutdown.
+/// Minimum time between the signal and the exit, in which the load balancer and callers learn of
+/// the shutdown.
 const MIN_DURATION: Duration = Duration::from_millis(3200);
 
 /// Timeline of one graceful shutdown.
