--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -332,7 +332,7 @@
         boot: target.boot,
         began: node.now(),
         status: head.status,
-        headers: adapter::headers::without_connection_headers(&head.headers),
+        headers: adapter::headers::without_hop_by_hop_headers(&head.headers),
         facts,
         body,
         link: exchanged.link,
