--- a/crates/control/src/lease/actor.rs
+++ b/crates/control/src/lease/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that takes, renews and releases one lease.
+//! The actor that acquires, renews and releases one lease.
 
 use std::time::{Duration, Instant};
 
@@ -15,21 +15,21 @@
 use crate::backoff::with_jitter;
 use crate::token::random_token;
 
-/// Sends of one transaction; the next beat goes on from what the table then says.
+/// Sends of one transaction; the next tick continues from what the table then contains.
 const COMMIT_ATTEMPTS: u32 = 2;
 
-/// Share of the beat by which each pause is shortened at random.
+/// Fraction of the renewal interval by which each delay is shortened at random.
 const JITTER_FRACTION: f64 = 0.2;
 
 const MAILBOX: usize = 8;
 
-/// A next_poll at the lease is due.
+/// Reads the lease and acts on it.
 struct LeaseTick;
 
-/// The process stops.
+/// Releases the lease because the process stops.
 struct ReleaseLease;
 
-/// A lease that is being kept. The task ends when the handle is dropped.
+/// Handle of a lease actor. The actor ends when the handle is dropped.
 #[derive(Debug)]
 pub struct LeaseHandle<T: TableStore> {
     address: Address<LeaseActor<T>>,
@@ -37,19 +37,20 @@
 }
 
 impl<T: TableStore> LeaseHandle<T> {
-    /// Leave to act; it must still be asked for its remaining time.
+    /// The current grant, or none while the lease is not held. Check [`LeaseGrant::remaining`]
+    /// before each action.
     #[must_use]
     pub fn grants(&self) -> watch::Receiver<Option<LeaseGrant>> {
         self.grants.clone()
     }
 
-    /// Gives the lease up, so that another node need not wait for it to run out.
+    /// Releases the lease, so that another node need not wait for it to expire.
     pub async fn release(&self) {
         log_skipped("release lease", self.address.send(ReleaseLease).await);
     }
 }
 
-/// Keeps one lease.
+/// Acquires, renews and releases one lease.
 #[derive(xtra::Actor)]
 struct LeaseActor<T> {
     table: T,
@@ -60,7 +61,7 @@
     stopping: bool,
 }
 
-/// Starts to keep a lease. `rank` is the node's rank among the candidates and may change.
+/// Starts the actor of one lease. `rank` is the node's rank among the candidates and may change.
 #[must_use]
 pub fn start_lease_actor<T: TableStore>(
     table: T,
@@ -82,7 +83,7 @@
     let weak = address.downgrade();
     tokio::spawn(async move {
         while let Ok(next_poll) = weak.send(LeaseTick).await {
-            // Regular beats are with_jitter; a next_poll that waits for a lease to run out comes on time.
+            // Regular ticks get jitter; a tick that waits for a lease to expire comes on time.
             let interval = settings.renew_interval();
             let delay = if next_poll < interval {
                 next_poll
@@ -102,12 +103,12 @@
         if self.stopping {
             return Duration::MAX;
         }
-        // The store's failures need no event each: the circuit of the table tells of them, and a
-        // lease that runs out tells of its loss.
+        // Store failures are not recorded here: the table's circuit breaker reports them, and an
+        // expired lease is reported as lost.
         let result = self.tick().await;
         self.publish();
         if result.is_err() {
-            // Looking more often at a table that is down helps nobody.
+            // Polling faster while the table is down would only add load.
             return Duration::MAX;
         }
         let rank = *self.rank.borrow();
@@ -121,8 +122,8 @@
     async fn handle(&mut self, _: ReleaseLease, _: &mut Context<Self>) {
         self.stopping = true;
         let step = self.tracker.release_step();
-        // A lease that could not be given up runs out, which takes others a little longer.
-        log_skipped("give lease up", self.execute(step).await);
+        // A lease that could not be released expires, which delays its next holder a little.
+        log_skipped("write lease release", self.execute(step).await);
         self.publish();
     }
 }
@@ -130,7 +131,7 @@
 impl<T: TableStore> LeaseActor<T> {
     async fn tick(&mut self) -> Result<(), StoreError> {
         let rank = *self.rank.borrow();
-        // 410 nodes that all read 100 leases every beat would need more reads than the table has.
+        // If 410 nodes all read 100 leases at every tick, the reads would exceed the table's limit.
         if rank.is_none() && !self.tracker.is_held() {
             return Ok(());
         }
@@ -171,7 +172,8 @@
                 Ok(())
             }
             LeaseStep::Release(record) => {
-                // Nothing may be done under the lease from here on, even if the answer is lost.
+                // The grant ends before the write is sent: the release may take effect even if its
+                // response is lost.
                 self.tracker.record_lost();
                 self.publish();
                 self.write_record(&record, None).await?;
@@ -196,7 +198,8 @@
         Ok((expect, row))
     }
 
-    /// Writes the record over the version last seen; none when another node was faster.
+    /// Writes the record over the last observed version. Returns none when another node wrote
+    /// first.
     async fn write_record(
         &self,
         record: &LeaseRecord,
@@ -239,7 +242,7 @@
     }
 }
 
-/// A holder's name that is unique to this process, though the node's name may come back.
+/// A holder id that is unique to this process, since a restarted node may reuse the node's name.
 #[must_use]
 pub fn unique_holder_id(node: &NodeId) -> NodeId {
     let text = format!("{node}.{:016x}", rand::random::<u64>());
--- a/crates/control/src/lease/candidate.rs
+++ b/crates/control/src/lease/candidate.rs
@@ -1,17 +1,17 @@
-//! Which nodes watch a lease, a replica or whatever else has a name.
+//! Selection of the nodes that are responsible for a lease, a replica or any other key.
 
 use domain::{NodeId, RegionId};
 
 use crate::members::{Member, MemberView, rendezvous_weight};
 
-/// A node's rank among the candidates of a lease; 0 is the first.
+/// A node's rank among the candidates of a lease; 0 is the preferred one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CandidateRank(pub u32);
 
-/// Members by rendezvous hashing over `key`, those that `prefers` picks before the others.
+/// Orders the members by rendezvous hashing over `key`, those that `prefers` selects first.
 ///
-/// Every node comes to the same order without talking, work spreads evenly over 410 nodes, and a
-/// node that leaves moves only its own share.
+/// Every node computes the same order without communication, the load spreads evenly over 410
+/// nodes, and a node that leaves moves only its own share.
 #[must_use]
 pub fn ranked_nodes<'view>(
     view: &'view MemberView,
@@ -38,11 +38,12 @@
     ranked.into_iter().map(|(_, _, member)| member).collect()
 }
 
-/// The node's rank among the first `count` candidates; none when it is not among them.
+/// The node's rank among the first `count` candidates; none when it is not one of them.
 ///
-/// Nodes of the lease's own region come first, so that orders and probes stay near; nodes of other
-/// regions follow, so that the loss of a region's nodes leaves its targets a controller. A node
-/// that knows no members takes the first rank everywhere: too many candidates cost only reads.
+/// Nodes of the lease's own region come first, which keeps orders and probes local; nodes of other
+/// regions follow, so that the targets of a region that lost its nodes still get a controller. A
+/// node that is not in its own member view takes rank 0 for every lease: surplus candidates cost
+/// only reads.
 #[must_use]
 pub fn candidate_rank(
     view: &MemberView,
--- a/crates/control/src/lease/keys.rs
+++ b/crates/control/src/lease/keys.rs
@@ -2,7 +2,7 @@
 
 use domain::{FabricId, IdError, LeaseName};
 
-/// The lease of a fabric domain's assembly.
+/// Name of the lease under which the replicas of a fabric domain are assembled.
 ///
 /// # Errors
 ///
@@ -11,7 +11,7 @@
     format!("fabric:{fabric}").parse()
 }
 
-/// The lease of housekeeping.
+/// Name of the lease under which old claims are deleted.
 #[must_use]
 pub fn housekeeping_lease() -> LeaseName {
     "housekeeping"
--- a/crates/control/src/lease/tracker.rs
+++ b/crates/control/src/lease/tracker.rs
@@ -1,4 +1,4 @@
-//! What to do about a lease next, apart from input and output.
+//! State machine of one lease, without input or output.
 
 use std::time::{Duration, Instant};
 
@@ -7,34 +7,34 @@
 
 use super::{CandidateRank, LeaseGrant, LeaseSettings};
 
-/// Share of the time to live that a holder leaves unused.
+/// A holder leaves this part of the TTL (a tenth) unused.
 ///
-/// The observer's clock may run a little faster than the holder's. Without a margin both would act
-/// for a moment; a tenth is far above what any clock drifts.
+/// The observer's clock may run a little faster than the holder's; without a margin both could act
+/// at the same time. A tenth is far above any clock drift.
 const DRIFT_DIVISOR: u32 = 10;
 
-/// Added to the time until a lease may be taken, so that the look does not come just before it.
+/// Added to the time until a lease may be acquired, so that the read does not come just before it.
 const POLL_MARGIN: Duration = Duration::from_millis(20);
 
 /// The row that changes only with the holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRow {
-    /// The epoch.
+    /// Epoch of the current acquisition.
     pub epoch: LeaseEpoch,
-    /// The holder that began it.
+    /// The process that acquired the lease in this epoch.
     pub holder: NodeId,
 }
 
-/// The next step.
+/// What to write next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Nothing to write.
     Wait,
-    /// Write this record over the row's version, whatever its age.
+    /// Write this record over the observed version.
     Renew(LeaseRecord),
     /// Write this record and a new epoch row.
     Acquire(LeaseRecord),
-    /// Give the lease up with this record.
+    /// Write this record, which has no holder.
     Release(LeaseRecord),
 }
 
@@ -52,7 +52,7 @@
     valid_until: Instant,
 }
 
-/// What one process knows of one lease.
+/// What one process knows about one lease.
 #[derive(Debug, Clone)]
 pub struct LeaseTracker {
     name: LeaseName,
@@ -63,8 +63,8 @@
 }
 
 impl LeaseTracker {
-    /// A tracker. `holder` must be unique to this process: a restarted process that took its
-    /// predecessor's record for its own would act beside it.
+    /// A tracker that has not read the lease yet. `holder` must be unique to this process: a
+    /// restarted process that took its predecessor's record for its own would act alongside it.
     #[must_use]
     pub fn new(name: LeaseName, holder: NodeId, settings: LeaseSettings) -> Self {
         Self {
@@ -76,13 +76,13 @@
         }
     }
 
-    /// The lease.
+    /// Name of the tracked lease.
     #[must_use]
     pub fn name(&self) -> &LeaseName {
         &self.name
     }
 
-    /// The holder that this process is.
+    /// Id under which this process holds the lease.
     #[must_use]
     pub fn holder(&self) -> &NodeId {
         &self.holder
@@ -94,16 +94,16 @@
         self.held.is_some()
     }
 
-    /// Version of the row as last observed; none for an absent row or before the first look.
+    /// Version of the row as last observed; none for an absent row or before the first read.
     #[must_use]
     pub fn version(&self) -> Option<RowVersion> {
         self.observed.as_ref().and_then(|observed| observed.version)
     }
 
-    /// Takes in the row as it was read; `now` is a moment after the read.
+    /// Updates the state from a read of the row; `now` must be after the read.
     ///
-    /// The time since which a record stands counts from the end of the read that first saw it, so
-    /// that an observer's slow read never shortens the holder's time.
+    /// The time for which a record has been unchanged counts from the end of the read that first
+    /// saw it, so that a slow read of an observer never shortens the holder's time.
     pub fn observe(&mut self, record: LeaseRecord, version: Option<RowVersion>, now: Instant) {
         let own = record.holder.as_ref() == Some(&self.holder);
         let other_epoch = self
@@ -120,9 +120,9 @@
         if same {
             return;
         }
-        // A take-over whose answer was lost shows here. The holder's name is unique to this process
-        // and both rows were written together, so it is this process's own; it may act only after
-        // a renewal, because nobody knows when the take-over took effect.
+        // An acquisition whose response was lost shows up here. The holder id is unique to this
+        // process and both rows were written together, so it is this process's own. It may act only
+        // after a renewal, because the time at which the acquisition took effect is unknown.
         if let Some(version) = version
             && own
             && self.held.is_none()
@@ -141,7 +141,7 @@
         });
     }
 
-    /// The next step for a node at `rank`; none lets go of the lease.
+    /// The next step for a node of this candidate rank; without a rank the lease is released.
     #[must_use]
     pub fn next_step(&self, rank: Option<CandidateRank>, now: Instant) -> LeaseStep {
         let Some(observed) = &self.observed else {
@@ -173,7 +173,8 @@
             .map_or(LeaseStep::Wait, LeaseStep::Acquire)
     }
 
-    /// Time until the next look at the row: a beat, or less when the lease may be taken before.
+    /// Time until the next read: the renewal interval, or less when the lease may be acquired
+    /// earlier.
     #[must_use]
     pub fn next_poll(&self, rank: Option<CandidateRank>, now: Instant) -> Duration {
         let interval = self.settings.renew_interval();
@@ -191,7 +192,7 @@
         left.min(interval)
     }
 
-    /// The step that lets go of the lease now.
+    /// The step that releases the lease, if it is held.
     #[must_use]
     pub fn release_step(&self) -> LeaseStep {
         if self.held.is_none() {
@@ -203,7 +204,7 @@
             .map_or(LeaseStep::Wait, LeaseStep::Release)
     }
 
-    /// Notes a take-over that took effect; `started` is the moment before it was sent.
+    /// Records an acquisition that took effect; `started` is the time before it was sent.
     pub fn record_acquired(&mut self, record: LeaseRecord, version: RowVersion, started: Instant) {
         self.held = Some(HeldLease {
             epoch: record.epoch,
@@ -213,8 +214,8 @@
         self.set_observed(record, version, started);
     }
 
-    /// Notes a renewal that took effect; `started` is the moment before it was sent, because the
-    /// store may have written it at once and answered late.
+    /// Records a renewal that took effect; `started` is the time before it was sent, because the
+    /// store may have applied it at once and responded late.
     pub fn record_renewed(&mut self, record: LeaseRecord, version: RowVersion, started: Instant) {
         let until = started + self.usable_ttl(&record);
         if let Some(held) = &mut self.held {
@@ -223,7 +224,7 @@
         self.set_observed(record, version, started);
     }
 
-    /// Notes that the lease is given up or another node's.
+    /// Records that the lease is released or held by another node.
     pub fn record_lost(&mut self) {
         self.held = None;
     }
@@ -241,7 +242,7 @@
         ttl.saturating_sub(ttl / DRIFT_DIVISOR)
     }
 
-    /// Leave to act; none when the lease is not held or ran out.
+    /// The current grant; none when the lease is not held or has expired.
     #[must_use]
     pub fn grant(&self, now: Instant) -> Option<LeaseGrant> {
         let held = self.held.as_ref()?;
