--- a/crates/control/src/backoff.rs
+++ b/crates/control/src/backoff.rs
@@ -1,13 +1,14 @@
-//! Pauses between tries.
+//! Exponential backoff and jitter.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Pauses that double up to a max one, each with_jitter at random.
+/// Exponential backoff with jitter: delays double up to a maximum.
 ///
-/// When the store returns after an outage, 410 nodes that waited the same time would all come back
-/// at once and take it down again. Each pause is therefore drawn from half of it to the delay.
+/// When the store returns after an outage, 410 nodes with equal delays would all reconnect at once
+/// and overload it again. Each delay is therefore drawn between half of its nominal value and the
+/// full value.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     initial: Duration,
@@ -16,7 +17,7 @@
 }
 
 impl Backoff {
-    /// Pauses from `initial` to `max`.
+    /// A backoff whose nominal delay starts at `initial` and doubles up to `max`.
     #[must_use]
     pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// The next pause.
+    /// Returns the next delay and doubles the nominal one.
     #[must_use]
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.current;
@@ -34,13 +35,13 @@
         with_jitter(delay, 0.5)
     }
 
-    /// Starts over after a success.
+    /// Restarts at the initial delay; call it after a success.
     pub fn reset(&mut self) {
         self.current = self.initial;
     }
 }
 
-/// A period shortened at random by up to `fraction` of it, so that nodes do not act in step.
+/// Shortens a period at random by up to `fraction` of it, so that nodes do not act in lockstep.
 #[must_use]
 pub fn with_jitter(period: Duration, fraction: f64) -> Duration {
     let cut: f64 = rand::rng().random_range(0.0..=fraction);
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of hosts.
+//! Polling the platform's host list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::backoff::{Backoff, with_jitter};
 
-/// Longest backoff while the list can't be read.
+/// Longest delay between two tries while the list can't be read.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// The hosts as last listed.
+/// The most recently read host list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostDirectory {
     /// Hosts by name.
@@ -20,7 +20,7 @@
 }
 
 impl HostDirectory {
-    /// The fabric domains, ordered, each with the region of its hosts.
+    /// The fabric domains in order, each with the region of its hosts.
     #[must_use]
     pub fn fabrics(&self) -> Vec<(FabricId, RegionId)> {
         let mut fabrics: Vec<(FabricId, RegionId)> = self
@@ -34,10 +34,11 @@
     }
 }
 
-/// Follows the list and publishes each change; runs until it is dropped.
+/// Polls the host list and publishes each change; runs until it is dropped.
 ///
-/// The list goes on standing when it can't be read. With a conditional read every second, 410
-/// nodes ask 410 times a second and get the 225 KB of 1,500 hosts only when something changed.
+/// The last list stays in use while the list can't be read. With a conditional read every second,
+/// 410 nodes send 410 requests a second and receive the 225 KB of 1,500 hosts only when something
+/// changed.
 pub async fn poll_hosts<L: HostListPort>(
     list: L,
     sender: watch::Sender<Arc<HostDirectory>>,
--- a/crates/control/src/drains.rs
+++ b/crates/control/src/drains.rs
@@ -1,8 +1,8 @@
-//! What keeps new work away from hosts.
+//! Reasons to send no new work to a host.
 //!
-//! A drain starts from the host list, from the engine's own report or from an operator's record,
-//! whichever comes first; it ends when none of them asks for it any more. A drain of one host
-//! drains its replica, since a replica works with all its hosts or not at all.
+//! A drain starts with the host list, the engine's own report or an operator's record, whichever
+//! comes first, and ends when none of them asks for it any more. Draining one host drains its
+//! replica, since a replica needs all of its hosts.
 
 use domain::{DomainId, FastSet, HostId, ReplicaPlan};
 use wire::engine::EngineState;
@@ -13,36 +13,36 @@
 /// Why a replica takes no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainCause {
-    /// The host list says that a host leaves, or names it no longer.
+    /// The host list marks a host as leaving or no longer contains it.
     HostList,
     /// An operator's record names a host or its failure domain.
     Record,
-    /// A host's engine says that it leaves.
+    /// A host's engine reports that it is leaving.
     Engine,
-    /// A host is lost and no spare can take its place.
+    /// A host is lost and no spare can replace it.
     HostLost,
-    /// More replicas stand than the model's record asks for, or none is asked for.
+    /// There are more replicas than the model's record asks for, or it asks for none.
     Surplus,
     /// The model's record asks for other adapters or another number of hosts.
     Changed,
 }
 
 impl DrainCause {
-    /// The cause in plain words.
+    /// Description of the cause for the event log.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::HostList => "the host list says that a host leaves",
+            Self::HostList => "the host list marks a host as leaving or no longer lists it",
             Self::Record => "an operator's record drains a host",
-            Self::Engine => "an engine reports that it leaves",
-            Self::HostLost => "a host is lost and no spare is there",
+            Self::Engine => "an engine reports that it is leaving",
+            Self::HostLost => "a host is lost and no spare is available",
             Self::Surplus => "the model's record asks for fewer replicas",
             Self::Changed => "the model's record changed",
         }
     }
 }
 
-/// The operators' drains of one configuration, ready for look-ups.
+/// The operators' drains of one configuration, indexed for look-ups.
 #[derive(Debug, Clone, Default)]
 pub struct DrainSet {
     hosts: FastSet<HostId>,
@@ -50,7 +50,7 @@
 }
 
 impl DrainSet {
-    /// The drains of a configuration.
+    /// Collects the hosts and failure domains that the configuration drains.
     #[must_use]
     pub fn new(config: &ConfigView) -> Self {
         let mut set = Self::default();
@@ -61,7 +61,8 @@
         set
     }
 
-    /// Why a host takes no new work; none when it may.
+    /// Why a host takes no new work; none when it may take some. `state` is the engine's report, if
+    /// there is one.
     #[must_use]
     pub fn host_cause(
         &self,
@@ -81,7 +82,7 @@
         entry.leaving.then_some(DrainCause::HostList)
     }
 
-    /// Why a replica takes no new work for the sake of its hosts.
+    /// The first drain cause among a replica's hosts, without regard to the engines' reports.
     #[must_use]
     pub fn replica_cause(
         &self,
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Publishing the targets: plans, hosts, drains and evidence put together.
+//! Publishing the targets: plans, hosts, drains and health evidence combined.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,24 +13,26 @@
 use crate::plans::FleetPlans;
 use crate::view::{ConfigView, ReplicaView, TargetView};
 
-/// Shortest time between two publications.
+/// Shortest interval between two publications.
 ///
-/// With 1,500 replicas and evidence every second for each, one publication a piece of evidence
-/// would be 1,500 a second. At 50 ms it is 20, each of which copies one pointer a replica.
+/// With 1,500 replicas and new evidence for each every second, publishing per piece of evidence
+/// would mean 1,500 publications a second. At 50 ms there are 20, each of which copies one pointer
+/// a replica.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the targets are put together from.
+/// Inputs of the target view.
 #[derive(Debug, Clone)]
 pub struct TargetInputs {
-    /// The replicas.
+    /// The replica plans.
     pub plans: watch::Receiver<Arc<FleetPlans>>,
-    /// The hosts.
+    /// The host list.
     pub directory: watch::Receiver<Arc<HostDirectory>>,
-    /// The configuration in force, for the operators' drains.
+    /// The active configuration, for the operators' drains.
     pub config: watch::Receiver<Arc<ConfigView>>,
 }
 
-/// Publishes the targets at each change and each new evidence; runs until it is dropped.
+/// Publishes the targets after each change and each new piece of evidence; returns when an input is
+/// closed.
 pub async fn publish_targets(
     mut inputs: TargetInputs,
     evidence_store: EvidenceStore,
--- a/crates/control/src/gate.rs
+++ b/crates/control/src/gate.rs
@@ -1,4 +1,4 @@
-//! The deadline up to which a node may serve.
+//! The deadline until which a node may serve requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,9 +6,9 @@
 
 /// Tells the request path whether the node may serve now. Clones share the deadline.
 ///
-/// The deadline is kept, and not a flag: a process that is frozen and runs on takes requests before
-/// any task of its own had a chance to clear a flag, and would answer them with an old
-/// configuration. The default gate is open for good.
+/// It stores a deadline instead of a flag: a process that resumes after a suspension takes requests
+/// before any of its tasks could clear a flag, and would answer them with an outdated
+/// configuration. The default gate is always open.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceGate {
     shared: Option<Arc<GateDeadline>>,
@@ -21,7 +21,7 @@
 }
 
 impl ServiceGate {
-    /// A gate that is closed until it is opened.
+    /// A gate that is closed until [`Self::open_until`] is called.
     #[must_use]
     pub fn closed() -> Self {
         let deadline = GateDeadline {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Opens it up to a deadline, or closes it with one that has passed.
+    /// Sets the deadline; one in the past closes the gate.
     pub fn open_until(&self, until: Instant) {
         let Some(deadline) = &self.shared else { return };
         let open = until.saturating_duration_since(deadline.base);
@@ -41,7 +41,7 @@
         deadline.until_ms.store(until_ms, Ordering::Release);
     }
 
-    /// Whether it is open at a deadline.
+    /// Whether the gate is open at `now`.
     #[must_use]
     pub fn is_open(&self, now: Instant) -> bool {
         let Some(deadline) = &self.shared else {
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -6,29 +6,29 @@
 
 use crate::amend::{AmendError, ChangeRow, ConfigHead, StoredRecord, read_change};
 
-/// Which changes an operator asks for.
+/// Filter for the change log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HistoryQuery {
-    /// Only those of this kind.
+    /// Only changes to records of this kind.
     pub kind: Option<RecordKind>,
-    /// Only those of this name.
+    /// Only changes to records of this name.
     pub name: Option<String>,
-    /// Only those up to this revision; none starts at the newest.
+    /// Only changes up to and including this revision; without it the newest change comes first.
     pub before: Option<ConfigRevision>,
-    /// At most so many.
+    /// Maximum number of changes.
     pub limit: usize,
 }
 
-/// What became of an amendment whose answer was lost.
+/// Status of an amendment whose response was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AmendmentStatus {
     /// It is accepted.
     Accepted,
-    /// It was not and never will be accepted.
+    /// It was not accepted and never will be.
     NotAccepted,
-    /// It may still take effect: nothing else took its revision yet.
+    /// It may still take effect: no other amendment took its revision yet.
     Pending,
-    /// The change log no longer keeps its revision.
+    /// Its change-log row was compacted, so its outcome is no longer known.
     Compacted,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads every record, or those of one kind, ordered by kind and name.
+/// Reads all records, or those of one kind, ordered by kind and name.
 ///
 /// # Errors
 ///
@@ -74,7 +74,7 @@
     Ok(records)
 }
 
-/// Reads the head.
+/// Reads the revision of the configuration's head; 0 before the first record.
 ///
 /// # Errors
 ///
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads changes, newest first, as far back as the log keeps them.
+/// Reads changes, newest first, as far back as the change log reaches.
 ///
 /// # Errors
 ///
@@ -119,10 +119,10 @@
     Ok(changes)
 }
 
-/// Tells what became of an amendment that [`AmendError::Unsettled`] left open.
+/// Determines the outcome of an amendment that ended with [`AmendError::Unsettled`].
 ///
-/// The change-log row of a revision is inserted once and never rewritten, so whose token it
-/// carries is final. While nobody took the revision, a delayed send can still do so.
+/// The change-log row of a revision is inserted once and never rewritten, so the token in it is
+/// final. While the revision is unused, a delayed send can still take effect.
 ///
 /// # Errors
 ///
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -1,8 +1,8 @@
-//! Housekeeping under its lease: old settled claims leave the ledger.
+//! Deletion of old settled claims from the ledger, under the housekeeping lease.
 //!
-//! The age of a claim is last_advance without comparing clocks, see [`domain::RetentionLog`]: the
-//! table's own versions say what was written before what, and the holders of the lease count the
-//! time between on their own monotonic clocks.
+//! The age of a claim is measured without comparing clocks, see [`domain::RetentionLog`]: the
+//! table's versions order the writes, and the holders of the lease measure the time between them on
+//! their own monotonic clocks.
 
 use std::time::{Duration, Instant};
 
@@ -19,25 +19,25 @@
 use crate::lease::LeaseGrant;
 use crate::token::random_token;
 
-/// Rows of one page of the sweep, and most deletes of one transaction.
+/// Rows per page of the sweep, and thus most deletes per transaction.
 const PAGE_ROWS: usize = 100;
 
 /// Sends of one transaction.
 const COMMIT_ATTEMPTS: u32 = 2;
 
-/// Limits of housekeeping. Times are in milliseconds.
+/// Timing of housekeeping. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct HousekeepingSettings {
     /// Time for which a settled claim answers later requests with its key. It must be far above
     /// [`crate::ledger::LedgerSettings::send_limit_ms`] and above the longest time for which a
-    /// caller repeats a call; a week covers a market's closed days.
+    /// caller retries a call; a week covers days on which a market is closed.
     #[builder(default = 7 * 24 * 3_600_000)]
     pub claim_retention_ms: u64,
-    /// Time between two sweeps.
+    /// Interval between two sweeps.
     #[builder(default = 3_600_000)]
     pub sweep_period_ms: u64,
-    /// Pause between two pages of a sweep, which keeps it at a few reads a second.
+    /// Delay between two pages of a sweep, which limits it to a few reads a second.
     #[builder(default = 250)]
     pub page_pause_ms: u64,
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Sweeps while the lease is held; runs until the lease's keeper ends.
+/// Sweeps at intervals while the lease is held; runs until the lease's actor ends.
 pub async fn run_housekeeping<T: TableStore>(
     table: T,
     grants: watch::Receiver<Option<LeaseGrant>>,
@@ -86,7 +86,7 @@
     );
 }
 
-/// Adds the time that passed to the log; none when another node is at it.
+/// Adds the elapsed time to the retention log; none when another node wrote it first.
 ///
 /// # Errors
 ///
@@ -156,8 +156,8 @@
         let Ok(claim) = serde_json::from_value::<CallClaim>(row.value.clone()) else {
             continue;
         };
-        // A mere claim stays for good: its claimant may be paused, and nobody else knows whether
-        // the payment went out.
+        // An unsettled claim is never deleted: its claimant may be paused, and only the claimant
+        // knows whether the call was sent.
         let settled = !matches!(claim.state, ClaimState::Claimed);
         if !settled || row.version > limit {
             continue;
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -178,9 +178,11 @@
                 withdraw_claim(ledger.table.clone(), ticket.row, ticket.claim).await;
             }
         });
-        answer
-            .await
-            .unwrap_or_else(|_| Err(StoreError::Unavailable("the ledger stopped".to_owned())))
+        answer.await.unwrap_or_else(|_| {
+            Err(StoreError::Unavailable(
+                "the ledger writer stopped".to_owned(),
+            ))
+        })
     }
 
     async fn claim_row(
@@ -267,7 +269,7 @@
 
     async fn write(&self, write: RowWrite, limit: Duration) -> Result<RowOutcome, StoreError> {
         let (reply, answer) = oneshot::channel();
-        let stopped = || StoreError::Unavailable("the ledger stopped".to_owned());
+        let stopped = || StoreError::Unavailable("the ledger writer stopped".to_owned());
         let waiting = async {
             self.writer
                 .send(EnqueueWrite { write, reply })
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,5 @@
-//! Leases, assembly, membership, configuration and the ledger.
+//! Control plane of a node: leases, replica assembly, membership, configuration and the ledger of
+//! non-idempotent calls.
 
 pub mod amend;
 pub mod assembly;
--- a/crates/control/src/plans.rs
+++ b/crates/control/src/plans.rs
@@ -1,13 +1,12 @@
-//! Following the replicas in the table.
+//! Polling the replica plans in the table.
 //!
 //! Every change of a fleet also writes the fleet's mark and the one head row in the same
-//! transaction. A node reads the head on condition that it changed, then scans the marks, then
-//! reads the fleets whose marks changed. At 410 nodes and a period of 2 s that is 205 small reads
-//! a second; a change costs every node one scan of the marks (80 bytes a fabric domain) and one
-//! read of one fleet, 820 reads with_jitter over the 2 s. The reads stay below 700 a second while
-//! replicas change, of the 2,000 that the table gives. The head is written without a condition,
-//! so controllers of different fabric domains never fail on each other: its content is nothing,
-//! its version all.
+//! transaction. A node reads the head conditionally, then scans the marks, then reads the fleets
+//! whose marks changed. With 410 nodes and a period of 2 s that is 205 small reads a second; a
+//! change costs every node one scan of the marks (80 bytes a fabric domain) and one read of one
+//! fleet, 820 reads spread over the 2 s. That stays below 700 reads a second while replicas change,
+//! of the table's 2,000. The head is written unconditionally, so controllers of different fabric
+//! domains never conflict on it; only its version matters, not its content.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,10 +18,10 @@
 
 use crate::backoff::{Backoff, with_jitter};
 
-/// Longest backoff while the table can't be read.
+/// Longest delay between two tries while the table can't be read.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// The replicas of all fabric domains.
+/// The replica plans of all fabric domains.
 #[derive(Debug, Clone, Default)]
 pub struct FleetPlans {
     /// Fleets with the versions of their rows.
@@ -30,14 +29,14 @@
 }
 
 impl FleetPlans {
-    /// All the replicas.
+    /// Iterates over the plans of all fabric domains.
     pub fn plans(&self) -> impl Iterator<Item = &ReplicaPlan> {
         self.fabrics.values().flat_map(|(_, fleet)| &fleet.plans)
     }
 }
 
-/// Follows the table and publishes each change; runs until it is dropped. What was read last goes
-/// on standing while the table is away; evidence of wholeness decides on dispatch.
+/// Polls the table and publishes each change; runs until it is dropped. The last plans stay in use
+/// while the table can't be read; health evidence decides about dispatch.
 pub async fn poll_plans<T: TableStore>(
     table: T,
     sender: watch::Sender<Arc<FleetPlans>>,
@@ -63,7 +62,7 @@
     }
 }
 
-/// The plans when they changed since the head's version `head`.
+/// Reads the plans if the head's version is no longer `head`, updating a copy of `known`.
 ///
 /// # Errors
 ///
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of control.
+//! Settings of the control plane.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,29 +8,29 @@
 use crate::ledger::LedgerSettings;
 use crate::prober::ProbeSettings;
 
-/// Settings of control. Times are in milliseconds; everything has a default.
+/// Settings of the control plane. Times are in milliseconds; every field has a default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Leases.
+    /// Timing and candidates of the leases.
     #[builder(default)]
     pub leases: LeaseSettings,
-    /// Assembly of replicas.
+    /// Timing and limits of replica assembly.
     #[builder(default)]
     pub assembly: AssemblySettings,
-    /// Evidence of wholeness.
+    /// Timing of the health probes of replicas.
     #[builder(default)]
     pub watch: ProbeSettings,
-    /// The ledger of non-idempotent calls.
+    /// Batching and timeouts of the ledger of non-idempotent calls.
     #[builder(default)]
     pub ledger: LedgerSettings,
-    /// Housekeeping.
+    /// Retention and pace of the claim cleanup.
     #[builder(default)]
     pub housekeeping: HousekeepingSettings,
-    /// Time between two looks at the host list.
+    /// Interval between two reads of the host list, shortened at random by up to a fifth.
     #[builder(default = 1_000)]
     pub hosts_ms: u64,
-    /// Time between two looks at the replicas in the table.
+    /// Interval between two reads of the replica plans in the table, shortened likewise.
     #[builder(default = 2_000)]
     pub plans_ms: u64,
 }
--- a/crates/control/src/token.rs
+++ b/crates/control/src/token.rs
@@ -1,10 +1,10 @@
-//! Tokens of writes.
+//! Write tokens.
 
 use domain::WriteToken;
 use platform::StoreError;
 
-/// A token that is unique over all processes and restarts, since a write whose answer was lost is
-/// recognised by it.
+/// Returns a token that is unique across all processes and restarts; a write whose response was
+/// lost is recognised by its token.
 ///
 /// # Errors
 ///
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node knows: the configuration in force and the targets, as immutable snapshots.
+//! Immutable snapshots of what a node knows: the active configuration and the targets.
 //!
 //! The request path only borrows the newest snapshot; it never waits for the store.
 
@@ -15,29 +15,29 @@
 
 use crate::gate::ServiceGate;
 
-/// The configuration in force at one revision.
+/// The active configuration at one revision.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigView {
     /// The revision; 0 before the first record.
     pub revision: ConfigRevision,
     /// Customers by name.
     pub customers: FastMap<CustomerId, CustomerRecord>,
-    /// Customers by the SHA-256 hash of a bearer key, in lower case.
+    /// Owners of the API keys, by the lower-case SHA-256 hash of the key.
     pub key_owners: FastMap<String, CustomerId>,
     /// Models by name.
     pub models: FastMap<ModelName, ModelRecord>,
     /// Plain services by name.
     pub services: FastMap<ServiceName, ServiceRecord>,
-    /// Drains.
+    /// Operators' drains of hosts and failure domains.
     pub drains: Vec<DrainRecord>,
-    /// Keys of records whose schema version this program does not know.
+    /// Table keys of the records that were left out because this program can't interpret them.
     pub unknown: Vec<String>,
-    /// Whether the node may serve with it.
+    /// Whether the node may serve requests with this configuration.
     pub gate: ServiceGate,
 }
 
 impl ConfigView {
-    /// Adds a record.
+    /// Adds a record to the maps of its kind.
     pub fn insert(&mut self, record: RecordSpec) {
         match record {
             RecordSpec::Customer(customer) => {
@@ -58,36 +58,37 @@
     }
 }
 
-/// The targets that a node knows.
+/// The targets known to a node.
 #[derive(Debug, Clone, Default)]
 pub struct TargetView {
-    /// Replicas, in the order of their ids.
+    /// Replicas, ordered by id.
     pub replicas: Vec<Arc<ReplicaView>>,
 }
 
-/// A replica with what is known of it.
+/// A replica plan with its current state as known to this node.
 #[derive(Debug, Clone)]
 pub struct ReplicaView {
-    /// The plan as the table has it.
+    /// The plan as stored in the table.
     pub plan: ReplicaPlan,
-    /// Address of the host that answers for all; none while it is unknown.
+    /// Address of the leading host, which answers requests for the replica; none while it is
+    /// unknown.
     pub leader: Option<SocketAddr>,
-    /// Failure domain of its hosts; none while it is unknown.
+    /// Failure domain of the leading host; none while it is unknown.
     pub domain: Option<DomainId>,
-    /// Newest evidence of wholeness, with the moment at which this node got it.
+    /// Newest health evidence, with the time at which this node received it.
     pub evidence: Option<(HealthEvidence, Instant)>,
-    /// Load that the leading host reported, with the moment at which this node got it.
+    /// Load reported by the leading host, with the time at which this node received it.
     pub load: Option<(EngineLoad, Instant)>,
-    /// Whether a record, the host list or an engine wants it to take no new work.
+    /// Whether a record or the host list drains one of its hosts.
     pub draining: bool,
 }
 
 impl ReplicaView {
-    /// Whether a request may be sent to it: the dispatch gate.
+    /// Whether a request may be sent to the replica now.
     ///
-    /// A replica with a host missing takes a request and never answers it; the caller then waits
-    /// until a timeout. So dispatch needs evidence that all its hosts are there, no older than
-    /// `limit` on this node's own monotonic clock, and without evidence nothing is sent.
+    /// A replica with a missing host accepts a request and never answers it, so the caller would
+    /// wait until a timeout. Dispatch therefore requires evidence that all hosts are healthy, no
+    /// older than `limit` on this node's own monotonic clock; without evidence nothing is sent.
     #[must_use]
     pub fn dispatchable(&self, now: Instant, limit: Duration) -> bool {
         if self.draining || self.plan.draining || self.leader.is_none() {
