--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the configuration in force.
+//! The actor that owns the active configuration.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,39 +17,39 @@
 use super::readiness::{NodeReadiness, ReadinessFacts, ReadinessPolicy};
 use super::state::{ApplyOutcome, ConfigSnapshot, ConfigState};
 
-/// Messages that may wait for the actor; senders wait beyond that.
+/// Capacity of the mailbox; senders wait while it is full.
 const MAILBOX: usize = 256;
 
-/// The readiness is judged anew so often.
+/// Interval at which readiness is re-evaluated.
 const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
 
-/// While the store is down the gate is opened for this long at each judgement: long enough for a
-/// slow scheduler, short enough that a node that was frozen closes at once.
+/// While the store is down each evaluation opens the gate for this long: enough for a slow
+/// scheduler, and short enough that the gate of a suspended node is closed when it resumes.
 const STORE_DOWN_EXTENSION: Duration = Duration::from_secs(2);
 
-/// That the head was at most at a revision at a moment on this node's clock.
+/// States that the head was at most at `revision` at `as_of` on this node's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeadConfirmation {
-    /// The revision.
+    /// Upper bound of the head's revision.
     pub revision: ConfigRevision,
-    /// The moment.
+    /// Time on this node's monotonic clock at which the bound held.
     pub as_of: Instant,
 }
 
-/// What is in force and how well it is known: for peers, `status` and tests.
+/// The applied revision and how current it is: for peers, `status` and tests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigStatus {
-    /// The revision in force on this node.
+    /// The revision applied on this node.
     pub revision: ConfigRevision,
-    /// The highest revision of which this node has heard.
+    /// The highest revision known to exist.
     pub known: ConfigRevision,
-    /// The newest confirmation whose revision is in force here.
+    /// The newest confirmation whose revision is applied here.
     pub confirmation: Option<HeadConfirmation>,
-    /// Whether the node serves.
+    /// Whether and why the node serves.
     pub readiness: NodeReadiness,
 }
 
-/// Owns the configuration; every change of it goes through this task's mailbox.
+/// Owns the configuration; every change goes through its mailbox.
 #[derive(Debug, xtra::Actor)]
 pub struct ConfigActor {
     state: ConfigState,
@@ -65,21 +65,21 @@
     recorder: EventRecorder,
 }
 
-/// Sends to the actor. Cheap to clone.
+/// Handle of the configuration actor. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ConfigHandle {
     address: Address<ConfigActor>,
     status: watch::Receiver<ConfigStatus>,
 }
 
-/// What was learned of the configuration, from the table or from a peer.
+/// What was learned about the configuration, from the table or from a peer.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigObservation {
-    /// What is new.
+    /// Snapshot and changes to apply; may be empty.
     pub update: ConfigUpdate,
-    /// How well the head is known.
+    /// Confirmation of the head, if there is one.
     pub confirmation: Option<HeadConfirmation>,
-    /// A revision of which it was learned that it exists.
+    /// A revision known to exist, whether or not `update` reaches it.
     pub known: ConfigRevision,
 }
 
@@ -92,7 +92,7 @@
 struct Evaluate;
 
 impl ConfigActor {
-    /// Starts the actor's task.
+    /// Spawns the actor and its evaluation timer. The node does not serve at first.
     #[must_use]
     pub fn start(
         policy: ReadinessPolicy,
@@ -119,9 +119,9 @@
         ConfigHandle { address, status }
     }
 
-    /// Counts a confirmation, now or once its revision is in force here.
+    /// Stores a confirmation, as pending while its revision is not applied here.
     ///
-    /// The head only rises, so "at most r at that moment" is met by any revision from r on.
+    /// The head only rises, so any revision from r on satisfies "at most r at that time".
     fn confirm(&mut self, confirmation: HeadConfirmation) {
         self.status.known = self.status.known.max(confirmation.revision);
         let slot = if confirmation.revision <= self.state.revision() {
@@ -275,21 +275,21 @@
 }
 
 impl ConfigHandle {
-    /// Hands over what was learned and waits until it is in force.
+    /// Sends an observation and waits until it is applied.
     pub async fn observe(&self, observation: ConfigObservation) {
-        // Nobody keeps the configuration any more only while the node stops.
+        // The actor is gone only while the node stops.
         log_skipped(
-            "observe configuration",
+            "apply configuration",
             self.address.send(Observe(observation)).await,
         );
     }
 
-    /// Everything in force.
+    /// All records at the applied revision; empty when the actor has stopped.
     pub async fn snapshot(&self) -> ConfigSnapshot {
         self.address.send(GetSnapshot).await.unwrap_or_default()
     }
 
-    /// At most `limit` changes after a revision; none when they are not kept.
+    /// At most `limit` changes after a revision; none when they are no longer kept.
     pub async fn changes_after(
         &self,
         after: ConfigRevision,
@@ -299,13 +299,13 @@
         self.address.send(message).await.unwrap_or_default()
     }
 
-    /// What is in force and how well it is known.
+    /// The current status.
     #[must_use]
     pub fn status(&self) -> ConfigStatus {
         *self.status.borrow()
     }
 
-    /// A receiver that is told of every change of [`ConfigStatus`].
+    /// Subscribes to changes of [`ConfigStatus`].
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<ConfigStatus> {
         self.status.clone()
--- a/crates/control/src/config/load.rs
+++ b/crates/control/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Reading what a node misses of the configuration.
+//! Fetching the configuration changes that a node lacks.
 
 use domain::ConfigRevision;
 use platform::{ObjectStore, RowRead, StoreError, TableStore, keys};
@@ -8,12 +8,12 @@
 
 use super::state::ConfigSnapshot;
 
-/// A node that misses more changes than this reads the snapshot instead. One that was away for
-/// half an hour at the peak reads about 50 rows; 410 nodes that start at once must not read
-/// thousands of rows each from a table that gives two thousand reads a second.
+/// A node that lacks more changes than this reads the snapshot instead. After half an hour offline
+/// at peak load about 50 rows are missing; 410 nodes that start at once must not read thousands of
+/// rows each from a table limited to two thousand reads a second.
 const MAX_CHANGE_READS: u64 = 64;
 
-/// Scans of all records before a node gives up for this round.
+/// Scans of all records in one call before it fails.
 const SCAN_ATTEMPTS: u32 = 3;
 
 /// The row that names the newest snapshot.
@@ -21,28 +21,29 @@
 pub struct SnapshotPointer {
     /// Revision of the newest snapshot in the object store.
     pub revision: ConfigRevision,
-    /// The log's rows up to this revision are deleted.
+    /// Rows of the change log up to this revision are deleted.
     pub compacted: ConfigRevision,
 }
 
-/// What brings a node up to the head.
+/// What brings a node from its revision up to the head.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ConfigUpdate {
-    /// Comes first, where there is one.
+    /// Applied before the changes; none when the changes suffice.
     pub snapshot: Option<ConfigSnapshot>,
-    /// The changes after it, in order.
+    /// The changes after the snapshot, in order.
     pub changes: Vec<ChangeEntry>,
 }
 
-/// Reads what leads from revision `applied` to revision `head`.
+/// Fetches the update from revision `applied` to revision `head`.
 ///
-/// Three ways, each cheaper than the next: the rows of the log; the newest snapshot and the rows
-/// after it; a scan of all records between two reads of the same head. A node that is behind a
-/// compacted log, or that starts while the object store is down, always has a way left.
+/// There are three ways, tried in order of cost: the rows of the change log; the newest snapshot
+/// and the rows after it; a scan of all records between two reads of an unchanged head. A node that
+/// lags behind a compacted log, or that starts while the object store is down, can still use a
+/// later one.
 ///
 /// # Errors
 ///
-/// [`StoreError`] of the last way.
+/// [`StoreError`] of the last way tried.
 pub async fn load_update<T: TableStore, O: ObjectStore>(
     table: &T,
     objects: &O,
@@ -61,7 +62,7 @@
     scan_records(table).await
 }
 
-/// The rows of the log; none when they are too many or no longer all kept.
+/// The rows of the change log; none when there are too many or some are already deleted.
 async fn read_changes<T: TableStore>(
     table: &T,
     after: ConfigRevision,
@@ -107,12 +108,12 @@
     }))
 }
 
-/// The pointer with its row's version; none for the version before the first snapshot.
+/// The snapshot pointer with its row's version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PointerRead {
-    /// The pointer.
+    /// The pointer; the default one before the first snapshot.
     pub pointer: SnapshotPointer,
-    /// Version of its row.
+    /// Version of the pointer's row; none before the first snapshot.
     pub version: Option<domain::RowVersion>,
 }
 
@@ -133,8 +134,8 @@
     })
 }
 
-/// Every record at one head: a scan is no snapshot, so it counts only when the head did not move
-/// meanwhile; otherwise half of an amendment of two records could come into force.
+/// Reads all records at one head. A scan is not a consistent snapshot, so it counts only when the
+/// head did not change during it; otherwise one of two amendments made meanwhile could be missed.
 async fn scan_records<T: TableStore>(table: &T) -> Result<ConfigUpdate, StoreError> {
     for _ in 0..SCAN_ATTEMPTS {
         let RowRead::Found(before) = table.read(keys::CONFIG_HEAD, None).await? else {
@@ -162,6 +163,6 @@
         });
     }
     Err(StoreError::Unavailable(
-        "the head moved during every scan".to_owned(),
+        "the configuration head changed during every scan".to_owned(),
     ))
 }
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -1,4 +1,4 @@
-//! Following the head in the table.
+//! Polling the configuration's head in the table.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 use super::load::{ConfigUpdate, load_update};
 use super::snapshot::publish_snapshot;
 
-/// Follows the head and brings the node up to it.
+/// Polls the head and applies what the node lacks.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct ConfigPoller<T, O> {
     table: T,
@@ -26,7 +26,7 @@
     settings: ConfigSettings,
 }
 
-/// The head as the table last answered it.
+/// The head as last read from the table.
 #[derive(Debug, Clone, Copy)]
 struct KnownHead {
     version: RowVersion,
@@ -35,20 +35,20 @@
 
 /// Polls the head until the task is dropped.
 ///
-/// The pauses are jittered, also after a failure: 410 nodes that all come back at the moment at
-/// which the store returns would otherwise take it down again.
+/// The delays are jittered, also after a failure: 410 nodes that all retry as soon as the store
+/// returns would overload it again.
 pub async fn poll_config<T: TableStore, O: ObjectStore>(follower: ConfigPoller<T, O>) {
     let mut known = None;
     let mut published = ConfigRevision(0);
     loop {
-        // The next poll repeats it, and the circuit of the table tells when the store is down.
+        // The next poll retries, and the table's circuit breaker reports an outage.
         log_skipped("poll configuration", follower.poll(&mut known).await);
         follower.maintain_snapshots(&mut published).await;
         tokio::time::sleep(jittered(follower.settings.poll())).await;
     }
 }
 
-/// A pause between half and one and a half of its mean.
+/// Returns a random duration between half and one and a half of `mean`.
 #[must_use]
 pub fn jittered(mean: Duration) -> Duration {
     mean.mul_f64(rand::rng().random_range(0.5..1.5))
@@ -98,13 +98,14 @@
     }
 
     fn record_regression(&self, head: ConfigRevision, applied: ConfigRevision) {
-        let detail = format!("the table says {head}, {applied} is in force here");
+        let detail =
+            format!("the table has revision {head}, but revision {applied} is applied here");
         self.recorder
             .note(EventCode::ConfigRegressed, EventSubject::default(), detail);
     }
 
-    /// Writes a snapshot when it is this node's turn: one node for each multiple of the turn,
-    /// so that an amendment does not make 410 nodes write the same object.
+    /// Writes a snapshot when this node is chosen for it: one node for each multiple of
+    /// `snapshot_every`, so that an amendment does not make 410 nodes write the same object.
     async fn maintain_snapshots(&self, published: &mut ConfigRevision) {
         let every = self.settings.snapshot_every.max(1);
         let revision = self.config.status().revision;
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -13,18 +13,19 @@
 /// Sends of one transaction.
 const COMMIT_ATTEMPTS: u32 = 3;
 
-/// Rows of the log that one transaction deletes, so that it stays small beside the others.
+/// Rows of the change log deleted by one transaction, which keeps it small next to other writes.
 const COMPACT_BATCH: u64 = 100;
 
-/// Writes a snapshot, names it in the table, and deletes what lies `retained` changes behind it.
+/// Writes a snapshot, points the table to it, and deletes log rows more than `retained` revisions
+/// older.
 ///
-/// The order is what keeps a node that is behind from being stranded: the object is there before
-/// the table names it, and the table names it before any row of the log goes. Nodes that do this
-/// at once write the same object, and only a higher revision replaces the pointer.
+/// The order ensures that a node that lags behind can always catch up: the object exists before the
+/// table names it, and the table names it before any row of the log is deleted. Nodes that do this
+/// concurrently write the same object, and only a higher revision replaces the pointer.
 ///
 /// # Errors
 ///
-/// [`StoreError`]; what was done so far stands and the next snapshot goes on from there.
+/// [`StoreError`]; completed steps stay in effect and the next snapshot continues from there.
 pub async fn publish_snapshot<T: TableStore, O: ObjectStore>(
     table: &T,
     objects: &O,
@@ -65,7 +66,7 @@
 }
 
 /// Raises the pointer and deletes the next `rows` rows of the log in one transaction; returns
-/// whether it did.
+/// whether it was committed.
 async fn advance_pointer<T: TableStore>(
     table: &T,
     revision: ConfigRevision,
--- a/crates/control/src/config/state.rs
+++ b/crates/control/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The configuration as an aggregate: only higher revisions, without gaps, never back.
+//! The configuration state: revisions only increase, and changes are applied without gaps.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,31 +11,31 @@
 use crate::amend::{ChangeEntry, StoredRecord};
 use crate::view::ConfigView;
 
-/// Changes that a node keeps to pass on to peers that are a little behind; one further back takes
-/// a snapshot. 256 are more than two hours at 2,300 changes a day.
+/// Changes that a node keeps for peers that lag a little; peers further behind need a snapshot. 256
+/// are more than two hours at 2,300 changes a day.
 const RECENT_CHANGES: usize = 256;
 
-/// Every record at one revision.
+/// All records at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
-    /// The revision.
+    /// Revision of the newest change in it.
     pub revision: ConfigRevision,
     /// The records, ordered by kind and name.
     pub records: Vec<StoredRecord>,
 }
 
-/// What became of a change or snapshot that was offered.
+/// Result of offering a change or snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// It is applied.
     Applied,
-    /// Something as new was in force already.
+    /// An equal or newer revision was already applied.
     Stale,
     /// Changes before it are missing.
     Gap,
 }
 
-/// The records in force on this node.
+/// The records applied on this node.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigState {
     revision: ConfigRevision,
@@ -44,7 +44,7 @@
 }
 
 impl ConfigState {
-    /// The revision in force; 0 before the first.
+    /// The applied revision; 0 before the first change.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         self.revision
@@ -52,9 +52,9 @@
 
     /// Applies the next change.
     ///
-    /// A repeated or late change is [`ApplyOutcome::Stale`]: applied again it would bring back a
-    /// record that was amended since. One that comes too early is [`ApplyOutcome::Gap`]: applied
-    /// without those before it, a record of theirs would be missing for good.
+    /// A repeated or late change is [`ApplyOutcome::Stale`]: applying it again would restore a
+    /// record that was amended since. An early one is [`ApplyOutcome::Gap`]: applying it without
+    /// its predecessors would lose their records for good.
     pub fn apply_change(&mut self, change: ChangeEntry) -> ApplyOutcome {
         if change.revision <= self.revision {
             return ApplyOutcome::Stale;
@@ -83,7 +83,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Replaces everything by a newer snapshot.
+    /// Replaces the whole state by a newer snapshot.
     pub fn apply_snapshot(&mut self, snapshot: ConfigSnapshot) -> ApplyOutcome {
         if snapshot.revision <= self.revision {
             return ApplyOutcome::Stale;
@@ -101,7 +101,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Everything at the revision in force.
+    /// All records at the applied revision.
     #[must_use]
     pub fn snapshot(&self) -> ConfigSnapshot {
         ConfigSnapshot {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// At most `limit` changes after a revision, in order; none when they are not kept.
+    /// At most `limit` changes after a revision, in order; none when they are no longer kept.
     #[must_use]
     pub fn changes_after(
         &self,
@@ -137,10 +137,10 @@
         Some(changes)
     }
 
-    /// The records as the request path reads them.
+    /// Builds the view for the request path.
     ///
-    /// A record of an unknown schema, or one that breaks a rule of this program's version, is left
-    /// out and listed: one record of a newer program must not take the other customers down.
+    /// A record with an unknown schema, or one that violates a rule of this program's version, is
+    /// left out and listed: one record of a newer program must not affect other customers.
     #[must_use]
     pub fn view(&self) -> ConfigView {
         let mut view = ConfigView {
