--- a/crates/control/src/members/mod.rs
+++ b/crates/control/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Membership: which nodes serve, from rows in the table and from what peers tell.
+//! Membership: which nodes are alive, from rows in the table and from peers.
 
 pub mod shared;
 pub mod state;
@@ -15,18 +15,19 @@
 pub use state::{HeartbeatSource, LivenessTimeouts, MemberState};
 pub use table::MemberTableSync;
 
-/// One node.
+/// Identity and addresses of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The node, renewed at every start.
+    /// Id of the node; a new one at every start.
     pub node: NodeId,
-    /// Where its peers connect.
+    /// Address for connections from peers.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that the node runs in.
     pub domain: DomainId,
-    /// Its region.
+    /// Region that the node runs in.
     pub region: RegionId,
-    /// Where operators connect, so that the client finds every node through any one.
+    /// Address for operators' connections, through which the client finds every node from any one;
+    /// none without such a listener.
     #[serde(default)]
     pub admin: Option<SocketAddr>,
 }
@@ -34,42 +35,42 @@
 /// A member's row in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The node.
+    /// Identity and addresses of the node.
     pub member: Member,
-    /// Raised by the node itself at every heartbeat.
+    /// Heartbeat counter; the node itself raises it at every heartbeat.
     pub beat: u64,
 }
 
-/// The nodes that are taken to be alive, ordered by node; the node itself is one of them.
+/// The nodes considered alive, including this one, ordered by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// The nodes.
+    /// At least this node, ordered by id.
     pub members: Vec<Member>,
 }
 
-/// How much of the roster a node hears.
+/// How much of the roster a node can hear.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MemberReach {
-    /// Nodes whose heartbeat was seen to advance lately, this one included.
+    /// Nodes with a recent advancing heartbeat received through a peer, including this one.
     pub reachable: usize,
-    /// Nodes that neither left nor were removed from the table.
+    /// Nodes that neither left nor were removed from the table, including this one.
     pub roster_size: usize,
 }
 
 impl MemberReach {
-    /// Whether more than half of the roster is heard.
+    /// Whether more than half of the roster is reachable.
     ///
-    /// Exactly half is not enough: of two halves that lose each other both would go on.
+    /// Exactly half is not enough: after a split into two halves both would continue.
     #[must_use]
     pub fn is_majority(self) -> bool {
         self.reachable * 2 > self.roster_size
     }
 }
 
-/// Weight of a node for a key by rendezvous hashing; the highest is chosen.
+/// Weight of a node for a key in rendezvous hashing; the highest wins.
 ///
-/// A node that comes or goes moves only the keys that it takes or leaves behind. The hash is
-/// SHA-256 because old and new programs must choose alike during an upgrade.
+/// A node that joins or leaves moves only the keys that it takes or gives up. The hash is SHA-256
+/// because old and new programs must choose alike during an upgrade.
 #[must_use]
 pub fn rendezvous_weight(key: &str, node: &NodeId) -> u64 {
     let mut hasher = Sha256::new();
@@ -82,7 +83,7 @@
 }
 
 impl MemberView {
-    /// The node for a key by rendezvous hashing; none of no members.
+    /// The node chosen for a key by rendezvous hashing; none without members.
     #[must_use]
     pub fn choose(&self, key: &str) -> Option<&NodeId> {
         self.members
@@ -92,29 +93,29 @@
     }
 }
 
-/// Settings of the membership. Times are milliseconds.
+/// Settings of the membership. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
-    /// Mean time between two heartbeats over the peers, from 500 to 60,000.
+    /// Mean interval between two heartbeats sent through peers, from 500 to 60,000.
     #[builder(default = 5_000)]
     pub beat_ms: u64,
-    /// Mean time between two writes of the node's row, from 1,000 to 60,000.
+    /// Mean interval between two writes of the node's row, from 1,000 to 60,000.
     #[builder(default = 10_000)]
     pub write_ms: u64,
-    /// Mean time between two listings of all rows by a node that has peers, from 10,000 to
+    /// Mean interval between two listings of all rows by a node that has peers, from 10,000 to
     /// 3,600,000.
     #[builder(default = 300_000)]
     pub list_ms: u64,
-    /// A node that is silent for this time is taken to be dead, from three heartbeats on.
+    /// A node without a heartbeat for this time is considered dead; at least three heartbeats.
     #[builder(default = 20_000)]
     pub dead_ms: u64,
-    /// A node whose heartbeat no peer passed on for this time is not heard. The small side of a
-    /// partition goes on for up to this time, so it stays below the 16 s in which a change has to
-    /// be in force everywhere.
+    /// A node whose heartbeat no peer passed on for this time is not reachable. The minority side
+    /// of a partition keeps serving for up to this time, so it is below the 16 s within which a
+    /// change has to be active everywhere.
     #[builder(default = 10_000)]
     pub unheard_ms: u64,
-    /// The row of a node that is silent for this time is deleted.
+    /// The row of a node without a heartbeat for this time is deleted.
     #[builder(default = 120_000)]
     pub expire_ms: u64,
 }
@@ -126,7 +127,7 @@
 }
 
 impl MemberSettings {
-    /// The limits of silence.
+    /// The timeouts after which a node counts as dead or unreachable.
     #[must_use]
     pub fn timeouts(&self) -> LivenessTimeouts {
         LivenessTimeouts {
--- a/crates/control/src/members/shared.rs
+++ b/crates/control/src/members/shared.rs
@@ -8,10 +8,10 @@
 
 use super::{Member, MemberReach, MemberState, MemberView};
 
-/// The membership behind a lock that is held for a few lines at a time. Clones share it.
+/// The membership behind a mutex that is only held briefly. Clones share it.
 ///
-/// It is no actor, because the configuration's keeper must judge by what is heard at that very
-/// moment: an answer that waited in a mailbox while the process was frozen would be too old.
+/// It is not an actor, because the configuration actor must use the heartbeats as of this very
+/// moment: a response that waited in a mailbox while the process was suspended would be outdated.
 #[derive(Debug, Clone)]
 pub struct SharedMembership {
     node: NodeId,
@@ -20,7 +20,7 @@
 }
 
 impl SharedMembership {
-    /// A membership that starts with `state`.
+    /// A shared membership with the given initial state.
     #[must_use]
     pub fn new(state: MemberState) -> Self {
         let node = state.own().member.node.clone();
@@ -32,42 +32,42 @@
         }
     }
 
-    /// The node itself.
+    /// Id of this node.
     #[must_use]
     pub fn node(&self) -> &NodeId {
         &self.node
     }
 
-    /// The node's own entry.
+    /// This node's own entry.
     #[must_use]
     pub fn own(&self) -> Member {
         self.state().own().member.clone()
     }
 
-    /// The state; the guard must not be held over an await.
+    /// Locks the state; the guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, MemberState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How much of the roster is heard.
+    /// How much of the roster is reachable at `now`.
     #[must_use]
     pub fn reach(&self, now: Instant) -> MemberReach {
         self.state().reach(now)
     }
 
-    /// The nodes that are taken to be alive.
+    /// The nodes considered alive at `now`.
     #[must_use]
     pub fn view(&self, now: Instant) -> MemberView {
         self.state().view(now)
     }
 
-    /// A receiver of [`MemberView`], told of every change.
+    /// Subscribes to changes of [`MemberView`].
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<Arc<MemberView>> {
         self.views.subscribe()
     }
 
-    /// Publishes the view when it changed.
+    /// Publishes the view if it changed.
     pub fn publish(&self, now: Instant) {
         let view = self.view(now);
         self.views.send_if_modified(|current| {
--- a/crates/control/src/members/state.rs
+++ b/crates/control/src/members/state.rs
@@ -1,4 +1,4 @@
-//! The membership as an aggregate, apart from input and output.
+//! State of the membership, without input or output.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 
 use super::{Member, MemberReach, MemberRow, MemberView};
 
-/// What one node knows of all nodes.
+/// What one node knows about all nodes.
 ///
-/// Only heartbeats that advance count, each at the moment at which this node saw it on its own
-/// monotonic clock. The roster shrinks only when a node leaves by itself or the table no longer
-/// lists it. Silence alone never shrinks it: otherwise the small side of a partition would forget
-/// the large one and take itself for the majority.
+/// Only heartbeats that advance count, each at the time at which this node saw it on its own
+/// monotonic clock. The roster shrinks only when a node leaves or the table no longer lists it.
+/// Silence alone never shrinks it: otherwise the minority side of a partition would forget the
+/// other nodes and consider itself the majority.
 #[derive(Debug, Clone)]
 pub struct MemberState {
     own: MemberRow,
@@ -29,41 +29,41 @@
     removal: MemberRemoval,
 }
 
-/// Why a node no longer counts.
+/// Why a node is no longer on the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MemberRemoval {
-    /// It counts.
+    /// It is on the roster.
     None,
-    /// The table no longer lists it; a later heartbeat brings it back.
+    /// The table no longer lists it; a later heartbeat adds it again.
     Unlisted,
-    /// It said goodbye; its id never comes back, because a start makes a new one.
+    /// It announced that it leaves; its id never returns, because every start makes a new one.
     Left,
 }
 
-/// A node that left or was removed is remembered for this time, so that a late digest does not
-/// bring it back. At a hundred restarts a day about four are remembered.
+/// How long a node that left or was removed is remembered, so that a late digest does not add it
+/// again. At a hundred restarts a day about four are remembered.
 const REMOVED_RETENTION: Duration = Duration::from_hours(1);
 
-/// Where a sign of life comes from.
+/// Where a heartbeat was observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The table: the node lives, but this node may not be able to hear it.
+    /// In the table: the node is alive, but may be unreachable for this one.
     Table,
-    /// A peer: there is a way from that node to this one.
+    /// Through a peer: there is a network path from that node to this one.
     Peer,
 }
 
-/// The timeouts of silence.
+/// Timeouts of the failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LivenessTimeouts {
-    /// A node without a sign of life for this time is taken to be dead.
+    /// A node without a heartbeat from any source for this time is considered dead.
     pub dead: Duration,
-    /// A node whose heartbeat no peer passed on for this time is not heard.
+    /// A node whose heartbeat no peer passed on for this time is not reachable.
     pub unreachable: Duration,
 }
 
 impl MemberState {
-    /// A state that knows only the node itself.
+    /// A state that contains only the node itself.
     #[must_use]
     pub fn new(own: Member, timeouts: LivenessTimeouts) -> Self {
         Self {
@@ -84,21 +84,21 @@
         &self.own
     }
 
-    /// Raises the node's own heartbeat.
+    /// Raises the node's own heartbeat counter.
     pub fn advance_heartbeat(&mut self) -> &MemberRow {
         self.own.beat += 1;
         &self.own
     }
 
-    /// Says goodbye: the node counts itself out, and peers are told.
+    /// Marks this node as leaving; peers learn it from the next digest.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes in a row from the table or a peer; returns whether it was news.
+    /// Processes a row from the table or a peer; returns whether it changed anything.
     ///
-    /// Late, repeated and reordered rows change nothing: only a higher heartbeat counts. The first
-    /// sight of a node proves nothing about now, so it does not count as heard.
+    /// Late, repeated and reordered rows are ignored: only a higher heartbeat counts. The first row
+    /// of a node may be arbitrarily old, so it does not make the node reachable.
     pub fn observe(&mut self, row: MemberRow, source: HeartbeatSource, now: Instant) -> bool {
         if row.member.node == self.own.member.node {
             return false;
@@ -127,8 +127,8 @@
         true
     }
 
-    /// Takes in a heartbeat that a peer passed on of a node whose row is known; returns whether it
-    /// was news.
+    /// Processes a heartbeat that a peer passed on for a node whose row is known; returns whether
+    /// it changed anything.
     pub fn observe_heartbeat(&mut self, node: &NodeId, beat: u64, now: Instant) -> bool {
         let Some(tracked) = self.tracked.get(node) else {
             return false;
@@ -140,7 +140,7 @@
         self.observe(row, HeartbeatSource::Peer, now)
     }
 
-    /// Takes in that a node said goodbye; returns whether it was news.
+    /// Processes the announcement that a node leaves; returns whether it was new.
     pub fn observe_leave(&mut self, node: &NodeId) -> bool {
         let Some(tracked) = self.tracked.get_mut(node) else {
             return false;
@@ -150,7 +150,7 @@
         news
     }
 
-    /// Takes in the nodes that the table lists: silent nodes that it no longer lists are removed.
+    /// Processes the nodes listed in the table: silent nodes that are not listed are removed.
     pub fn observe_listing(&mut self, listed: &FastSet<NodeId>, now: Instant) {
         self.roster_known = true;
         let limit = self.timeouts.dead;
@@ -172,7 +172,7 @@
         tracked.removal == MemberRemoval::None && silence <= self.timeouts.dead
     }
 
-    /// The nodes that are taken to be alive.
+    /// The nodes considered alive at `now`.
     #[must_use]
     pub fn view(&self, now: Instant) -> MemberView {
         let mut members = vec![self.own.member.clone()];
@@ -186,10 +186,10 @@
         MemberView { members }
     }
 
-    /// How much of the roster is heard.
+    /// How much of the roster is reachable at `now`.
     ///
-    /// Before the first listing, and before a peer told of others, the roster has one more node
-    /// than this one: a node that started into a partition would else be a majority of one.
+    /// Before the first listing or the first row from a peer, one additional node is assumed:
+    /// otherwise a node that starts inside a partition would be a majority of one.
     #[must_use]
     pub fn reach(&self, now: Instant) -> MemberReach {
         let mut reach = MemberReach {
@@ -211,7 +211,7 @@
         reach
     }
 
-    /// Nodes that were silent for so long that their rows can be cleaned from the table.
+    /// Nodes silent for longer than `limit`, whose rows can be deleted from the table.
     #[must_use]
     pub fn expired(&self, now: Instant, limit: Duration) -> Vec<NodeId> {
         let mut expired = Vec::new();
@@ -226,7 +226,7 @@
         expired
     }
 
-    /// The rows that a peer may need: the node's own and every one that counts.
+    /// The rows to send to a peer: this node's own and all on the roster.
     #[must_use]
     pub fn rows(&self) -> Vec<MemberRow> {
         let mut rows = vec![self.own.clone()];
@@ -239,7 +239,7 @@
         rows
     }
 
-    /// The nodes that said goodbye a short while ago, this one included.
+    /// The nodes that left recently, including this one while it leaves.
     #[must_use]
     pub fn departed(&self) -> Vec<NodeId> {
         let mut departed = Vec::new();
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -1,4 +1,4 @@
-//! Membership rows in the table: heartbeats, the slow listing, cleaning, goodbye.
+//! Membership rows in the table: heartbeats, periodic listing, deletion of expired rows.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,10 @@
 /// Sends of one transaction.
 const COMMIT_ATTEMPTS: u32 = 3;
 
-/// Rows cleaned at once.
+/// Rows deleted by one transaction.
 const CLEAN_BATCH: usize = 50;
 
-/// Keeps a node's row and reads those of the others.
+/// Writes this node's row and reads those of the other nodes.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct MemberTableSync<T> {
     table: T,
@@ -28,15 +28,16 @@
 }
 
 impl<T: TableStore> MemberTableSync<T> {
-    /// Renews the row, until the task is dropped.
+    /// Writes the row at intervals until the task is dropped.
     ///
-    /// At 410 nodes and a row every 10 s these are 41 writes a second of several hundred.
+    /// With 410 nodes and a write every 10 s that is 41 writes a second of several hundred
+    /// available.
     pub async fn run_row_writes(self) {
         loop {
             self.membership.state().advance_heartbeat();
-            // The next beat writes it again; peers go by the links meanwhile.
+            // The next write retries; meanwhile peers receive heartbeats over the links.
             log_skipped("write member row", self.write_row().await);
-            tokio::time::sleep(jittered(self.settings.write())).await;
+            tokio::time::sleep(jittered(self.settings.write_interval())).await;
         }
     }
 
@@ -45,35 +46,36 @@
         loop {
             self.membership.state().advance_heartbeat();
             self.membership.publish(Instant::now());
-            tokio::time::sleep(jittered(self.settings.beat())).await;
+            tokio::time::sleep(jittered(self.settings.heartbeat_interval())).await;
         }
     }
 
-    /// Lists the rows, until the task is dropped: often while the node is alone, seldom after.
+    /// Lists the rows until the task is dropped: often while the node knows no other, rarely
+    /// afterwards.
     pub async fn run_listings(self) {
         loop {
             let listed = self.list_rows().await.is_ok();
             self.membership.publish(Instant::now());
             let alone = self.membership.view(Instant::now()).members.len() < 2;
-            let pause = if listed && !alone {
-                self.settings.list()
+            let interval = if listed && !alone {
+                self.settings.list_interval()
             } else {
-                self.settings.beat()
+                self.settings.heartbeat_interval()
             };
-            tokio::time::sleep(jittered(pause)).await;
+            tokio::time::sleep(jittered(interval)).await;
         }
     }
 
-    /// Takes the node's row away; peers are told by the links.
+    /// Deletes the node's row; peers learn of the departure over the links.
     pub async fn leave(&self) {
         let Ok(token) = self.token("leave", 0) else {
             return;
         };
         let key = keys::member_key(self.membership.node());
         let batch = WriteBatch::new(token).delete(key, RowExpectation::Any);
-        // A row that stays is deleted once nobody has heard the node for long.
-        let left = settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await;
-        log_skipped("delete member row", left);
+        // If this fails, the row is deleted after it expires.
+        let result = settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await;
+        log_skipped("delete member row", result);
     }
 
     fn token(&self, step: &str, number: u64) -> Result<WriteToken, StoreError> {
@@ -110,9 +112,8 @@
         self.clean_rows(&rows, now).await
     }
 
-    /// Deletes the rows of nodes that nobody heard for long. One node at a time does it, by choice
-    /// over the view, and each delete names the row's version: a node that beats again keeps its
-    /// row.
+    /// Deletes expired rows. One node, chosen from the view, does it at a time, and each delete
+    /// expects the row's version: a node that sends a heartbeat again keeps its row.
     async fn clean_rows(&self, rows: &[TableRow], now: Instant) -> Result<(), StoreError> {
         let view = self.membership.view(now);
         if view.choose("member-cleaner") != Some(self.membership.node()) {
@@ -121,7 +122,7 @@
         let expired: FastSet<NodeId> = self
             .membership
             .state()
-            .expired(now, self.settings.expire())
+            .expired(now, self.settings.expiry())
             .into_iter()
             .collect();
         let mut cleaned = Vec::new();
@@ -154,19 +155,19 @@
 }
 
 impl MemberSettings {
-    fn write(&self) -> Duration {
+    fn write_interval(&self) -> Duration {
         Duration::from_millis(self.write_ms)
     }
 
-    fn beat(&self) -> Duration {
+    fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(self.beat_ms)
     }
 
-    fn list(&self) -> Duration {
+    fn list_interval(&self) -> Duration {
         Duration::from_millis(self.list_ms)
     }
 
-    fn expire(&self) -> Duration {
+    fn expiry(&self) -> Duration {
         Duration::from_millis(self.expire_ms)
     }
 }
