--- a/crates/control/src/amend/attempt.rs
+++ b/crates/control/src/amend/attempt.rs
@@ -1,4 +1,4 @@
-//! One transaction of an amendment.
+//! One attempt to commit an amendment.
 
 use domain::{ConfigRevision, WriteToken};
 use platform::{CommitOutcome, RowExpectation, TableStore, WriteBatch, keys, settled_commit};
@@ -9,7 +9,7 @@
 /// Sends of one transaction before its outcome is reported as unknown.
 const COMMIT_ATTEMPTS: u32 = 5;
 
-/// One try of an amendment against one head.
+/// The transaction of one amendment on top of one head.
 #[derive(Debug)]
 pub(super) struct AmendAttempt {
     pub(super) revision: ConfigRevision,
@@ -86,9 +86,9 @@
             .iter()
             .find(|conflict| conflict.key == self.change_key);
         if log_conflict.is_none() && self.is_compacted(table).await? {
-            // The head went past this revision, yet the row that would tell whose it is has been
-            // compacted: a conflict here may be with an earlier send of this very amendment.
-            return Err(self.unsettled("the change log no longer keeps it".to_owned()));
+            // The head is past this revision, but the log row that would identify its author has
+            // been compacted: this conflict may be with an earlier send of the same amendment.
+            return Err(self.unsettled("its change-log row was compacted".to_owned()));
         }
         let record_changed = conflicts
             .iter()
@@ -116,7 +116,7 @@
     }
 }
 
-/// A token for each round: a batch's token marks that batch alone.
+/// Derives a token for each attempt, because a token identifies a single batch.
 fn attempt_token(token: &WriteToken, number: u32) -> Result<WriteToken, AmendError> {
     format!("{token}.{number}")
         .parse()
--- a/crates/control/src/amend/mod.rs
+++ b/crates/control/src/amend/mod.rs
@@ -1,8 +1,8 @@
 //! Amending operators' records.
 //!
-//! One amendment is one transaction: the head goes up by one, a row is inserted into the change
-//! log, and the record's row is written, each under its own expectation. The change-log row is
-//! never written twice, so the token in it proves the acceptance for as long as the log keeps it.
+//! One amendment is one transaction: the head is raised by one, a row is inserted into the change
+//! log, and the record's row is written, each with its own expectation. The change-log row is never
+//! overwritten, so its token proves the acceptance for as long as the log keeps it.
 
 mod attempt;
 mod rows;
@@ -20,10 +20,10 @@
 
 pub use rows::{ChangeRow, read_change};
 
-/// Transactions that one amendment tries while operators amend other records.
+/// Transactions tried by one amendment while operators amend other records.
 ///
-/// At 2,300 changes a day two operators hardly ever meet; a script that applies hundreds of
-/// records beside another one does. Each lost round means that another amendment was accepted.
+/// At 2,300 changes a day two operators rarely collide; a script that applies hundreds of records
+/// next to another one does. Each failed attempt means that another amendment was accepted.
 const HEAD_ATTEMPTS: u32 = 20;
 
 /// The configuration's head row.
@@ -38,7 +38,7 @@
 pub struct StoredRecord {
     /// The revision that wrote it.
     pub revision: ConfigRevision,
-    /// The record.
+    /// Content of the record in its schema version.
     pub record: RecordFrame,
 }
 
@@ -47,20 +47,20 @@
 pub struct ChangeEntry {
     /// Revision that the change made.
     pub revision: ConfigRevision,
-    /// Kind of the record.
+    /// Kind of the changed record.
     pub kind: RecordKind,
-    /// Name of the record.
+    /// Name of the changed record.
     pub name: String,
-    /// The record now; none after a delete.
+    /// The new content; none after a deletion.
     pub record: Option<RecordFrame>,
-    /// Who amended it.
+    /// Name of the operator who made the change.
     pub operator: String,
 }
 
-/// What an operator expects of the record that is to be amended.
+/// What an operator expects of the record before the amendment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Expect {
-    /// Whatever is there when the amendment begins.
+    /// Whatever is there when the amendment starts.
     #[default]
     Any,
     /// There is no such record.
@@ -69,7 +69,7 @@
     Revision(ConfigRevision),
 }
 
-/// One amendment.
+/// A change of one record that an operator asks for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordAmendment {
     /// Kind of the record.
@@ -78,68 +78,68 @@
     pub name: String,
     /// The new content; none deletes the record.
     pub record: Option<RecordFrame>,
-    /// What must hold of the record.
+    /// Precondition on the current record.
     pub expect: Expect,
-    /// Who amends it.
+    /// Name of the operator, written to the change log.
     pub operator: String,
-    /// Marks the amendment; never used for another one.
+    /// Idempotency token of the amendment; never reused for another one.
     pub token: WriteToken,
 }
 
-/// What became of an amendment.
+/// Result of an amendment.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AmendOutcome {
     /// It is accepted with this revision.
     Accepted(ConfigRevision),
-    /// The record is not what the operator expected, or another operator was faster.
+    /// The record does not meet the expectation, or another operator changed it first.
     Conflict(AmendConflict),
-    /// It would lose a part of the record in force.
+    /// It would lose a part of the current record.
     Refused(FindingList),
 }
 
-/// What an amendment ran into.
+/// Details of a conflict.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AmendConflict {
     /// What the operator expected.
     pub expected: Expect,
-    /// The record as it is now.
+    /// The current record; none when there is none.
     pub current: Option<StoredRecord>,
-    /// The change that made it so, while the log keeps it.
+    /// The change that wrote the current record, while the log keeps it.
     pub change: Option<ChangeEntry>,
 }
 
-/// Why an amendment has no outcome.
+/// Why an amendment has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum AmendError {
-    /// The store gave no answer; nothing took effect.
+    /// The store failed; nothing took effect.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The answer is lost and could not be settled.
+    /// The response is lost and the outcome could not be determined.
     #[error(
-        "revision {revision} may or may not be accepted ({cause}): ask for the history of the \
+        "revision {revision} may or may not be accepted ({cause}): check the history of the \
          record before amending it again"
     )]
     Unsettled {
-        /// The revision that it would have made.
+        /// The revision that the amendment would have made.
         revision: ConfigRevision,
         /// Token to look for in the change log.
         token: WriteToken,
-        /// Why it is open.
+        /// Why the outcome is unknown.
         cause: String,
     },
-    /// Other amendments were accepted all the time.
-    #[error("{HEAD_ATTEMPTS} other amendments were faster; nothing took effect, try again")]
+    /// Other amendments were accepted in every attempt.
+    #[error("{HEAD_ATTEMPTS} other amendments were accepted first; nothing took effect, try again")]
     Contention,
-    /// A row of the table holds something else than it should.
-    #[error("row {0} can't be read")]
+    /// The content of a row can't be parsed, or a value can't be stored in it.
+    #[error("row {0} is malformed")]
     MalformedRow(String),
 }
 
 /// Writes or deletes a record.
 ///
-/// When only the head moved, because another record was amended, the amendment is tried again by
-/// itself. When the record itself changed, the later operator gets a conflict, also under
-/// [`Expect::Any`]: each would otherwise believe that his record is the one in force.
+/// When only the head changed, because another record was amended, the amendment is retried. When
+/// the record itself changed, the later operator gets a conflict, even with [`Expect::Any`]: each
+/// would otherwise believe that their record is the active one.
 ///
 /// # Errors
 ///
--- a/crates/control/src/amend/rows.rs
+++ b/crates/control/src/amend/rows.rs
@@ -7,7 +7,7 @@
 
 use super::{AmendError, ChangeEntry, ConfigHead, Expect, StoredRecord};
 
-/// A record's row with its expectation for the next write.
+/// A record's row with the expectation for its next write.
 #[derive(Debug)]
 pub(super) struct RecordRead {
     pub(super) stored: Option<StoredRecord>,
@@ -27,19 +27,19 @@
     }
 }
 
-/// The head row with its expectation for the next write.
+/// The head row with the expectation for its next write.
 #[derive(Debug)]
 pub(super) struct HeadRead {
     pub(super) head: ConfigHead,
     pub(super) expectation: RowExpectation,
 }
 
-/// A change with the token that made it.
+/// A change with the token of its amendment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeRow {
-    /// The change.
+    /// The change as stored in the log.
     pub entry: ChangeEntry,
-    /// Token of the amendment.
+    /// Token of the amendment's transaction.
     pub token: String,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads a change; none when the log no longer keeps it or it was never made.
+/// Reads a change; none when it was compacted or never made.
 ///
 /// # Errors
 ///
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -1,7 +1,7 @@
-//! Checks of an amendment against the configuration in force.
+//! Checks of an amendment against the active configuration.
 //!
-//! They are made before the transaction and not inside it: two amendments that are each fine may
-//! together leave a grant without its model. That harms nobody beyond a clear refusal, and making
+//! They run before the transaction instead of inside it: two amendments that are each valid may
+//! together leave a grant without its model. That only leads to a clear refusal, whereas making
 //! every amendment conditional on all others would turn 2,300 changes a day into conflicts.
 
 use domain::record::{CustomerRecord, DrainRecord, RecordKind, ServiceRecord};
@@ -10,28 +10,28 @@
 
 use crate::view::ConfigView;
 
-/// How much a finding matters.
+/// How severe a finding is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FindingSeverity {
-    /// The record can be accepted; the operator should look at it.
+    /// The record can be accepted; the operator should check the finding.
     Warning,
     /// The record must not be accepted.
     Error,
 }
 
-/// A finding with its level.
+/// A finding with its severity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReviewFinding {
-    /// How much it matters.
+    /// Decides whether the record can be accepted.
     pub severity: FindingSeverity,
-    /// What was found.
+    /// Path, problem and advice for the operator.
     pub finding: RecordFinding,
 }
 
-/// Everything that a review found, in the order of the places.
+/// All findings of a review, in the order of their paths.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReviewReport {
-    /// The findings.
+    /// Warnings and errors.
     pub findings: Vec<ReviewFinding>,
 }
 
@@ -53,7 +53,7 @@
         self.add(FindingSeverity::Error, path, problem, advice);
     }
 
-    /// Whether the record must not be accepted.
+    /// Whether any finding prevents the record from being accepted.
     #[must_use]
     pub fn has_errors(&self) -> bool {
         self.findings
@@ -62,10 +62,10 @@
     }
 }
 
-/// Reviews a record that is to be written. `hosts` are those of the host list, where it is known.
+/// Reviews a record that is to be written. `hosts` are those of the host list, if known.
 ///
 /// A reference to something that does not exist yet is a warning, so that files can be applied in
-/// any order; what would harm callers as soon as it is in force is an error.
+/// any order; what would harm callers as soon as it is active is an error.
 #[must_use]
 pub fn review_record(
     view: &ConfigView,
@@ -84,7 +84,7 @@
                 }
                 report.warn(
                     format!("spec.versions[{index}].replicas"),
-                    format!("no replica of {} is kept", plan.version),
+                    format!("version {} has no replicas", plan.version),
                     "remove the version once no customer is pinned to it",
                 );
             }
@@ -102,7 +102,7 @@
         report.refuse(
             format!("spec.key_hashes[{index}]"),
             format!("the key belongs to customer {owner}"),
-            "give each customer keys of its own: a shared key charges one for the other's calls",
+            "use separate keys for each customer: calls with a shared key are charged to one of them",
         );
     }
     for (index, grant) in customer.grants.iter().enumerate() {
@@ -120,8 +120,8 @@
         {
             report.warn(
                 format!("{path}.version"),
-                format!("model {} keeps no version {version}", grant.model),
-                "name a version of the model's record",
+                format!("model {} has no version {version}", grant.model),
+                "use a version from the model's record",
             );
         }
         for (position, adapter) in grant.adapters.iter().enumerate() {
@@ -130,7 +130,7 @@
             }
             report.warn(
                 format!("{path}.adapters[{position}]"),
-                format!("model {} loads no adapter {adapter}", grant.model),
+                format!("model {} has no adapter {adapter}", grant.model),
                 "add it to the model's record, or remove it here",
             );
         }
@@ -162,10 +162,10 @@
         report.warn(
             format!("spec.calls[{index}].idempotent"),
             format!(
-                "{} ran at most once so far and may now be repeated",
+                "{} was not idempotent so far and may now be retried",
                 call.path
             ),
-            "keep false unless the service itself refuses a second run",
+            "keep false unless the service itself rejects a second execution",
         );
     }
 }
@@ -178,13 +178,13 @@
         }
         report.warn(
             format!("spec.hosts[{index}]"),
-            format!("the host list has no host {host}"),
+            format!("the host list does not contain host {host}"),
             "check the name; the host list lags behind new hosts",
         );
     }
 }
 
-/// Reviews the delete of a record: nothing that customers are granted may go away under them.
+/// Reviews the deletion of a record: a model or service that customers are granted must stay.
 #[must_use]
 pub fn review_delete(view: &ConfigView, kind: RecordKind, name: &str) -> ReviewReport {
     let mut report = ReviewReport::default();
@@ -212,12 +212,13 @@
     report
 }
 
-/// Finds what an amendment would lose of the record in force because of its schema version.
+/// Finds what an amendment would lose of the current record because of its schema version.
 ///
-/// A client of schema version 1 reads a record, does not see its adapters and shares, and writes
-/// it back: customers then lose their adapters and a large customer its share, and nobody asked
-/// for that. Merging would have to guess whether a model that is gone from the list takes its
-/// adapters with it. So the amendment is refused; whoever means it says so in version 2.
+/// A client of schema version 1 reads a record, does not see its adapters and shares, and writes it
+/// back: customers would lose their adapters and a large customer its share, without anyone asking
+/// for it. Merging would have to guess whether a model that is gone from the list takes its
+/// adapters with it. The amendment is therefore refused; an operator who intends the loss uses
+/// version 2.
 #[must_use]
 pub fn schema_findings(current: Option<&RecordFrame>, next: Option<&RecordFrame>) -> FindingList {
     let mut findings = FindingList::default();
@@ -225,8 +226,8 @@
     if !KNOWN_SCHEMAS.contains(&next.schema) {
         findings.add(
             "schema",
-            format!("schema version {} is unknown here", next.schema),
-            "write version 1 or 2, or use a newer program",
+            format!("schema version {} is not supported", next.schema),
+            "use schema version 1 or 2, or a newer program",
         );
         return findings;
     }
@@ -237,8 +238,8 @@
         findings.add(
             "schema",
             format!(
-                "the record in force has schema version {}, of which this program can't tell \
-                 what version {} would lose",
+                "the active record has the unsupported schema version {}, so this program can't \
+                 tell what version {} would lose",
                 current.schema, next.schema
             ),
             "use a newer program, or delete the record first",
@@ -255,7 +256,7 @@
         findings.add(
             place,
             format!(
-                "the record in force says more here than schema version {} can",
+                "the active record has a value here that schema version {} can't express",
                 next.schema
             ),
             "write the record in schema version 2",
