--- a/crates/control/src/evidence_store.rs
+++ b/crates/control/src/evidence_store.rs
@@ -1,4 +1,4 @@
-//! The newest evidence of wholeness that a node has, its own and that of peers.
+//! The newest health evidence of each replica, from this node's probes and from peers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,32 +7,32 @@
 use tokio::sync::watch;
 use wire::engine::EngineLoad;
 
-/// Longest time for which a load report is passed on. A node that stopped probing a replica would
-/// otherwise take its last, perhaps long, queue for the present one and refuse callers for it.
+/// Maximum age of a load report. Without it, a node that stopped probing a replica would use its
+/// last and perhaps long queue as the current one and refuse requests because of it.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(3);
 
-/// Evidence with the moment at which this node got it, and the load that came with it.
+/// Health evidence with the time at which this node received it, and the load that came with it.
 #[derive(Debug, Clone)]
 pub struct EvidenceEntry {
     /// The evidence; its age counts up to `received`.
     pub evidence: HealthEvidence,
-    /// When this node got it.
+    /// When this node received it.
     pub received: Instant,
-    /// Load of the leading host, where this node itself asked for it lately.
+    /// Load of the leading host and its time; only from this node's own recent probes.
     pub load: Option<(EngineLoad, Instant)>,
-    /// The newest observation that a peer passed on, whether or not this node's own is newer.
+    /// When the newest observation received from a peer was made, even if this node's own is newer.
     pub last_from_peer: Option<Instant>,
 }
 
 impl EvidenceEntry {
-    /// Age of the evidence at a moment.
+    /// Age of the evidence at `now`.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
         self.evidence.age + now.saturating_duration_since(self.received)
     }
 }
 
-/// Evidence of all replicas. Cheap to clone; clones share it.
+/// Health evidence of all replicas. Cheap to clone; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct EvidenceStore {
     inner: Arc<StoreInner>,
@@ -58,19 +58,21 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in evidence from a peer, unless what is known is as new.
+    /// Stores evidence from a peer if it is newer than the known one.
     pub fn record(&self, evidence: HealthEvidence) {
         self.merge(evidence, None, false);
     }
 
-    /// Takes in what this node saw itself, unless what is known is as new.
+    /// Stores this node's own observation if it is newer than the known one.
     pub fn record_own(&self, evidence: HealthEvidence, load: Option<EngineLoad>) {
         self.merge(evidence, load, true);
     }
 
-    /// A higher incarnation beats a lower one, whatever their ages: the lower one comes from a
-    /// watcher that has not read the newer plan. Within one incarnation the newer observation
-    /// wins, compared by ages alone.
+    /// Keeps the evidence if it is newer.
+    ///
+    /// A higher incarnation wins over a lower one regardless of age: the lower one comes from a
+    /// prober that has not read the newer plan. Within one incarnation the newer observation wins,
+    /// compared by age only.
     fn merge(&self, evidence: HealthEvidence, load: Option<EngineLoad>, own: bool) {
         let now = Instant::now();
         let as_of = now.checked_sub(evidence.age).filter(|_| !own);
@@ -105,13 +107,13 @@
         self.inner.changes.send_modify(|count| *count += 1);
     }
 
-    /// The newest evidence for a replica.
+    /// The newest evidence for a replica; none before the first.
     #[must_use]
     pub fn newest_for(&self, replica: &ReplicaId) -> Option<EvidenceEntry> {
         self.rows().entries.get(replica).cloned()
     }
 
-    /// Up to `max` pieces of evidence, the youngest first, with their ages now.
+    /// Up to `max` pieces of evidence, newest first, with their current ages.
     #[must_use]
     pub fn export(&self, max: usize) -> Vec<HealthEvidence> {
         let now = Instant::now();
@@ -129,20 +131,20 @@
         evidence
     }
 
-    /// Counts up with every piece of evidence that is taken in.
+    /// A counter that increases with every piece of evidence stored.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.inner.changes.subscribe()
     }
 
-    /// The replicas with newer evidence since the last call. It has one reader, the publisher of
-    /// the target view.
+    /// Takes the set of replicas with newer evidence since the last call. Only one caller may use
+    /// it, the publisher of the target view.
     #[must_use]
     pub fn take_changed(&self) -> FastSet<ReplicaId> {
         std::mem::take(&mut self.rows().changed)
     }
 
-    /// Forgets replicas that exist no longer.
+    /// Removes the replicas that are not in `keep`.
     pub fn retain(&self, keep: &FastSet<ReplicaId>) {
         self.rows().entries.retain(|id, _| keep.contains(id));
     }
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -1,4 +1,4 @@
-//! One look at a replica's hosts.
+//! Probing a replica's hosts once.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,13 +11,14 @@
 
 use crate::directory::HostDirectory;
 
-/// What a look showed.
+/// Result of one probe.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProbeOutcome {
-    /// Evidence for or against the replica's wholeness, and the leading host's load.
+    /// Evidence for or against the replica's health, and the leading host's load.
     Evidence(HealthEvidence, Option<EngineLoad>),
-    /// Some hosts gave no answer, and no answer speaks against it. Silence is no evidence: the
-    /// hosts may be gone, or this node may be cut off from them while others reach them.
+    /// Some hosts did not answer and no answer contradicts the plan. A missing answer is no
+    /// evidence: the host may be gone, or this node may be partitioned from it while others reach
+    /// it.
     Inconclusive,
 }
 
@@ -34,18 +35,18 @@
         probe_host(engine, address, timeout)
     });
     let reports = join_all(probes).await;
-    // The age counts from before the first question: an answer may have been on its way.
+    // The age counts from before the first request: the answers describe an unknown time after it.
     evaluate_reports(plan, &reports, started.elapsed())
 }
 
-/// What one host said.
+/// Result of asking one host for its state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HostReport {
-    /// Its engine's state.
+    /// The state that its engine reported.
     State(Box<EngineState>),
-    /// The host itself refused the connection: no engine runs there.
+    /// The host refused the connection: no engine runs there.
     Refused,
-    /// Nothing. The host may be gone, or cut off from this node alone.
+    /// No answer. The host may be gone, or unreachable from this node only.
     NoAnswer,
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// Judges what a replica's hosts said, in the order of its hosts.
+/// Combines the reports of a replica's hosts, given in the order of its hosts.
 #[must_use]
 pub fn evaluate_reports(plan: &ReplicaPlan, reports: &[HostReport], age: Duration) -> ProbeOutcome {
     let mut evidence = HealthEvidence {
@@ -104,7 +105,7 @@
     ProbeOutcome::Evidence(evidence, load.map(|state| state.load))
 }
 
-/// Whether a host runs its rank of a replica's current incarnation and is ready.
+/// Whether a host runs the replica's current incarnation and is ready.
 fn runs_rank(plan: &ReplicaPlan, host: &HostId, state: &EngineState) -> bool {
     let Some(assignment) = &state.assignment else {
         return false;
--- a/crates/control/src/prober.rs
+++ b/crates/control/src/prober.rs
@@ -1,11 +1,11 @@
-//! Watching the replicas: who probes which, and how often.
+//! Scheduling of the health probes: which node probes which replica, and how often.
 //!
-//! Each replica is probed by two nodes of its failure domain, picked by rendezvous hashing, and
-//! peers carry what they saw. At 1,500 hosts, two watchers a replica and a period of 1 s that is
-//! 3,000 questions a second for the whole system, 7 for each of 410 nodes. A node that has heard
-//! nothing of a replica for a while asks its hosts itself, so that a partition between nodes, or
-//! watchers that died together, cost no service; it backs off while they do not answer, so that a
-//! dead replica is not asked by every node every second.
+//! Each replica is probed by two nodes of its failure domain, chosen by rendezvous hashing, and
+//! peers share the results. With 1,500 hosts, two probers a replica and a period of 1 s that is
+//! 3,000 requests a second for the whole system, 7 for each of 410 nodes. A node that has received
+//! no evidence about a replica for a while probes its hosts itself, so that a network partition
+//! between nodes, or the loss of both probers, does not interrupt service; it backs off while the
+//! hosts do not answer, so that not every node probes a dead replica every second.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,30 +24,31 @@
 use crate::plans::FleetPlans;
 use crate::probe::{ProbeOutcome, probe_replica};
 
-/// Nodes that probe one replica in the normal course.
+/// Nodes assigned to probe one replica.
 const PROBERS_PER_REPLICA: usize = 2;
 
-/// Looks for due probes in one period.
+/// Checks for due probes per probe period.
 const TICKS_PER_PERIOD: u32 = 4;
 
-/// Limits of the watch. Times are in milliseconds.
+/// Timing and limits of the probes. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProbeSettings {
-    /// Time between two probes of one replica by one watcher.
+    /// Interval between two probes of one replica by one prober.
     #[builder(default = 1_000)]
     pub period_ms: u64,
-    /// Longest wait for a host's report.
+    /// Timeout of one host's state request.
     #[builder(default = 800)]
     pub timeout_ms: u64,
-    /// Age of the newest evidence from which on a node that is no watcher probes by itself. Below
-    /// the limit of the dispatch gate, so that service goes on without a gap.
+    /// Age of the newest evidence at which a node that is not assigned probes by itself. It is
+    /// below the age limit for dispatch, so that service continues without a gap.
     #[builder(default = 1_800)]
     pub silence_ms: u64,
-    /// Longest pause of such a node between two probes of a replica that does not answer.
+    /// Longest delay between two probes by such a node while the replica does not answer.
     #[builder(default = 8_000)]
     pub longest_pause_ms: u64,
-    /// Replicas probed at once; a node that is alone before all of them spreads them out.
+    /// Replicas probed concurrently; it spreads the load when a single node has to probe all of
+    /// them.
     #[builder(default = 128)]
     pub probes_at_once: usize,
 }
@@ -58,20 +59,20 @@
     }
 }
 
-/// What the watch goes by.
+/// Inputs of the prober.
 #[derive(Debug, Clone)]
 pub struct ProbeInputs {
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
-    /// The replicas.
+    /// The replica plans.
     pub plans: watch::Receiver<Arc<FleetPlans>>,
-    /// The hosts.
+    /// The host list, for addresses and failure domains.
     pub directory: watch::Receiver<Arc<HostDirectory>>,
-    /// The nodes.
+    /// The nodes among which the probers are chosen.
     pub members: watch::Receiver<Arc<MemberView>>,
 }
 
-/// When a replica is probed next.
+/// When this node probes a replica next, and why.
 #[derive(Debug)]
 struct ProbeSchedule {
     due: Instant,
@@ -80,7 +81,7 @@
     incarnation: IncarnationNumber,
 }
 
-/// Probes replicas and records what they report; runs until it is dropped.
+/// Probes replicas and stores the evidence; runs until it is dropped.
 pub async fn probe_replicas<E: EnginePort>(
     mut inputs: ProbeInputs,
     engine: E,
@@ -92,8 +93,8 @@
     let mut running: JoinSet<(ReplicaId, bool)> = JoinSet::new();
     let mut probing: FastSet<ReplicaId> = FastSet::default();
     loop {
-        // Who watches what is worked out only when it may have changed: 1,500 replicas times 410
-        // nodes are 615,000 hashes.
+        // Assignments are recomputed only when an input changed: 1,500 replicas times 410 nodes are
+        // 615,000 hashes.
         let inputs_changed = [
             inputs.plans.has_changed(),
             inputs.directory.has_changed(),
@@ -150,7 +151,8 @@
     }
 }
 
-/// A replica in a new incarnation is asked at once: it serves nobody before it is seen whole.
+/// Schedules an immediate probe: a replica in a new incarnation takes no requests before it is
+/// known to be healthy.
 fn new_schedule(plan: &ReplicaPlan, settings: ProbeSettings) -> ProbeSchedule {
     let period = Duration::from_millis(settings.period_ms);
     let max_delay = Duration::from_millis(settings.longest_pause_ms);
@@ -162,7 +164,8 @@
     }
 }
 
-/// Whether this node is one of the replica's watchers. Alone, or without members, it is.
+/// Whether this node is assigned to probe the replica. A node that is not in its own member view
+/// probes every replica.
 fn is_assigned(
     node: &NodeId,
     plan: &ReplicaPlan,
@@ -198,8 +201,8 @@
         return true;
     }
     let max_silence = Duration::from_millis(settings.silence_ms);
-    // Evidence of its own is no reason to stop, since nobody else provides it; nor is it one to go
-    // on, once peers pass theirs on again.
+    // Only evidence from peers counts here. This node's own evidence does not stop its probes,
+    // since nobody else may provide any; once peers send evidence again, the probes stop.
     let heard = evidence_store.newest_for(&plan.id).is_some_and(|entry| {
         let current = entry.evidence.incarnation >= plan.incarnation;
         let fresh = |at: Instant| now.saturating_duration_since(at) < max_silence;
