--- a/crates/control/src/assembly/chooser.rs
+++ b/crates/control/src/assembly/chooser.rs
@@ -1,14 +1,14 @@
-//! Which free hosts to take.
+//! Selection of free hosts for a replica.
 
 use domain::HostId;
 
-/// Chooses hosts for a replica.
+/// Strategy that selects hosts for a replica.
 pub trait HostChooser: Clone + Send + Sync + 'static {
-    /// `size` of the `free` hosts, which are ordered by name; none when they do not suffice.
+    /// Selects `size` of the `free` hosts, which are ordered by name; none when there are too few.
     fn choose(&self, free: &[HostId], size: usize) -> Option<Vec<HostId>>;
 }
 
-/// Takes the first hosts by name.
+/// Selects the first hosts by name.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FirstHosts;
 
--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -1,4 +1,4 @@
-//! The rounds of one fabric domain's controller.
+//! The reconciliation loop of one fabric domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,30 +24,31 @@
 use crate::lease::LeaseGrant;
 use crate::view::{ConfigView, TargetView};
 
-/// What a controller works with.
+/// Dependencies of a controller.
 #[derive(Debug, Clone)]
 pub struct AssemblyContext<T, E, C> {
-    /// The table.
+    /// The table, for the fabric domain's rows.
     pub table: T,
-    /// Engines.
+    /// Client of the engines.
     pub engine: E,
-    /// Which free hosts to take.
+    /// Strategy that selects free hosts.
     pub chooser: C,
-    /// Evidence of wholeness.
+    /// Health evidence from probes and peers.
     pub evidence_store: EvidenceStore,
-    /// The replicas as entries see them; without them every replica that stands counts as serving.
+    /// The targets as request dispatch sees them; without them every active replica counts as
+    /// serving.
     pub targets: Option<watch::Receiver<Arc<TargetView>>>,
-    /// The hosts.
+    /// The host list.
     pub directory: watch::Receiver<Arc<HostDirectory>>,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: watch::Receiver<Arc<ConfigView>>,
-    /// Events.
+    /// Recorder of the assembly events.
     pub recorder: EventRecorder,
-    /// Limits.
+    /// Timing and limits.
     pub settings: AssemblySettings,
 }
 
-/// Acts for a fabric domain whenever its lease is held; runs until the lease's keeper ends.
+/// Runs rounds for a fabric domain while its lease is held; returns when the lease's actor ends.
 pub async fn run_controller<T: TableStore, E: EnginePort, C: HostChooser>(
     context: AssemblyContext<T, E, C>,
     fabric: FabricId,
@@ -72,7 +73,7 @@
     }
 }
 
-/// The state that a controller keeps between rounds; all of it can be read anew.
+/// The state kept between rounds; all of it can be read again.
 #[derive(Debug)]
 pub struct FabricController<T, E, C> {
     context: AssemblyContext<T, E, C>,
@@ -95,16 +96,17 @@
         }
     }
 
-    /// Forgets what was read, because another node may act now.
+    /// Discards the cached rows and timers, because another node may have changed the fabric
+    /// domain.
     pub fn reset(&mut self) {
         self.rows = None;
         self.health = FabricHealth::default();
     }
 
-    /// One round under a lease.
+    /// Runs one round under a lease.
     pub async fn run_round(&mut self, grant: &LeaseGrant) {
         let config = Arc::clone(&self.context.config.borrow());
-        // A node that has not read any record yet would take every replica for a surplus.
+        // A node that has not read any record yet would treat every replica as surplus.
         if config.revision.0 == 0 {
             return;
         }
@@ -116,8 +118,9 @@
         self.rows = current.then_some((grant.epoch, rows));
     }
 
-    /// The rows, read anew after a take-over, a conflict or a lost answer, and looked at every
-    /// few seconds for a write of one's own that took effect after its answer was given up.
+    /// Returns the rows. They are read again after a lease acquisition, a conflict or a lost
+    /// response, and checked every few seconds for an own write that took effect after its response
+    /// was given up.
     async fn current_rows(&mut self, grant: &LeaseGrant) -> Result<FabricRows, StoreError> {
         let table = &self.context.table;
         let period = Duration::from_millis(self.context.settings.refresh_ms);
@@ -217,8 +220,9 @@
         hosts_to_check
     }
 
-    /// Hosts of replicas that some node found whole a moment ago. They need no question of the
-    /// controller, and a controller that is cut off from them does not take them for lost.
+    /// Hosts of replicas that some node found healthy recently, with the time of that observation.
+    /// The controller does not ask them, and does not consider them lost when it is cut off from
+    /// them.
     fn trusted_hosts(&self, rows: &FabricRows) -> FastMap<HostId, Instant> {
         let limit = Duration::from_millis(self.context.settings.trust_ms);
         let now = Instant::now();
@@ -294,7 +298,7 @@
     }
 }
 
-/// What the records ask for, with the counts in the table.
+/// The desired versions according to the records, with the replica counts in the table.
 fn desired_versions(config: &ConfigView, rows: &FabricRows) -> Vec<DesiredVersion> {
     let active = |model: &domain::ModelName, version: &domain::VersionName| {
         let name = (model.clone(), version.clone());
@@ -315,8 +319,8 @@
             });
         }
     }
-    // A model whose record this program can't read stays as it is: another program, newer than
-    // this one, knows what it asks for.
+    // A model whose record this program can't interpret is left unchanged: a newer program knows
+    // what the record asks for.
     for plan in &rows.fleet.0.plans {
         let key =
             platform::keys::record_key(domain::record::RecordKind::Model, plan.model.as_str());
--- a/crates/control/src/assembly/health.rs
+++ b/crates/control/src/assembly/health.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of its hosts, and for how long it has known it.
+//! Health of a fabric domain's hosts over time.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,24 +9,24 @@
 use super::AssemblySettings;
 use crate::drains::DrainCause;
 
-/// What is known of a host in one round.
+/// What is known about a host in one round.
 #[derive(Debug, Clone, Default)]
 pub struct HostHealth {
-    /// What it reported in this round; none when it was silent or not asked.
+    /// Its report in this round; none when it did not answer or was not asked.
     pub state: Option<EngineState>,
-    /// Whether it has been silent for so long that its replica goes on without it.
+    /// Whether it has been silent for so long that its replica continues without it.
     pub lost: bool,
     /// Why it takes no new work.
     pub drain: Option<DrainCause>,
-    /// Whether it is empty, and was in a replica so lately that entries may still hold evidence
-    /// which names it there.
+    /// Whether it is empty but left a replica so recently that health evidence naming it may still
+    /// be in use.
     pub cooling_down: bool,
-    /// The replica that it ran lately, where it now runs none.
+    /// The replica that it ran until recently, if it now runs none.
     pub previous_replica: Option<ReplicaId>,
 }
 
-/// Clocks that run over the rounds. They are this process's own; a new holder of the lease starts
-/// them anew, which only delays a step.
+/// Timers that span several rounds. They belong to this process; a new lease holder starts them
+/// again, which only delays steps.
 #[derive(Debug, Default)]
 pub struct FabricHealth {
     last_seen: FastMap<HostId, Instant>,
@@ -37,12 +37,12 @@
 }
 
 impl FabricHealth {
-    /// Notes who answered in this round and marks the lost ones. `trusted` has the moment at which
-    /// another watcher saw a host well; the silence counts from there, not from the moment at
-    /// which that evidence became too old.
+    /// Records which hosts answered in this round and marks the lost ones. `trusted` has the time
+    /// at which another node last saw a host healthy; silence counts from there, not from the time
+    /// at which that evidence became too old.
     ///
-    /// When nobody at all answers, nobody is marked: either the whole fabric domain is dark, and
-    /// nothing can be formed there, or this node is cut off, and others may serve from it.
+    /// If no host answers at all, none is marked: either the whole fabric domain is down, and
+    /// nothing can be formed there, or this node is cut off, and others may still dispatch to it.
     pub fn update_lost(
         &mut self,
         hosts: &mut BTreeMap<HostId, HostHealth>,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Notes since when each host has been empty.
+    /// Records how long each host has been empty.
     ///
-    /// Evidence of wholeness lasts a few seconds. A host that moves from one replica to another
-    /// within that time makes both look whole at once to an entry that holds older evidence, when
-    /// a late order brings the old replica's leader back (specification `assembly`, 11 steps). So
-    /// a host rests before it is used again. One that was never in a replica needs no rest.
+    /// Health evidence is valid for a few seconds. A host that moves from one replica to another
+    /// within that time can make both look healthy to an entry node with older evidence, if a late
+    /// order also restores the old replica's leader (specification `assembly`, 11 steps). A host
+    /// therefore waits before it is used again. One that was never in a replica need not wait.
     pub fn update_cooldown(
         &mut self,
         hosts: &mut BTreeMap<HostId, HostHealth>,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Notes whether a draining replica is idle, and tells whether its hosts may be taken.
+    /// Records whether a draining replica is idle, and returns whether its hosts may be taken.
     pub fn update_drain(
         &mut self,
         replica: &ReplicaId,
@@ -122,7 +122,7 @@
         now.saturating_duration_since(since_idle) >= Duration::from_millis(settings.settle_ms)
     }
 
-    /// Forgets the drains of other replicas than these.
+    /// Drops the timers of replicas that are not in `draining`.
     pub fn retain_drains(&mut self, draining: &FastSet<ReplicaId>) {
         self.draining_since.retain(|id, _| draining.contains(id));
         self.idle_since.retain(|id, _| draining.contains(id));
--- a/crates/control/src/assembly/orders.rs
+++ b/crates/control/src/assembly/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that bring engines to what the table says.
+//! Orders that bring engines to the state in the table.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,22 +13,22 @@
 use crate::directory::HostDirectory;
 use crate::lease::LeaseGrant;
 
-/// One order to one host; none as assignment empties it.
+/// One order to one host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostOrder {
-    /// The host.
+    /// The host that gets the order.
     pub host: HostId,
-    /// Its engine's address.
+    /// Address of its engine.
     pub address: SocketAddr,
-    /// What it shall run.
+    /// What the engine must run; none empties it.
     pub assignment: Option<EngineAssignment>,
 }
 
-/// Orders for the hosts that reported something else than the table says.
+/// Orders for the hosts whose report differs from the table.
 ///
-/// Only hosts that reported are ordered: a silent one would only hold up the round. At most
-/// `loads_at_once` replicas load weights at the same time, because the weight store's rate is
-/// shared: many loads at once would all be slow, and none would serve early.
+/// Only hosts that reported get orders: a silent one would only delay the round. At most
+/// `loads_at_once` replicas load weights concurrently, because the weight store's bandwidth is
+/// shared: many concurrent loads would all be slow, and no replica would be ready early.
 #[must_use]
 pub fn required_orders(
     fleet: &FabricFleet,
@@ -60,11 +60,11 @@
 /// Orders for the hosts of one replica.
 #[derive(Debug, Default)]
 struct ReplicaOrders {
-    /// They empty hosts that a late order took elsewhere.
+    /// Empty hosts that run another replica because of a late order.
     misassigned: Vec<HostOrder>,
-    /// They make hosts run their ranks.
+    /// Start hosts in their ranks.
     assign: Vec<HostOrder>,
-    /// Whether any host loads weights, or will once it is ordered.
+    /// Whether any host loads weights, or will once it gets its order.
     loading_weights: bool,
 }
 
@@ -86,7 +86,7 @@
             continue;
         }
         if runs_other_replica(state, plan) {
-            // It is emptied and rests before it comes back.
+            // It is emptied first and gets its assignment after the cooldown.
             let assignment = None;
             orders.misassigned.push(HostOrder {
                 host,
@@ -113,7 +113,7 @@
     orders
 }
 
-/// Empties hosts that run something though no replica names them.
+/// Orders that empty hosts which run something without belonging to a replica.
 fn clear_orders(
     fleet: &FabricFleet,
     hosts: &BTreeMap<HostId, HostHealth>,
@@ -147,12 +147,12 @@
         .is_some_and(|assignment| assignment.replica != plan.id)
 }
 
-/// Whether the host that leads this host's old replica may still answer for it.
+/// Whether the leader of this host's old replica may still answer for it.
 ///
-/// Entries learn of a dissolved replica after a moment. As long as its leader runs, it takes their
-/// requests; were another host emptied first, those requests would hang on it. So the leader goes
-/// first (specification `assembly`, 8 steps), and a silent one counts as running until it is lost.
-/// A leader that went on in a newer incarnation takes none of the old one's requests.
+/// Entry nodes learn of a dissolved replica with a delay. While its leader runs, it accepts their
+/// requests; if another host were emptied first, those requests would hang. The leader is therefore
+/// emptied first (specification `assembly`, 8 steps), and a silent leader counts as running until
+/// it is lost. A leader that runs a newer incarnation accepts no requests for the old one.
 fn leader_may_answer(
     host: &HostId,
     health: &HostHealth,
@@ -212,8 +212,8 @@
     Some(assignments)
 }
 
-/// Sends orders while the lease lasts longer than they may take; returns the hosts that refused
-/// one for its old fencing number.
+/// Sends the orders if the lease outlasts their timeout; returns the hosts that refused one because
+/// of its old fencing token.
 pub async fn send_orders<E: EnginePort>(
     engine: &E,
     grant: &LeaseGrant,
@@ -229,7 +229,7 @@
             epoch: grant.epoch,
             assignment: order.assignment.clone(),
         };
-        // A lost answer needs no care: the next round asks the host what it runs.
+        // A lost answer needs no handling: the next round asks the host what it runs.
         let outcome = engine.order(order.address, &body, timeout).await;
         let fenced = matches!(outcome, Ok(OrderOutcome::Fenced(_)));
         fenced.then(|| order.host.clone())
--- a/crates/control/src/assembly/round.rs
+++ b/crates/control/src/assembly/round.rs
@@ -7,29 +7,29 @@
 use super::{AssemblyStep, DesiredVersion, HostChooser, HostHealth, ServingReplicas};
 use crate::drains::DrainCause;
 
-/// What a round goes by.
+/// Inputs of a round.
 #[derive(Debug)]
 pub struct RoundInput<'round, C> {
-    /// The fleet as the table has it.
+    /// The fleet as stored in the table.
     pub fleet: &'round FabricFleet,
-    /// Slots of every host that is listed or was assigned.
+    /// Slots of all hosts that are listed or assigned.
     pub slots: &'round FastMap<HostId, HostSlot>,
-    /// The hosts that are listed or were assigned.
+    /// Health of the same hosts in this round.
     pub hosts: &'round BTreeMap<HostId, HostHealth>,
-    /// What the records ask for.
+    /// The desired state of each model version.
     pub versions: &'round [DesiredVersion],
-    /// Which replicas stand and serve.
+    /// Which replicas are active and serving.
     pub serving: &'round ServingReplicas,
     /// Draining replicas whose hosts may be taken.
     pub drained: &'round FastSet<ReplicaId>,
-    /// Which free hosts to take.
+    /// Strategy that selects free hosts.
     pub chooser: &'round C,
 }
 
-/// The steps of a round.
+/// Returns the steps of a round.
 ///
-/// Replicas that lost a host come first: they serve nothing and hold hosts that could. Drained
-/// replicas follow, then new ones. Free hosts that one step takes are gone for the next.
+/// Replicas that lost a host come first: they serve nothing and occupy hosts that could. Drained
+/// replicas follow, then new ones. Free hosts used by one step are not available to the next.
 #[must_use]
 pub fn plan_round<C: HostChooser>(input: &RoundInput<'_, C>) -> Vec<AssemblyStep> {
     let mut round = Round {
@@ -56,7 +56,8 @@
     round.steps
 }
 
-/// Hosts without a replica that reported in this round that they run nothing and want work.
+/// Hosts without a replica that reported in this round that they run nothing, and that are neither
+/// draining nor cooling down.
 fn free_hosts<C>(input: &RoundInput<'_, C>) -> Vec<HostId> {
     let mut free = Vec::new();
     for (host, health) in input.hosts {
@@ -80,7 +81,7 @@
     input: &'round RoundInput<'round, C>,
     free: Vec<HostId>,
     versions: Vec<DesiredVersion>,
-    /// Broken replicas that are wanted and find no spares.
+    /// Broken replicas that are desired but lack spare hosts.
     waiting: Vec<&'round ReplicaPlan>,
     /// How many replicas of a model may still be drained in this round.
     drains: FastMap<ModelName, usize>,
@@ -114,7 +115,7 @@
             .find(|version| version.model == plan.model && version.version == plan.version)
     }
 
-    /// A replica that takes work: it goes on, is mended, or drains.
+    /// Reconciles a replica that takes work: it is left alone, gets other hosts, or drains.
     fn reconcile_active(&mut self, plan: &ReplicaPlan) {
         let lost = plan.hosts.iter().any(|host| self.is_lost(host));
         let restarted = plan.hosts.iter().any(|host| self.is_restarted(host));
@@ -138,8 +139,8 @@
             .is_none_or(|health| health.lost && health.state.is_none())
     }
 
-    /// Whether a host's engine restarted under the replica. Its ranks then no longer belong
-    /// together, even when the host itself is back, so the replica needs a new incarnation.
+    /// Whether a host's engine restarted since it was assigned. The replica's ranks then no longer
+    /// form one group, even though the host is back, so the replica needs a new incarnation.
     fn is_restarted(&self, host: &HostId) -> bool {
         let state = self
             .input
@@ -157,7 +158,7 @@
         }
     }
 
-    /// A drain that was begun and one that a record asks for.
+    /// Why the replica must drain: a drain of one of its hosts, or a change of the records.
     fn drain_cause(&mut self, plan: &ReplicaPlan) -> Option<DrainCause> {
         for host in &plan.hosts {
             let cause = self.input.hosts.get(host).and_then(|health| health.drain);
@@ -166,12 +167,12 @@
             }
         }
         let cause = self.config_drain_cause(plan)?;
-        // One that serves nobody can go at once.
+        // A replica that is not serving can be drained at once.
         let free = !self.input.serving.serves(&plan.id) || self.consume_drain(&plan.model);
         free.then_some(cause)
     }
 
-    /// Why the records want the replica gone or formed anew.
+    /// Why the records require the replica to end or to be formed again.
     fn config_drain_cause(&mut self, plan: &ReplicaPlan) -> Option<DrainCause> {
         let Some(version) = self.version(plan) else {
             return Some(DrainCause::Surplus);
@@ -209,7 +210,7 @@
         drains > 0
     }
 
-    /// The hosts that go on, filled up from the free ones; none when they do not suffice.
+    /// The remaining hosts, filled up with free ones; none when there are too few.
     fn fill_hosts(&mut self, plan: &ReplicaPlan, size: usize) -> Option<Vec<HostId>> {
         let mut hosts: Vec<HostId> = plan
             .hosts
@@ -261,8 +262,8 @@
         if let Some(version) = self.version(plan) {
             version.active = version.active.saturating_sub(1);
         }
-        // It keeps its hosts, which hold their weights, and goes on when the lost one is back.
-        // Since it does not count as standing any more, another fabric domain may form one.
+        // It keeps its hosts, which hold their weights, and continues when the lost one is back. As
+        // it is no longer counted as active, another fabric domain may form a replacement.
         let step = match within_desired {
             Some(true) => AssemblyStep::Drain(plan.id.clone(), DrainCause::HostLost),
             Some(false) | None => AssemblyStep::Dissolve(plan.id.clone()),
@@ -270,7 +271,8 @@
         self.steps.push(step);
     }
 
-    /// A replica that takes no new work: it takes work again, waits, is formed anew or ends.
+    /// Reconciles a replica that takes no new work: it is undrained, waits, is reformed or
+    /// dissolved.
     fn reconcile_draining(&mut self, plan: &'round ReplicaPlan) {
         let broken = plan
             .hosts
@@ -306,8 +308,7 @@
         self.steps.push(AssemblyStep::Dissolve(plan.id.clone()));
     }
 
-    /// A broken replica waits for its hosts; one whose host leaves ends, since that host is gone
-    /// for good.
+    /// A broken replica waits for its hosts, unless one of them is draining and will not return.
     fn wait_for_hosts(&mut self, plan: &'round ReplicaPlan, broken: bool) {
         let host_draining = plan.hosts.iter().any(|host| self.is_draining(host));
         if broken && !host_draining {
@@ -317,10 +318,11 @@
         self.steps.push(AssemblyStep::Dissolve(plan.id.clone()));
     }
 
-    /// Takes one broken replica apart when its hosts make another one whole.
+    /// Dissolves one broken replica if its hosts suffice to complete another one.
     ///
-    /// With one host lost in each of two 16-host replicas, 30 hosts would wait for two. Taken
-    /// apart alone it would help nobody, and its hosts would load their weights anew.
+    /// With one host lost in each of two 16-host replicas, 30 hosts would wait for two. Dissolving
+    /// a replica that completes no other one would not help, and its hosts would have to load their
+    /// weights again.
     fn dissolve_for_spares(&mut self) {
         let mut waiting = std::mem::take(&mut self.waiting);
         waiting.sort_by_key(|plan| self.lost_hosts(plan));
@@ -343,8 +345,9 @@
         }
     }
 
-    /// New replicas, the version that lacks the largest share first: a model without any replica
-    /// answers nobody, one that lacks the third of three answers a little later.
+    /// Forms new replicas, starting with the version that lacks the largest share: a model without
+    /// any replica answers nobody, whereas one that lacks the third of three only answers more
+    /// slowly.
     fn form_replicas(&mut self) {
         let mut lacking: Vec<DesiredVersion> = self.versions.clone();
         lacking.retain(|version| version.active < version.desired && version.hosts_per_replica > 0);
--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of one fabric domain, and the transaction that each step is.
+//! The rows of one fabric domain, and the transaction of each step.
 
 use domain::fleet::FleetError;
 use domain::host::{EmptyProof, SlotAssignment, SlotError};
@@ -21,57 +21,57 @@
 /// Sends of one transaction before its outcome is left to the next round.
 const COMMIT_ATTEMPTS: u32 = 3;
 
-/// Most slots that are read one by one.
+/// Most slots that are read one by one; more are read by a scan.
 const MAX_SINGLE_READS: usize = 8;
 
-/// Count of the replicas of one version that stand and do not drain, over all fabric domains.
+/// Number of active replicas of one version over all fabric domains.
 ///
-/// Controllers of several fabric domains see the same replica missing. The row makes the second
-/// one's transaction fail instead of giving the model a replica too many.
+/// Controllers of several fabric domains may notice the same missing replica. This row makes the
+/// transaction of the second one fail, so that the model does not get one replica too many.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaCountRow {
-    /// The count.
+    /// Replicas that are planned and not draining.
     pub replicas: u32,
 }
 
 /// Why a step did not take effect.
 #[derive(Debug, thiserror::Error)]
 pub enum StepError {
-    /// The store.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A rule of a host's slot.
+    /// The step violates a rule of a host's slot.
     #[error(transparent)]
     Slot(#[from] SlotError),
-    /// A rule of the fleet.
+    /// The step violates a rule of the fleet.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// A row is not as it was last read, or the lease is another node's.
-    #[error("another writer was faster")]
+    /// A row changed since it was last read, or another node acquired the lease.
+    #[error("a row was changed or the lease was acquired by another node")]
     Conflict,
-    /// The replica has no id.
+    /// The id of a new replica is invalid.
     #[error(transparent)]
     Id(#[from] domain::IdError),
 }
 
-/// A row's content with its version; none while there is no row.
+/// A row's content with its version; none while the row does not exist.
 type VersionedRow<R> = (R, Option<RowVersion>);
 
 /// The rows as last read or written by this process.
 #[derive(Debug, Clone)]
 pub struct FabricRows {
-    /// The fabric domain.
+    /// The fabric domain that the rows belong to.
     pub fabric: FabricId,
-    /// Its replicas.
+    /// Its replica plans.
     pub fleet: VersionedRow<FabricFleet>,
-    /// Slots of its hosts.
+    /// Slots of the hosts seen so far.
     pub slots: FastMap<HostId, VersionedRow<HostSlot>>,
-    /// Counts of replicas.
+    /// Active replicas of each version over all fabric domains.
     pub replica_counts: FastMap<(ModelName, VersionName), VersionedRow<ReplicaCountRow>>,
 }
 
 impl FabricRows {
-    /// Reads the fleet and the counts. Slots are read when their hosts are first met.
+    /// Reads the fleet and the replica counts. Slots are read when their hosts are first seen.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
         Ok(rows)
     }
 
-    /// Reads the counts anew.
+    /// Reads the replica counts again.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Whether the fleet's row was changed by another process.
+    /// Whether another process changed the fleet's row.
     ///
     /// # Errors
     ///
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Reads the slots of hosts that were not met before.
+    /// Reads the slots of hosts that are not cached yet.
     ///
     /// # Errors
     ///
@@ -154,7 +154,7 @@
         Ok(())
     }
 
-    /// Reads all slots at once, for a take-over: one read in place of a hundred.
+    /// Reads all slots with one scan, after a lease acquisition: one read instead of a hundred.
     async fn scan_slots<T: TableStore>(
         &mut self,
         table: &T,
@@ -176,11 +176,11 @@
         Ok(())
     }
 
-    /// Commits a step under a lease; the rows then hold what the table holds.
+    /// Commits a step under a lease; the cached rows then match the table.
     ///
     /// # Errors
     ///
-    /// [`StepError`]; after any but a rule's breach the rows must be read anew.
+    /// [`StepError`]; unless it is a violated rule, the rows must be read again.
     pub async fn commit_step<T: TableStore>(
         &mut self,
         table: &T,
@@ -193,7 +193,7 @@
         let key = keys::fleet_key(&self.fabric);
         if let Some(fleet) = &change.fleet {
             let value = to_value(fleet)?;
-            // Nodes follow the head and the mark, which need no content.
+            // Only the versions of the head and the mark matter to other nodes, not their content.
             let mark = json!({ "fabric": self.fabric });
             batch = batch
                 .put(key, expectation(self.fleet.1), value)
@@ -204,9 +204,9 @@
                 )
                 .put(keys::FLEET_HEAD, RowExpectation::Any, mark);
         } else {
-            // A write of one's own whose answer was lost may land between the reads of the fleet
-            // and of a slot. The slot then seems to belong to no replica, and freeing it would
-            // let its host into a second one.
+            // An own write whose response was lost may land between the reads of the fleet and of a
+            // slot. The slot then seems to belong to no replica, and freeing it would let its host
+            // join a second one.
             batch = batch.check(key, expectation(self.fleet.1));
         }
         for (host, slot) in &change.slots {
--- a/crates/control/src/assembly/serving.rs
+++ b/crates/control/src/assembly/serving.rs
@@ -1,4 +1,4 @@
-//! Which replicas stand and serve, and how many of a model may be drained.
+//! Which replicas are active and serving, and how many of a model may be drained.
 
 use std::time::{Duration, Instant};
 
@@ -8,30 +8,30 @@
 use super::rows::FabricRows;
 use crate::view::TargetView;
 
-/// Oldest evidence with which a replica counts as serving; as old as entries trust.
+/// Maximum age of health evidence with which a replica counts as serving; the same as for dispatch.
 const EVIDENCE_LIMIT: Duration = Duration::from_secs(3);
 
-/// Steps in which a model goes over to other replicas where no free hosts are left: in each at most
-/// one part in so many is missing. At 20 a model of up to 20 replicas misses one at a time.
+/// Steps in which a model moves to other replicas when no hosts are free: each step may leave one
+/// in this many replicas missing. With 20, a model of up to 20 replicas misses one at a time.
 const ROLLOUT_STEPS: usize = 20;
 
-/// Replicas of one model over all its versions and all fabric domains.
+/// Replicas of one model over all versions and fabric domains.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ModelCounts {
-    /// Those that stand and do not drain, whether they serve or not.
+    /// Replicas that are planned and not draining, whether they serve or not.
     pub active: usize,
-    /// Those that may be dispatched to.
+    /// Replicas that requests may be dispatched to.
     pub serving: usize,
 }
 
 impl ModelCounts {
-    /// How many replicas may be drained now. `formable` tells whether a wanted replica can be
+    /// How many replicas may be drained now. `formable` tells whether a desired replica can be
     /// formed from free hosts.
     ///
-    /// A record that names a new version makes every replica of the old one a surplus. Drained all
-    /// at once, the model would serve nobody until the new weights are loaded, and its callers be
-    /// refused for minutes. So old ones go as new ones come to serve: none while new ones can be
-    /// formed or load, else a small part at a time.
+    /// A record that names a new version makes every replica of the old one surplus. If all were
+    /// drained at once, the model would serve nobody until the new weights are loaded, and requests
+    /// would be refused for minutes. Old replicas therefore drain as new ones start to serve: none
+    /// while new ones can be formed or are loading, otherwise a small part at a time.
     #[must_use]
     pub fn allowed_drains(&self, desired: usize, formable: bool) -> usize {
         if desired > 0 && (formable || self.active > desired) {
@@ -41,19 +41,19 @@
     }
 }
 
-/// Which replicas stand and serve.
+/// Which replicas are active and serving.
 #[derive(Debug, Clone, Default)]
 pub struct ServingReplicas {
     counts: FastMap<ModelName, ModelCounts>,
-    /// Those that may be dispatched to; none when it is not known, and all count as serving.
+    /// Replicas that requests may be dispatched to; none when unknown, and all count as serving.
     serving: Option<FastSet<ReplicaId>>,
 }
 
 impl ServingReplicas {
-    /// Counts those that stand from the table, and those that serve from this node's targets.
+    /// Counts the active replicas from the table, and the serving ones from this node's targets.
     ///
-    /// The table's count falls with the drain itself, in the same transaction, while the targets
-    /// show it a moment later; so the lower of both counts.
+    /// The table's count drops in the same transaction as a drain, while the targets follow a
+    /// moment later; the lower of both therefore counts.
     #[must_use]
     pub fn new(rows: &FabricRows, targets: Option<&TargetView>, now: Instant) -> Self {
         let mut counts: FastMap<ModelName, ModelCounts> = FastMap::default();
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Counts of one model.
+    /// Counts of one model; zero for an unknown one.
     #[must_use]
     pub fn counts(&self, model: &ModelName) -> ModelCounts {
         self.counts.get(model).copied().unwrap_or_default()
     }
 
-    /// Whether a replica may be dispatched to, as far as this node knows.
+    /// Whether requests may be dispatched to a replica, as far as this node knows.
     #[must_use]
     pub fn serves(&self, replica: &ReplicaId) -> bool {
         self.serving
--- a/crates/control/src/assembly/step.rs
+++ b/crates/control/src/assembly/step.rs
@@ -1,51 +1,51 @@
-//! What the records ask for, and the steps towards it.
+//! The desired state according to the records, and the steps towards it.
 
 use domain::{AdapterName, HostId, ModelName, ReplicaId, VersionName};
 
 use crate::drains::DrainCause;
 
-/// What a model's record asks of one version, and how many replicas stand in all fabric domains.
+/// Desired state of one model version, and its active replicas over all fabric domains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredVersion {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// The version.
+    /// Version of the model.
     pub version: VersionName,
-    /// Replicas wanted.
+    /// Replicas that the model's record asks for.
     pub desired: u32,
-    /// Replicas that stand and do not drain.
+    /// Replicas that are planned and not draining.
     pub active: u32,
-    /// Hosts of one replica.
+    /// Hosts that form one replica.
     pub hosts_per_replica: usize,
     /// Adapters that every replica loads.
     pub adapters: Vec<AdapterName>,
 }
 
-/// One step; each is one transaction.
+/// One step, committed in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AssemblyStep {
-    /// The host reported that it is empty: its slot is free.
+    /// Marks a host's slot as free, because the host reported that it is empty.
     Free(HostId),
-    /// A new replica.
+    /// Creates a replica.
     Form {
         /// Its model, version and adapters.
         version: DesiredVersion,
-        /// Its hosts.
+        /// Its hosts, by rank.
         hosts: Vec<HostId>,
     },
-    /// A new incarnation, with other hosts or with the same after a restart of one.
+    /// Starts a new incarnation, with other hosts or after one of them restarted.
     Reform {
-        /// The replica.
+        /// The replica to change.
         replica: ReplicaId,
-        /// Its hosts from now on.
+        /// Its new hosts, by rank.
         hosts: Vec<HostId>,
-        /// Its adapters from now on.
+        /// Its new adapters.
         adapters: Vec<AdapterName>,
     },
-    /// No new work.
+    /// Stops new work for a replica.
     Drain(ReplicaId, DrainCause),
-    /// New work again.
+    /// Allows new work again.
     Undrain(ReplicaId),
-    /// No more such replica.
+    /// Removes a replica.
     Dissolve(ReplicaId),
 }
--- a/crates/control/src/assembly/step_events.rs
+++ b/crates/control/src/assembly/step_events.rs
@@ -7,19 +7,19 @@
 
 use super::{AssemblyStep, HostHealth};
 
-/// Notes steps that took effect.
+/// Records events for committed steps.
 #[derive(Debug)]
 pub struct StepEvents<'recorder> {
     recorder: &'recorder EventRecorder,
 }
 
 impl<'recorder> StepEvents<'recorder> {
-    /// A journal.
+    /// Records to the given recorder.
     pub fn new(recorder: &'recorder EventRecorder) -> Self {
         Self { recorder }
     }
 
-    /// Notes a step that led from the fleet `before` to the fleet `after`.
+    /// Records a step that changed the fleet from `before` to `after`.
     pub fn record(
         &self,
         step: &AssemblyStep,
@@ -61,7 +61,11 @@
             }
             AssemblyStep::Undrain(replica) => {
                 let subject = EventSubject::replica(replica);
-                record_event(EventCode::ReplicaDraining, subject, "no longer".to_owned());
+                record_event(
+                    EventCode::ReplicaDraining,
+                    subject,
+                    "the drain ended".to_owned(),
+                );
             }
             AssemblyStep::Dissolve(replica) => {
                 self.record_lost_hosts(replica, before, hosts);
--- a/crates/control/src/assembly/supervise.rs
+++ b/crates/control/src/assembly/supervise.rs
@@ -1,4 +1,4 @@
-//! Keeps a lease and a controller for every fabric domain, and the lease of housekeeping.
+//! Runs a lease and a controller for every fabric domain, and the housekeeping lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,21 +18,21 @@
 };
 use crate::members::MemberView;
 
-/// Longest time between two looks at who should start_lease what.
+/// Longest interval between two refreshes of the leases and candidate ranks.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the supervisor goes by.
+/// Inputs of the supervisor.
 #[derive(Debug, Clone)]
 pub struct SupervisorInputs {
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
-    /// The nodes.
+    /// The nodes among which the candidates of a lease are chosen.
     pub members: watch::Receiver<Arc<MemberView>>,
-    /// Limits of the leases.
+    /// Timing of the leases.
     pub leases: LeaseSettings,
-    /// Limits of housekeeping.
+    /// Timing of housekeeping.
     pub housekeeping: HousekeepingSettings,
-    /// Gets the names of the leases that the node holds, at each refresh.
+    /// Receives the names of the leases that this node holds, at each refresh.
     pub held: watch::Sender<Vec<LeaseName>>,
 }
 
@@ -49,7 +49,7 @@
     leases: BTreeMap<LeaseName, LeaseEntry<T>>,
 }
 
-/// Keeps all leases until `stop` completes, and releases those that it holds then.
+/// Runs all leases until `stop` completes, then releases those that are held.
 pub async fn supervise_leases<T: TableStore, E: EnginePort, C: HostChooser>(
     context: AssemblyContext<T, E, C>,
     mut inputs: SupervisorInputs,
@@ -85,7 +85,7 @@
 impl<T: TableStore, E: EnginePort, C: HostChooser> LeaseSupervisor<T, E, C> {
     fn refresh(&mut self) {
         let directory = Arc::clone(&self.context.directory.borrow());
-        // A fabric domain that is listed no longer keeps its controller: it may be dark only.
+        // A fabric domain that is no longer listed keeps its controller: it may only be down.
         for (fabric, region) in directory.fabrics() {
             let Ok(name) = fabric_lease(&fabric) else {
                 continue;
