--- a/crates/control/src/ledger/lookup.rs
+++ b/crates/control/src/ledger/lookup.rs
@@ -1,4 +1,4 @@
-//! Settling a claim by what the service itself tells.
+//! Settling a claim by the result of a look-up at the service.
 
 use domain::{CallClaim, ClaimState};
 use platform::{
@@ -8,21 +8,21 @@
 use super::{CallLedger, ClaimKey, read_claim};
 use crate::token::random_token;
 
-/// Sends of the outcome; the service's books stay, so that a later request tries again.
+/// Sends of the outcome. The service keeps its records, so a later request can try again.
 const COMMIT_ATTEMPTS: u32 = 3;
 
 impl<T: TableStore> CallLedger<T> {
-    /// Records that a service's look-up shows a claimed call as run.
+    /// Records that a look-up at the service shows a claimed call as executed.
     ///
-    /// The claimant's answer was lost, or the claimant died, and its row would say `Claimed` for
-    /// good. A look-up that shows an execution is proof, and the service keeps no call of this key
-    /// but the claimant's. One that shows none proves nothing and must never come here: a paused
-    /// claimant could still send. The claimant's own outcome goes first; it fails on this row's
-    /// newer version and takes the row as it is.
+    /// The claimant's response was lost or the claimant died, so its row would stay `Claimed`
+    /// forever. A look-up that shows an execution is proof, and the service has no call with this
+    /// key but the claimant's. A look-up without an execution proves nothing and must never lead
+    /// here: a paused claimant could still send. The claimant's own write of the outcome fails on
+    /// this row's newer version and accepts the row as it is.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; the claim then stays as it is.
+    /// [`StoreError`]; the claim then stays unchanged.
     pub async fn settle_from_lookup(
         &self,
         key: &ClaimKey,
@@ -46,7 +46,7 @@
         let expect = RowExpectation::Version(version);
         let batch = WriteBatch::new(random_token("found")?).put(key.row(), expect, value);
         match settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await? {
-            // A conflict means that the claimant or another request was faster.
+            // A conflict means that the claimant or another request settled the claim first.
             CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => Ok(()),
         }
     }
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! The ledger of non-idempotent calls: a claim is inserted before a call is sent, once.
+//! The ledger of non-idempotent calls: a claim is inserted, once, before a call is sent.
 //!
-//! Why a call runs at most once. A claim's row is inserted on condition that there is none; only
-//! the task that inserted it gets a [`ClaimTicket`], and it sends once. A row in the state
-//! `Claimed` is never cleaned up and never given to another claimant, however old it is. A row is
-//! free again only in the state `NotRun`, and only the claimant writes that: either it has proof
-//! that no byte reached the target, or the ticket was never handed out. A settled row is cleaned
-//! up after [`crate::housekeeping::HousekeepingSettings::claim_retention_ms`], which is days. A
-//! claimant that was paused for so long holds a ticket far older than
+//! Why a call runs at most once. A claim's row is inserted on condition that it does not exist;
+//! only the task that inserted it gets a [`ClaimTicket`], and it sends once. A row in the state
+//! `Claimed` is never deleted and never given to another claimant, no matter how old it is. A row
+//! can be replaced only in the state `NotRun`, and only the claimant writes that: either it has
+//! proof that no byte reached the target, or the ticket was never handed out. A settled row is
+//! deleted after [`crate::housekeeping::HousekeepingSettings::claim_retention_ms`], which is days.
+//! A claimant that was paused for so long holds a ticket far older than
 //! [`LedgerSettings::send_limit_ms`], which is seconds, and [`ClaimTicket::is_fresh`] stops it on
 //! its own monotonic clock immediately before it sends.
 
@@ -25,32 +25,32 @@
 use outcome::{OutcomeWrite, retry_outcome, withdraw_claim};
 use writer::{EnqueueWrite, LedgerWriter, RowOutcome, RowWrite};
 
-/// Limits of the ledger. Times are in milliseconds.
+/// Batching and timeouts of the ledger. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerSettings {
-    /// Longest time that a claim waits for others to share its transaction.
+    /// Maximum time that a claim waits for others to share its transaction.
     ///
-    /// At 500 payments a second one transaction each would be all that the table takes; 3 ms let
-    /// a few share one and stay unnoticed beside the service's own answer.
+    /// At 500 calls a second, one transaction each would use the table's whole capacity; 3 ms let a
+    /// few share one and are negligible next to the service's own response time.
     #[builder(default = 3)]
     pub batch_delay_ms: u64,
-    /// Most rows of one transaction, so that one lost answer leaves few claims in doubt.
+    /// Maximum rows of one transaction, so that one lost response leaves few claims in doubt.
     #[builder(default = 64)]
     pub batch_rows: usize,
-    /// Transactions under way at once; further claims gather into the next one.
+    /// Transactions in flight; further claims are batched into the next one.
     #[builder(default = 4)]
     pub flights: usize,
-    /// Claims that wait; more are refused at once, since they would only wait in vain.
+    /// Maximum number of queued claims; more are refused at once, since they would time out anyway.
     #[builder(default = 2_048)]
     pub queue_rows: usize,
-    /// Longest wait for a claim; the call is then refused as not run.
+    /// Timeout of a claim; the call is then refused as not run.
     #[builder(default = 3_000)]
     pub claim_timeout_ms: u64,
-    /// Longest wait for an outcome to be written; it is then written in the background.
+    /// Timeout of writing an outcome; the write then continues in the background.
     #[builder(default = 1_000)]
     pub outcome_timeout_ms: u64,
-    /// Oldest ticket with which a call may be sent.
+    /// Maximum age of a ticket with which a call may be sent.
     #[builder(default = 5_000)]
     pub send_limit_ms: u64,
 }
@@ -61,14 +61,15 @@
     }
 }
 
-/// What names a call: the same key of another customer or service is another call.
+/// Identifies a call; the same key of another customer or service is another call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimKey {
-    /// The service.
+    /// The service that is called.
     pub service: ServiceName,
-    /// The customer.
+    /// The customer who calls.
     pub customer: CustomerId,
-    /// SHA-256 of the caller's idempotency key, in hexadecimal, so that any text is a row key.
+    /// SHA-256 of the caller's idempotency key, in hexadecimal, so that any text makes a valid row
+    /// key.
     pub key_hash: String,
 }
 
@@ -84,7 +85,7 @@
     }
 }
 
-/// Leave to send a call once.
+/// Permission to send a call once.
 #[derive(Debug)]
 pub struct ClaimTicket {
     row: String,
@@ -95,24 +96,24 @@
 }
 
 impl ClaimTicket {
-    /// Whether the call may still be sent; ask immediately before the first byte.
+    /// Whether the call may still be sent; check it immediately before the first byte.
     ///
-    /// A process that was frozen between its claim and its send comes back with a ticket whose
-    /// caller has long been told something else. It then settles the claim as not run instead.
+    /// A process that was suspended between its claim and its send resumes with a ticket whose
+    /// caller has long received another response. It then settles the claim as not run instead.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         self.claimed_at.elapsed() <= self.send_limit
     }
 }
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
     /// This node may send the call, once.
     Granted(ClaimTicket),
-    /// The key was used for another body.
+    /// The key was used with another body.
     Reused,
-    /// Another request claimed the call; how far it is.
+    /// Another request claimed the call; this is its current state.
     Existing(CallClaim),
 }
 
@@ -137,13 +138,13 @@
 }
 
 impl<T: TableStore> CallLedger<T> {
-    /// The ledger for a node, with the usual limits. Needs a tokio runtime.
+    /// A ledger with default settings. Needs a tokio runtime.
     #[must_use]
     pub fn new(table: T, node: NodeId) -> Self {
         Self::with_settings(table, node, LedgerSettings::default())
     }
 
-    /// The ledger for a node. Needs a tokio runtime.
+    /// A ledger that claims in the name of `node`. Needs a tokio runtime.
     #[must_use]
     pub fn with_settings(table: T, node: NodeId, settings: LedgerSettings) -> Self {
         let writer = LedgerWriter::new(table.clone(), &node, settings);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Claims a call. Any error means that it must not be sent, and that it was not.
+    /// Claims a call. Any error means that it was not sent and must not be sent.
     ///
     /// # Errors
     ///
@@ -167,9 +168,9 @@
         attempt: AttemptId,
         body_hash: String,
     ) -> Result<ClaimOutcome, StoreError> {
-        // The claim goes on when the caller hangs up in the midst of it: a claim that landed
-        // without anyone to send the call would leave its key unknown for good. The task then
-        // finds nobody to hand the ticket to and withdraws the claim.
+        // The claim continues in its own task if the caller disconnects meanwhile: a claim that is
+        // stored without anyone to send the call would leave its key unknown forever. If nobody
+        // receives the ticket, the task withdraws the claim.
         let (reply, answer) = oneshot::channel();
         let ledger = self.clone();
         tokio::spawn(async move {
@@ -239,8 +240,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; the outcome is then written in the background, and until that is done the
-    /// claim stays as it is, so that the call is never sent again.
+    /// [`StoreError`]; the outcome is then written in the background, and until then the claim
+    /// stays unsettled, so that the call is never sent again.
     pub async fn settle(&self, ticket: ClaimTicket, state: ClaimState) -> Result<(), StoreError> {
         let claim = CallClaim {
             state,
@@ -258,7 +259,7 @@
             Ok(RowOutcome::Written(_)) => Ok(()),
             Ok(RowOutcome::Conflict(row)) if outcome.matches_row(row.as_ref()) => Ok(()),
             Ok(RowOutcome::Conflict(_)) => Err(StoreError::Malformed(
-                "the claim's row was changed by another".to_owned(),
+                "the claim's row was changed by another writer".to_owned(),
             )),
             Err(error) => {
                 tokio::spawn(retry_outcome(self.table.clone(), outcome));
@@ -279,13 +280,15 @@
         };
         match tokio::time::timeout(limit, waiting).await {
             Ok(result) => result,
-            Err(_) => Err(StoreError::AnswerLost("no answer in time".to_owned())),
+            Err(_) => Err(StoreError::AnswerLost(
+                "the ledger write timed out".to_owned(),
+            )),
         }
     }
 }
 
-/// The attempt as it stands in the claim's row: unique even when a node's name and counters come
-/// back after a restart, because a claim is recognised as one's own by it.
+/// The attempt id stored in the claim's row. A claim is recognised as one's own by it, so it must
+/// be unique even when node names and counters repeat after a restart.
 fn unique_attempt(attempt: &AttemptId) -> Result<AttemptId, StoreError> {
     format!("{attempt}.{:016x}", rand::random::<u64>())
         .parse()
--- a/crates/control/src/ledger/outcome.rs
+++ b/crates/control/src/ledger/outcome.rs
@@ -1,4 +1,4 @@
-//! Writes of the ledger that go on in the background until the store takes them.
+//! Background writes of the ledger, retried until the store accepts them.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::backoff::Backoff;
 use crate::token::random_token;
 
-/// First backoff between two tries.
+/// First delay between two tries.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest backoff between two tries: the store may be away for an hour.
+/// Longest delay between two tries: the store may be down for an hour.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// Tries before a write is given up; about a day.
@@ -24,7 +24,7 @@
 /// Sends of one transaction.
 const COMMIT_ATTEMPTS: u32 = 2;
 
-/// The outcome of a call, on its way into the claim's row.
+/// The outcome of a call, to be written into the claim's row.
 #[derive(Debug)]
 pub struct OutcomeWrite {
     pub key: String,
@@ -33,15 +33,16 @@
 }
 
 impl OutcomeWrite {
-    /// Whether a row already holds it. An attempt is unique, so equal content is one's own.
+    /// Whether the row already contains it. An attempt is unique, so an equal row is this one's
+    /// write.
     pub fn matches_row(&self, row: Option<&TableRow>) -> bool {
         row.is_some_and(|row| row.value == self.value)
     }
 }
 
-/// Writes an outcome until it stands or the row is another's.
+/// Writes an outcome until it is stored or the row was changed by another writer.
 ///
-/// The store may be down when a payment's receipt comes. The caller has the receipt, but a later
+/// The store may be down when the call's response arrives. The caller has the response, but a later
 /// request with the same key would get `unknown` as long as the row says `Claimed`.
 pub async fn retry_outcome<T: TableStore>(table: T, outcome: OutcomeWrite) {
     let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
@@ -52,7 +53,7 @@
         };
         let expect = RowExpectation::Version(outcome.version);
         let batch = WriteBatch::new(token).put(outcome.key.clone(), expect, outcome.value.clone());
-        // A conflict means that an earlier send took effect, or that the row is another's.
+        // A conflict means that an earlier send took effect or that another writer changed the row.
         if settled_commit(&table, &batch, COMMIT_ATTEMPTS)
             .await
             .is_ok()
@@ -62,12 +63,11 @@
     }
 }
 
-/// Withdraws a claim that may stand in the table though its call was never sent.
+/// Withdraws a claim that may be stored although its call was never sent.
 ///
-/// The answer to a claim was lost, or its caller hung up before it came. Left alone, the row would
-/// answer every later request with `unknown`. The write may also still be on its way, so an absent
-/// row is not left absent: a row that says `NotRun` takes its place, which the late claim then
-/// fails on.
+/// Either the response to the claim was lost, or its caller disconnected before it. Left alone, the
+/// row would answer every later request with `unknown`. The write may also still be in transit, so
+/// an absent row is replaced by one that says `NotRun`, on which the late claim then fails.
 pub async fn withdraw_claim<T: TableStore>(table: T, key: String, claim: CallClaim) {
     let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
     for _ in 0..MAX_ATTEMPTS {
@@ -89,8 +89,8 @@
             let current: CallClaim = serde_json::from_value(row.value)
                 .map_err(|error| StoreError::Malformed(error.to_string()))?;
             let own = current.attempt == claim.attempt;
-            // A free row of another attempt is one that the claim may still replace, so it is
-            // written anew; any other row of another attempt is one that the claim fails on.
+            // The claim may still replace a `NotRun` row of another attempt, so that row is written
+            // again; it fails on any other row of another attempt.
             let done = match current.state {
                 ClaimState::NotRun => own,
                 ClaimState::Claimed => !own,
--- a/crates/control/src/ledger/writer.rs
+++ b/crates/control/src/ledger/writer.rs
@@ -1,4 +1,4 @@
-//! Many rows of the ledger in one transaction.
+//! Batching of the ledger's writes into transactions.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 /// Sends of one transaction before its rows are reported as in doubt.
 const COMMIT_ATTEMPTS: u32 = 3;
 
-/// When to come back while the queue is full.
+/// Retry delay suggested while the queue is full.
 const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// One conditional write of one row.
@@ -28,33 +28,33 @@
     pub value: Value,
 }
 
-/// What became of a row.
+/// Result of a row's write.
 #[derive(Debug)]
 pub enum RowOutcome {
     /// It is written with this version.
     Written(RowVersion),
-    /// It is as another writer left it; none when there is no such row.
+    /// Another writer changed it; none when the row does not exist.
     Conflict(Option<TableRow>),
 }
 
 type RowReply = oneshot::Sender<Result<RowOutcome, StoreError>>;
 
-/// Asks for a row to be written with the next transaction.
+/// Queues a row for the next transaction.
 pub struct EnqueueWrite {
     pub write: RowWrite,
     pub reply: RowReply,
 }
 
-/// The oldest waiting row has waited long enough.
+/// The oldest queued row has reached the batch delay.
 struct FlushQueue;
 
-/// A transaction ended.
+/// A transaction completed.
 struct CommitFinished;
 
-/// Gathers rows for a few milliseconds and commits them together.
+/// Collects rows for a few milliseconds and commits them together.
 ///
-/// The table takes several hundred transactions a second for the whole system. With one a claim,
-/// a morning's rush of payments would hold up leases and configuration behind it.
+/// The table handles several hundred transactions a second for the whole system. With one a claim,
+/// a burst of calls in the morning would delay leases and configuration.
 #[derive(xtra::Actor)]
 pub struct LedgerWriter<T> {
     table: T,
@@ -67,7 +67,7 @@
 }
 
 impl<T: TableStore> LedgerWriter<T> {
-    /// A writer; its tokens are unique even when the node's name comes back after a restart.
+    /// A writer; its tokens are unique even if the node's name is reused after a restart.
     pub fn new(table: T, node: &NodeId, settings: LedgerSettings) -> Self {
         Self {
             table,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Rows for one transaction. A row that is already among them waits for the next one: in one
-    /// transaction two claims of one key would both find it absent, and the payment would be made
+    /// Takes the rows of one transaction. A second row with the same key waits for the next one: in
+    /// one transaction two claims of one key would both find it absent, and the call would run
     /// twice.
     fn take_rows(&mut self) -> Vec<EnqueueWrite> {
         let mut taken: Vec<EnqueueWrite> = Vec::new();
@@ -108,7 +108,10 @@
             let address = ctx.mailbox().address();
             tokio::spawn(async move {
                 commit_rows(&table, &prefix, rows).await;
-                log_skipped("end flight", address.send(CommitFinished).detach().await);
+                log_skipped(
+                    "report completed commit",
+                    address.send(CommitFinished).detach().await,
+                );
             });
         }
     }
@@ -122,7 +125,7 @@
         let address = ctx.mailbox().address();
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            log_skipped("flush rows", address.send(FlushQueue).detach().await);
+            log_skipped("flush queued rows", address.send(FlushQueue).detach().await);
         });
     }
 }
@@ -166,8 +169,8 @@
     }
 }
 
-/// Commits rows together; rows that conflict are answered and the others sent again without them,
-/// so that one reused key does not fail the payments that happened to share its transaction.
+/// Commits rows together; conflicting rows are answered and the others sent again without them, so
+/// that one reused key does not fail the calls that share its transaction.
 async fn commit_rows<T: TableStore>(table: &T, prefix: &str, mut rows: Vec<EnqueueWrite>) {
     let mut attempt = 0_u32;
     loop {
@@ -196,7 +199,7 @@
     }
 }
 
-/// Answers the rows that conflict and returns the others.
+/// Answers the conflicting rows and returns the others.
 fn reply_to_conflicts(rows: Vec<EnqueueWrite>, conflicts: &[RowConflict]) -> Vec<EnqueueWrite> {
     let count = rows.len();
     let mut remaining = Vec::with_capacity(count);
@@ -216,7 +219,7 @@
         return remaining;
     }
     for row in remaining {
-        let text = "a conflict on a row that was not written".to_owned();
+        let text = "the table reported a conflict on a row outside the batch".to_owned();
         let _ = row.reply.send(Err(StoreError::Malformed(text)));
     }
     Vec::new()
