--- a/crates/serving/src/plan/replica_status.rs
+++ b/crates/serving/src/plan/replica_status.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// What the plan makes of an existing replica.
+/// Status of an existing replica, which decides what the plan does with its hosts.
 pub(super) enum ReplicaStatus {
     /// It serves and should continue.
     Serving,
