--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -1,4 +1,4 @@
-//! How models spread over fabric domains.
+//! Layout of models over fabric domains.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,12 +24,12 @@
 
 fn domains(sizes: &[usize]) -> BTreeMap<FabricId, FabricCapacity> {
     let named = sizes.iter().enumerate();
-    let room = |size: &usize| FabricCapacity {
+    let capacity = |size: &usize| FabricCapacity {
         hosts: *size,
         ..FabricCapacity::default()
     };
     named
-        .map(|(index, size)| (fabric(index), room(size)))
+        .map(|(index, size)| (fabric(index), capacity(size)))
         .collect()
 }
 
@@ -39,8 +39,8 @@
     layout[&fabric].get(&model).copied().unwrap_or(0)
 }
 
-/// Six domains of eight hosts: each gets one replica of either model and keeps two spares. A
-/// domain without a spare would lose a replica for the time of a whole load with each host.
+/// In domains of eight hosts each model gets one replica and two hosts stay spare. Without spares,
+/// each lost host would cost a replica for the time of a whole load.
 #[test]
 fn even_domains() {
     let models = [model("large", 4, 0.67), model("small", 2, 0.33)];
@@ -52,7 +52,7 @@
     }
 }
 
-/// Domains of nineteen hosts have room for more than one of each, and still keep spares.
+/// Domains of nineteen hosts have room for more replicas, and still keep spares.
 #[test]
 fn large_domains() {
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
@@ -66,18 +66,18 @@
     }
 }
 
-/// A domain with fewer hosts than a replica has must not be counted on.
+/// A domain with fewer hosts than a replica needs gets none.
 #[test]
-fn small_domain_left() {
+fn small_domain_skipped() {
     let models = [model("large", 4, 1.0)];
     let layout = compute_layout(&domains(&[3, 4]), &models);
     assert_eq!(count(&layout, "f0", "large"), 0);
     assert_eq!(count(&layout, "f1", "large"), 1);
 }
 
-/// The larger of two models with equal shares had no replica in a sixth of the domains: small
-/// replicas went where most hosts were left until it found no room there, and its callers waited at
-/// the others.
+/// The larger of two models with equal shares must get a replica in each domain. It had none in a
+/// sixth of the domains: small replicas were placed where most hosts were free until it no longer
+/// fit, and its callers waited at the other domains.
 #[test]
 fn large_model_placed() {
     let models = [model("large", 16, 0.5), model("small", 4, 0.5)];
@@ -87,50 +87,57 @@
     }
 }
 
-/// Two of four domains have the large model. Where it is wanted must not move when a host is lost: its
-/// old place would be given to small replicas and the new one has to load it.
+/// Two of four domains have the large model in memory. The loss of a host must not move it: its
+/// hosts would be given to small replicas, and the new domain would have to load it.
 #[test]
-fn places_kept() {
+fn loaded_models_stay() {
     let models = [model("large", 16, 0.5), model("small", 4, 0.5)];
     let name = models[0].name.clone();
     for lost in 0..4 {
-        let mut rooms = domains(&[20; 4]);
+        let mut capacities = domains(&[20; 4]);
         for index in [1, 3] {
-            let room = rooms.get_mut(&fabric(index)).expect("a domain");
-            room.loaded.insert(name.clone(), 16);
+            let capacity = capacities.get_mut(&fabric(index)).expect("a domain");
+            capacity.loaded.insert(name.clone(), 16);
         }
-        rooms.get_mut(&fabric(lost)).expect("a domain").hosts -= 1;
-        let layout = compute_layout(&rooms, &models);
-        let held = [0, 1, 2, 3].map(|index| count(&layout, &format!("f{index}"), "large"));
-        assert_eq!(held, [0, 1, 0, 1], "a host of f{lost} is lost");
+        capacities.get_mut(&fabric(lost)).expect("a domain").hosts -= 1;
+        let layout = compute_layout(&capacities, &models);
+        let placed = [0, 1, 2, 3].map(|index| count(&layout, &format!("f{index}"), "large"));
+        assert_eq!(placed, [0, 1, 0, 1], "a host of f{lost} is lost");
     }
 }
 
-/// Whether a domain could hold a replica more of `recipient` in place of some of `donor`, and `donor` would
-/// still have at least as many hosts for its share.
-fn could_give(
-    rooms: &BTreeMap<FabricId, FabricCapacity>,
+/// Returns whether a domain could have one more replica of `recipient` in place of some of `donor`,
+/// with `donor` keeping at least as much coverage.
+fn can_rebalance(
+    capacities: &BTreeMap<FabricId, FabricCapacity>,
     layout: &FabricLayout,
     recipient: &ModelConfig,
     donor: &ModelConfig,
 ) -> bool {
-    let held = |fabric: &FabricId, model: &ModelConfig| {
+    let placed_in = |fabric: &FabricId, model: &ModelConfig| {
         layout[fabric].get(&model.name).copied().unwrap_or(0)
     };
-    let cover = |model: &ModelConfig, more: i32| {
-        let placed: usize = layout.keys().map(|fabric| held(fabric, model)).sum();
+    let coverage = |model: &ModelConfig, more: i32| {
+        let placed: usize = layout.keys().map(|fabric| placed_in(fabric, model)).sum();
         let placed = i32::try_from(placed).expect("few replicas") + more;
         let size = i32::try_from(model.size).expect("few hosts");
         f64::from(placed * size) / model.share
     };
-    for (fabric, room) in rooms {
-        // Beside one that it has, a further replica of a model leaves a spare for each model.
-        let spares = if held(fabric, recipient) > 0 { 2 } else { 0 };
-        let used = held(fabric, recipient) * recipient.size + held(fabric, donor) * donor.size;
-        let missing = (recipient.size + spares).saturating_sub(room.hosts - used);
-        let given = missing.div_ceil(donor.size);
-        let given_signed = i32::try_from(given).expect("few replicas");
-        if given <= held(fabric, donor) && cover(donor, -given_signed) >= cover(recipient, 1) {
+    for (fabric, capacity) in capacities {
+        // A further replica of a model in the same domain leaves a spare for each model.
+        let spares = if placed_in(fabric, recipient) > 0 {
+            2
+        } else {
+            0
+        };
+        let used =
+            placed_in(fabric, recipient) * recipient.size + placed_in(fabric, donor) * donor.size;
+        let missing = (recipient.size + spares).saturating_sub(capacity.hosts - used);
+        let released = missing.div_ceil(donor.size);
+        let released_signed = i32::try_from(released).expect("few replicas");
+        if released <= placed_in(fabric, donor)
+            && coverage(donor, -released_signed) >= coverage(recipient, 1)
+        {
             return true;
         }
     }
@@ -138,8 +145,8 @@
 }
 
 properties! {
-    /// No domain is promised more hosts than it has.
-    fn never_over(sizes: Vec<u8>, first: u8, second: u8) -> bool {
+    /// No layout uses more hosts of a domain than it has.
+    fn capacity_never_exceeded(sizes: Vec<u8>, first: u8, second: u8) -> bool {
         let sizes: Vec<usize> = sizes.into_iter().take(12).map(usize::from).collect();
         let models = [
             model("one", usize::from(first % 9), 0.6),
@@ -156,7 +163,8 @@
         })
     }
 
-    /// Whatever the sizes and shares, no model is left with less while another has room to give.
+    /// Whatever the sizes and shares, no model is left with low coverage while another can give up
+    /// replicas for it.
     fn no_model_starved(sizes: Vec<u8>, first: u8, second: u8, share: u8) -> bool {
         let sizes = sizes.into_iter().take(8);
         let sizes: Vec<usize> = sizes.map(|size| usize::from(size % 48)).collect();
@@ -167,7 +175,7 @@
         ];
         let hosts = domains(&sizes);
         let layout = compute_layout(&hosts, &models);
-        !could_give(&hosts, &layout, &models[0], &models[1])
-            && !could_give(&hosts, &layout, &models[1], &models[0])
+        !can_rebalance(&hosts, &layout, &models[0], &models[1])
+            && !can_rebalance(&hosts, &layout, &models[1], &models[0])
     }
 }
--- a/crates/serving/tests/plan/fabric_plan.rs
+++ b/crates/serving/tests/plan/fabric_plan.rs
@@ -1,4 +1,4 @@
-//! Which replicas are opened, closed, formed and prepared for.
+//! Steps for a fabric domain: which replicas are opened, closed and formed, and which spares load.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 use serving::MemberState;
 use serving::plan::{CloseMode, HostLifecycle, HostState, PlanStep};
 
-use crate::kit::{Domain, LONG, formed, host, large_replica, member, warm};
+use crate::fixtures::{Domain, LONG_AGO, formed, host, large_replica, member, warm};
 
-fn closed(steps: &[PlanStep]) -> Option<CloseMode> {
+/// Returns the mode in which the first replica is closed, if any is.
+fn close_mode(steps: &[PlanStep]) -> Option<CloseMode> {
     steps.iter().find_map(|step| match step {
         PlanStep::Close { mode, .. } => Some(*mode),
         _ => None,
@@ -23,123 +24,125 @@
 }
 
 #[test]
-fn whole_replica_stays() {
-    let steps = Domain::of(large_replica(MemberState::Open)).plan();
+fn intact_replica_needs_no_step() {
+    let steps = Domain::new(large_replica(MemberState::Open)).plan();
     assert_eq!(steps, Vec::new());
 }
 
-/// A member still loads its weights when the head is ready. Opened now, the replica would take a
-/// trader's request that one of its hosts can't work on.
+/// While a member still loads its weights, the replica must not open, or it would accept requests
+/// that one of its hosts can't work on.
 #[test]
-fn open_waits_for_all() {
+fn open_waits_for_all_members() {
     let mut hosts = large_replica(MemberState::Ready);
     hosts[2] = member("c", "large", "r-1", 2, MemberState::Joining);
-    assert!(!opens(&Domain::of(hosts).plan()));
-    assert!(opens(&Domain::of(large_replica(MemberState::Ready)).plan()));
+    assert!(!opens(&Domain::new(hosts).plan()));
+    assert!(opens(
+        &Domain::new(large_replica(MemberState::Ready)).plan()
+    ));
 }
 
-/// A replica was closed because a host was lost, and the registry still names that host. Opened
-/// again, it would accept requests and move none of them.
+/// A replica was closed because a host was lost, and the registry still lists that host. If it were
+/// opened again, it would accept requests that make no progress.
 #[test]
-fn spent_replica_stays_shut() {
-    let steps = Domain::of(large_replica(MemberState::Ready))
-        .spent("r-1")
+fn closed_replica_not_reopened() {
+    let steps = Domain::new(large_replica(MemberState::Ready))
+        .never_reopen("r-1")
         .plan();
     assert!(!opens(&steps), "{steps:?}");
 }
 
-/// One member dies and a spare holds the weights. Callers of the replica see their streams stop;
-/// the three that are left and the spare serve again within a second.
+/// If a member is lost and a spare has the weights, the remaining members and the spare form a new
+/// replica, so that callers whose streams stopped are served again within a second.
 #[test]
 fn lost_member_replaced() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[1].silent_for = Some(Duration::ZERO);
     hosts.push(warm("s", "large"));
-    let steps = Domain::of(hosts).plan();
+    let steps = Domain::new(hosts).plan();
     assert_eq!(formed(&steps), [["a", "c", "d", "s"]]);
 }
 
-/// One member dies and nobody can replace it. The head goes on accepting requests that never
-/// move; it is told to cancel them, so their callers are told at once.
+/// If a member is lost and no host can replace it, the head keeps accepting requests that make no
+/// progress. It is told to cancel them, so that their callers get an answer at once.
 #[test]
-fn lost_member_unreplaced() {
+fn irreplaceable_member_closes() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[1].silent_for = Some(Duration::ZERO);
-    let steps = Domain::of(hosts).plan();
-    assert_eq!(closed(&steps), Some(CloseMode::Cancel));
+    let steps = Domain::new(hosts).plan();
+    assert_eq!(close_mode(&steps), Some(CloseMode::Cancel));
     assert!(formed(&steps).is_empty());
 }
 
-/// The head itself stops answering. For a moment it may only be slow, so nothing is done; then
-/// its members and a spare serve without it.
+/// A head that stops answering may only be slow, so there is no step at first. After the timeout
+/// its members and a spare form a new replica without it.
 #[test]
-fn dead_head_replaced() {
+fn silent_head_replaced() {
     let mut hosts = large_replica(MemberState::Open);
     hosts.push(warm("s", "large"));
     hosts[0].silent_for = Some(Duration::from_millis(100));
-    assert!(formed(&Domain::of(hosts.clone()).plan()).is_empty());
+    assert!(formed(&Domain::new(hosts.clone()).plan()).is_empty());
     hosts[0].silent_for = Some(Duration::from_millis(500));
-    assert_eq!(formed(&Domain::of(hosts).plan()), [["b", "c", "d", "s"]]);
+    assert_eq!(formed(&Domain::new(hosts).plan()), [["b", "c", "d", "s"]]);
 }
 
-/// A member is about to leave. Its replica ends what runs instead of dying with it.
+/// If a member drains, its replica completes its requests before the member leaves.
 #[test]
-fn leaving_member_closes() {
+fn draining_member_closes() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[3].lifecycle = HostLifecycle::Draining;
-    let steps = Domain::of(hosts).plan();
-    assert_eq!(closed(&steps), Some(CloseMode::Wait));
+    let steps = Domain::new(hosts).plan();
+    assert_eq!(close_mode(&steps), Some(CloseMode::Wait));
 }
 
-/// A member is cut off from the registry and works on. Its replica serves as before; taken apart,
-/// its callers would lose their streams for nothing. No new replica is built on such a host.
+/// A member that is cut off from the registry still works, so its replica keeps serving; to close
+/// it would cut off streams for no reason. Such a host does not join a new replica.
 #[test]
 fn unlisted_member_kept() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[2].lifecycle = HostLifecycle::Unlisted;
     hosts.push(warm("s", "large"));
-    assert_eq!(Domain::of(hosts).plan(), Vec::new());
+    assert_eq!(Domain::new(hosts).plan(), Vec::new());
     let mut spares: Vec<HostState> = ["p", "q", "r", "s"]
         .iter()
         .map(|id| warm(id, "large"))
         .collect();
     spares[0].lifecycle = HostLifecycle::Unlisted;
-    assert!(formed(&Domain::of(spares).plan()).is_empty());
+    assert!(formed(&Domain::new(spares).plan()).is_empty());
 }
 
-/// The registry names a head no more, and it answers: it leaves without a word and ends what it
-/// took. Nobody takes its members, and it is told to take nothing new.
+/// A head that is no longer in the registry but answers is leaving unannounced and completes its
+/// requests. It is closed, and until then its members stay with it.
 #[test]
-fn unlisted_head_ends() {
+fn unlisted_head_closes() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[0].lifecycle = HostLifecycle::Unlisted;
     hosts.push(warm("e", "large"));
-    let steps = Domain::of(hosts.clone()).plan();
-    assert_eq!(closed(&steps), Some(CloseMode::Wait));
+    let steps = Domain::new(hosts.clone()).plan();
+    assert_eq!(close_mode(&steps), Some(CloseMode::Wait));
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
-    // Once it is done, the spare takes its place.
+    // Once the head is gone, the spare replaces it.
     hosts.remove(0);
-    let steps = Domain::of(hosts).spent("r-1").plan();
+    let steps = Domain::new(hosts).never_reopen("r-1").plan();
     assert_eq!(formed(&steps), [["b", "c", "d", "e"]]);
 }
 
-/// A head that leaves takes no connections any more and still ends what it took. An order would be
-/// refused, and its members are not given to others under its streams.
+/// A retired head accepts no connections and still completes its requests. It would refuse an
+/// order, and its members must not join other replicas while its streams run.
 #[test]
 fn retired_head_left_alone() {
     let mut hosts = large_replica(MemberState::Open);
     hosts[0].lifecycle = HostLifecycle::Retired;
     hosts.push(warm("e", "large"));
-    let steps = Domain::of(hosts).plan();
-    assert_eq!(closed(&steps), None);
+    let steps = Domain::new(hosts).plan();
+    assert_eq!(close_mode(&steps), None);
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
 }
 
-/// A replica of the large model ends because one of its hosts leaves, and two spares have both models.
-/// With both in a replica of the small model at once, the three hosts that stay would
-/// serve nobody: callers of the large model were refused for as long as no new host came.
+/// A replica of the large model closes because one of its hosts drains, and two spares have both
+/// models. When both spares formed a replica of the small model at once, the three remaining hosts
+/// stayed idle, and callers of the large model were refused until a new host came.
 #[test]
-fn successor_keeps_spare() {
+fn spare_reserved_for_successor() {
     for state in [MemberState::Open, MemberState::Closing] {
         let mut hosts = large_replica(state);
         hosts[2].lifecycle = HostLifecycle::Draining;
@@ -149,13 +152,13 @@
             spare.staged.push("large".parse().expect("a model"));
             hosts.push(spare);
         }
-        let steps = Domain::of(hosts).plan();
+        let steps = Domain::new(hosts).plan();
         assert_eq!(formed(&steps), Vec::<Vec<&str>>::new(), "{state:?}");
     }
 }
 
-/// Some joins of a new replica are done, others are on their way. Another node that takes these
-/// hosts now would break up what is about to serve.
+/// Some members of a new replica have joined, and orders to the others are in flight. Another node
+/// must not use these hosts now, or it would break up a replica that is about to serve.
 #[test]
 fn forming_replica_left_alone() {
     let mut hosts = large_replica(MemberState::Joining);
@@ -164,24 +167,24 @@
         host.unchanged_for = Duration::from_millis(50);
     }
     hosts.extend([warm("s", "large"), warm("t", "large")]);
-    let steps = Domain::of(hosts.clone()).plan();
+    let steps = Domain::new(hosts.clone()).plan();
     assert!(formed(&steps).is_empty(), "{steps:?}");
-    // Whoever formed it died: the hosts are used after a while.
+    // If the node that formed it has failed, the hosts are used after a timeout.
     for host in &mut hosts[..2] {
-        host.unchanged_for = LONG;
+        host.unchanged_for = LONG_AGO;
         if let Some(membership) = &mut host.membership {
             membership.state = MemberState::Ready;
         }
     }
-    assert_eq!(formed(&Domain::of(hosts).plan()).len(), 1);
+    assert_eq!(formed(&Domain::new(hosts).plan()).len(), 1);
 }
 
 /// All hosts are empty when the system starts. Both models get their replica, and the last two
 /// hosts become one spare for each.
 #[test]
-fn first_start_fills() {
+fn first_start_uses_all_hosts() {
     let hosts = (0..8).map(|index| host(&format!("h{index}"))).collect();
-    let steps = Domain::of(hosts).loading().plan();
+    let steps = Domain::new(hosts).loading().plan();
     assert_eq!(formed(&steps).len(), 2);
     let warmed: Vec<&str> = steps
         .iter()
@@ -193,23 +196,23 @@
     assert_eq!(warmed, ["large", "small"]);
 }
 
-/// An empty host comes during the day. A replica that waited for it would wait for a load of many
-/// seconds; it becomes a spare first.
+/// An empty host that comes later first loads a model as a spare. A replica with it would have to
+/// wait many seconds for that load.
 #[test]
 fn empty_host_warmed() {
     let mut hosts = large_replica(MemberState::Open);
     hosts.push(host("new"));
-    let steps = Domain::of(hosts).plan();
+    let steps = Domain::new(hosts).plan();
     assert!(formed(&steps).is_empty());
     assert!(matches!(steps.as_slice(), [PlanStep::Warm { .. }]));
 }
 
 properties! {
-    /// Whatever the hosts report, no host is in two steps, and no member of a replica that serves
-    /// whole is in any.
+    /// Whatever the hosts report, no host is in two steps, and no member of an intact serving
+    /// replica is in any.
     fn steps_share_no_host(states: Vec<(u8, u8, bool, bool)>) -> bool {
         let mut hosts = large_replica(MemberState::Open);
-        for (index, (kind, rank, silent, leaving)) in states.into_iter().take(12).enumerate() {
+        for (index, (kind, rank, silent, draining)) in states.into_iter().take(12).enumerate() {
             let id = format!("x{index}");
             let states = [
                 MemberState::Joining,
@@ -226,14 +229,14 @@
                 _ => member(&id, "large", &replica, u32::from(rank % 5), states[usize::from(rank % 5)]),
             };
             host.silent_for = silent.then_some(Duration::from_secs(1));
-            host.lifecycle = if leaving {
+            host.lifecycle = if draining {
                 HostLifecycle::Draining
             } else {
                 HostLifecycle::Active
             };
             hosts.push(host);
         }
-        let steps = Domain::of(hosts).loading().plan();
+        let steps = Domain::new(hosts).loading().plan();
         let mut seen: FastSet<HostId> = FastSet::default();
         for step in &steps {
             for host in step.hosts() {
--- a/crates/serving/tests/plan/fixtures.rs
+++ b/crates/serving/tests/plan/fixtures.rs
@@ -1,4 +1,4 @@
-//! Hosts of one fabric domain, and plans for them.
+//! Fixtures: hosts of one fabric domain, and plans for them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,8 @@
 use serving::plan::{FabricState, HostLifecycle, HostState, PlanStep, plan_fabric};
 use serving::{MemberState, ModelConfig, ReplicaMembership};
 
-pub const LONG: Duration = Duration::from_mins(1);
+/// Age of a membership after which nothing about it is pending.
+pub const LONG_AGO: Duration = Duration::from_mins(1);
 
 pub fn model(name: &str, size: usize, share: f64) -> ModelConfig {
     ModelConfig {
@@ -23,6 +24,7 @@
     vec![model("large", 4, 0.67), model("small", 2, 0.33)]
 }
 
+/// An active host without weights.
 pub fn host(id: &str) -> HostState {
     HostState {
         id: id.parse().expect("a host"),
@@ -33,10 +35,11 @@
         staged: Vec::new(),
         staging: None,
         membership: None,
-        unchanged_for: LONG,
+        unchanged_for: LONG_AGO,
     }
 }
 
+/// A host with a model in memory, in no replica.
 pub fn warm(id: &str, model: &str) -> HostState {
     let name: ModelName = model.parse().expect("a model");
     HostState {
@@ -58,7 +61,7 @@
     }
 }
 
-/// Four members of the large model; the head in `state`.
+/// The four members of a replica of the large model, with the head in `state`.
 pub fn large_replica(state: MemberState) -> Vec<HostState> {
     vec![
         member("a", "large", "r-1", 0, state),
@@ -68,37 +71,39 @@
     ]
 }
 
+/// A fabric domain in which one replica of each model is desired.
 pub struct Domain {
     hosts: Vec<HostState>,
-    wanted: BTreeMap<ModelName, usize>,
-    spent: FastSet<(ReplicaId, u64)>,
-    pub fleet: FastMap<ModelName, usize>,
-    may_load: bool,
+    desired: BTreeMap<ModelName, usize>,
+    never_reopen: FastSet<(ReplicaId, u64)>,
+    pub fleet_replicas: FastMap<ModelName, usize>,
+    may_load_members: bool,
     may_stage: bool,
 }
 
 impl Domain {
-    pub fn of(hosts: Vec<HostState>) -> Self {
-        let mut wanted = BTreeMap::new();
-        wanted.insert("large".parse().expect("a model"), 1);
-        wanted.insert("small".parse().expect("a model"), 1);
+    pub fn new(hosts: Vec<HostState>) -> Self {
+        let mut desired = BTreeMap::new();
+        desired.insert("large".parse().expect("a model"), 1);
+        desired.insert("small".parse().expect("a model"), 1);
         Self {
             hosts,
-            wanted,
-            spent: FastSet::default(),
-            fleet: FastMap::default(),
-            may_load: false,
+            desired,
+            never_reopen: FastSet::default(),
+            fleet_replicas: FastMap::default(),
+            may_load_members: false,
             may_stage: false,
         }
     }
 
-    pub fn spent(mut self, replica: &str) -> Self {
-        self.spent.insert((replica.parse().expect("a replica"), 7));
+    pub fn never_reopen(mut self, replica: &str) -> Self {
+        self.never_reopen
+            .insert((replica.parse().expect("a replica"), 7));
         self
     }
 
     pub fn loading(mut self) -> Self {
-        self.may_load = true;
+        self.may_load_members = true;
         self
     }
 
@@ -110,17 +115,18 @@
     pub fn plan(&self) -> Vec<PlanStep> {
         plan_fabric(&FabricState {
             models: &models(),
-            desired: &self.wanted,
+            desired: &self.desired,
             hosts: &self.hosts,
-            fleet_replicas: &self.fleet,
-            never_reopen: &self.spent,
-            may_load_members: self.may_load,
+            fleet_replicas: &self.fleet_replicas,
+            never_reopen: &self.never_reopen,
+            may_load_members: self.may_load_members,
             may_stage: self.may_stage,
         })
         .steps
     }
 }
 
+/// Returns the members of each replica that the steps form.
 pub fn formed(steps: &[PlanStep]) -> Vec<Vec<&str>> {
     let mut formed = Vec::new();
     for step in steps {
--- a/crates/serving/tests/plan/main.rs
+++ b/crates/serving/tests/plan/main.rs
@@ -1,7 +1,7 @@
-//! Which hosts form which replicas; one module a feature.
+//! Planning of replicas, with one module per topic.
 
 mod fabric_layout;
 mod fabric_plan;
-mod fair_repair;
-mod kit;
+mod fixtures;
+mod rebalancing;
 mod staged_hosts;
--- a/crates/serving/tests/plan/rebalancing.rs
+++ b/crates/serving/tests/plan/rebalancing.rs
@@ -1,7 +1,7 @@
-//! What a model that lacks replicas gets back from one that has room to give.
+//! Rebalancing of hosts between models.
 //!
-//! The load: hosts of replicas are lost every few seconds and come back empty many seconds later, so
-//! the hosts that are there must serve the model that has least.
+//! The scenario is that hosts of replicas are lost every few seconds and come back empty many
+//! seconds later, so the remaining hosts must serve the models with the lowest coverage.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 };
 use serving::{MemberState, ModelConfig, ReplicaMembership};
 
-use crate::kit::{Domain, LONG, formed, member, model, warm};
+use crate::fixtures::{Domain, LONG_AGO, formed, member, model, warm};
 
-fn with_both(mut host: HostState) -> HostState {
+fn staging_both(mut host: HostState) -> HostState {
     host.staged = vec![
         "large".parse().expect("a model"),
         "small".parse().expect("a model"),
@@ -23,23 +23,25 @@
     host
 }
 
-/// A domain whose large replica lost a host, between two small replicas of which one is wanted.
-fn short_domain() -> Vec<HostState> {
+/// A domain with the three remaining hosts of a large replica, and two small replicas of which one
+/// is desired.
+fn degraded_domain() -> Vec<HostState> {
     let mut hosts: Vec<HostState> = ["x", "y", "z"].iter().map(|id| warm(id, "large")).collect();
     for (replica, [head, other]) in [("r-1", ["a", "b"]), ("r-2", ["c", "d"])] {
         hosts.push(member(head, "small", replica, 0, MemberState::Open));
         hosts.push(member(other, "small", replica, 1, MemberState::Ready));
     }
-    hosts.into_iter().map(with_both).collect()
+    hosts.into_iter().map(staging_both).collect()
 }
 
-fn fleet(mut domain: Domain, large: usize, small: usize) -> Domain {
+fn with_fleet(mut domain: Domain, large: usize, small: usize) -> Domain {
     let name = |name: &str| name.parse().expect("a model");
-    domain.fleet.insert(name("large"), large);
-    domain.fleet.insert(name("small"), small);
+    domain.fleet_replicas.insert(name("large"), large);
+    domain.fleet_replicas.insert(name("small"), small);
     domain
 }
 
+/// Returns the replicas that the steps give up.
 fn yielded(steps: &[PlanStep]) -> Vec<&str> {
     let mut yielded = Vec::new();
     for step in steps {
@@ -50,36 +52,36 @@
     yielded
 }
 
-/// Callers of the large model waited seconds beside small replicas that stood half idle: three hosts
-/// of a large replica were left over, and no serving replica ever gave up the fourth.
+/// Three hosts of a large replica were left over, and no serving small replica gave up the fourth.
+/// So callers of the large model waited for seconds while small replicas were half idle.
 #[test]
-fn surplus_given_back() {
-    let steps = fleet(Domain::of(short_domain()), 2, 12).plan();
+fn surplus_replica_yields() {
+    let steps = with_fleet(Domain::new(degraded_domain()), 2, 12).plan();
     assert_eq!(yielded(&steps), ["r-1"]);
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
 }
 
-/// What a replica that ends will leave is enough; a second one is not given up for the same lack.
+/// Hosts of a replica that is already closing count as available, so no second replica is given up.
 #[test]
-fn one_is_enough() {
-    let mut hosts = short_domain();
+fn closing_replica_counted() {
+    let mut hosts = degraded_domain();
     for host in &mut hosts[3..5] {
         host.unchanged_for = std::time::Duration::from_millis(100);
     }
     if let Some(membership) = &mut hosts[3].membership {
         membership.state = MemberState::Closing;
     }
-    let steps = fleet(Domain::of(hosts), 2, 11).plan();
+    let steps = with_fleet(Domain::new(hosts), 2, 11).plan();
     assert_eq!(yielded(&steps), Vec::<&str>::new());
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
 }
 
-/// Hosts that join a replica name no model meanwhile. When its formation failed, four replicas that
-/// served were given up for hosts that were there.
+/// Hosts that join a replica report no model meanwhile but count as available. When they were not
+/// counted, a failed formation made four serving replicas be given up for hosts that were there.
 #[test]
 fn joining_hosts_counted() {
-    let mut hosts = short_domain();
-    hosts.push(with_both(warm("w", "large")));
+    let mut hosts = degraded_domain();
+    hosts.push(staging_both(warm("w", "large")));
     for (rank, host) in (0..).zip([0, 1, 2, 7]) {
         let joining = member("j", "large", "r-9", rank, MemberState::Joining);
         hosts[host].membership = joining.membership;
@@ -87,24 +89,24 @@
         hosts[host].staged = vec!["small".parse().expect("a model")];
     }
     hosts.remove(0);
-    hosts.push(with_both(warm("v", "large")));
-    let steps = fleet(Domain::of(hosts), 2, 12).plan();
+    hosts.push(staging_both(warm("v", "large")));
+    let steps = with_fleet(Domain::new(hosts), 2, 12).plan();
     assert_eq!(yielded(&steps), Vec::<&str>::new());
 }
 
-/// A model that has as little for its share keeps what it has.
+/// A model does not give up a replica if its own coverage would become the lower one.
 #[test]
-fn covered_model_keeps() {
-    let steps = fleet(Domain::of(short_domain()), 6, 5).plan();
+fn low_coverage_keeps_replicas() {
+    let steps = with_fleet(Domain::new(degraded_domain()), 6, 5).plan();
     assert_eq!(yielded(&steps), Vec::<&str>::new());
 }
 
-/// Fabric domains whose hosts hold both models, with orders that take effect at once.
+/// Simulated fabric domains whose hosts have both models, with orders that take effect at once.
 struct Fleet {
     models: Vec<ModelConfig>,
     fabrics: BTreeMap<FabricId, Vec<HostState>>,
-    spent: FastSet<(ReplicaId, u64)>,
-    named: usize,
+    never_reopen: FastSet<(ReplicaId, u64)>,
+    formed: usize,
 }
 
 impl Fleet {
@@ -113,38 +115,38 @@
         for (index, size) in sizes.iter().enumerate() {
             let fabric: FabricId = format!("f{index}").parse().expect("a fabric");
             let hosts =
-                (0..*size).map(|host| with_both(warm(&format!("h{index}-{host}"), "small")));
+                (0..*size).map(|host| staging_both(warm(&format!("h{index}-{host}"), "small")));
             fabrics.insert(fabric, hosts.collect());
         }
         Self {
             models,
             fabrics,
-            spent: FastSet::default(),
-            named: 0,
+            never_reopen: FastSet::default(),
+            formed: 0,
         }
     }
 
-    fn wanted(&self) -> BTreeMap<FabricId, BTreeMap<ModelName, usize>> {
-        let mut rooms = BTreeMap::new();
+    fn desired(&self) -> BTreeMap<FabricId, BTreeMap<ModelName, usize>> {
+        let mut capacities = BTreeMap::new();
         for (fabric, hosts) in &self.fabrics {
-            let mut room = FabricCapacity::default();
+            let mut capacity = FabricCapacity::default();
             for host in hosts {
-                room.add(host.loaded.as_ref());
+                capacity.add(host.loaded.as_ref());
             }
-            rooms.insert(fabric.clone(), room);
+            capacities.insert(fabric.clone(), capacity);
         }
-        compute_layout(&rooms, &self.models)
+        compute_layout(&capacities, &self.models)
     }
 
-    /// Replicas that serve in a domain, and hosts in none.
-    fn census(&self, fabric: &FabricId) -> (FastMap<ModelName, usize>, usize) {
+    /// Returns the serving replicas of a domain by model, and the number of hosts in none.
+    fn serving(&self, fabric: &FabricId) -> (FastMap<ModelName, usize>, usize) {
         let mut open = FastMap::default();
         let mut busy = 0;
         for host in &self.fabrics[fabric] {
             let Some(membership) = &host.membership else {
                 continue;
             };
-            let Some(model) = self.whole(fabric, &membership.replica) else {
+            let Some(model) = self.serving_model(fabric, &membership.replica) else {
                 continue;
             };
             busy += 1;
@@ -155,8 +157,8 @@
         (open, self.fabrics[fabric].len() - busy)
     }
 
-    /// The model of a replica whose members are all there and whose head is open.
-    fn whole(&self, fabric: &FabricId, replica: &ReplicaId) -> Option<ModelName> {
+    /// Returns the model of a replica if all members are present and its head is open.
+    fn serving_model(&self, fabric: &FabricId, replica: &ReplicaId) -> Option<ModelName> {
         let mut members = 0;
         let mut head = None;
         for host in &self.fabrics[fabric] {
@@ -178,45 +180,46 @@
         (model.size == members).then(|| model.name.clone())
     }
 
-    fn standing(&self) -> FastMap<ModelName, usize> {
-        let mut standing = FastMap::default();
+    /// Returns the serving replicas of all domains by model.
+    fn fleet_replicas(&self) -> FastMap<ModelName, usize> {
+        let mut replicas = FastMap::default();
         for fabric in self.fabrics.keys() {
-            for (model, count) in self.census(fabric).0 {
-                *standing.entry(model).or_default() += count;
+            for (model, count) in self.serving(fabric).0 {
+                *replicas.entry(model).or_default() += count;
             }
         }
-        standing
+        replicas
     }
 
-    /// Takes one plan for each domain; whether any had a step.
-    fn turn(&mut self) -> bool {
-        let wanted = self.wanted();
-        let mut moved = false;
+    /// Plans each domain once, takes the steps and returns whether any had an effect.
+    fn plan_round(&mut self) -> bool {
+        let desired = self.desired();
+        let mut changed = false;
         let fabrics: Vec<FabricId> = self.fabrics.keys().cloned().collect();
         for fabric in fabrics {
-            let fleet = self.standing();
+            let fleet = self.fleet_replicas();
             let steps = plan_fabric(&FabricState {
                 models: &self.models,
-                desired: &wanted[&fabric],
+                desired: &desired[&fabric],
                 hosts: &self.fabrics[&fabric],
                 fleet_replicas: &fleet,
-                never_reopen: &self.spent,
+                never_reopen: &self.never_reopen,
                 may_load_members: false,
                 may_stage: false,
             })
             .steps;
             for step in steps {
-                moved |= self.take(&fabric, step);
+                changed |= self.take_step(&fabric, step);
             }
         }
-        moved
+        changed
     }
 
-    fn take(&mut self, fabric: &FabricId, step: PlanStep) -> bool {
+    fn take_step(&mut self, fabric: &FabricId, step: PlanStep) -> bool {
         match step {
             PlanStep::Form { model, members } => {
-                self.named += 1;
-                let replica: ReplicaId = format!("r-{}", self.named).parse().expect("a replica");
+                self.formed += 1;
+                let replica: ReplicaId = format!("r-{}", self.formed).parse().expect("a replica");
                 for (rank, id) in (0..).zip(&members) {
                     let host = self.host(fabric, id);
                     host.loaded = Some(model.clone());
@@ -230,19 +233,19 @@
                 true
             }
             PlanStep::Open { head, replica, .. } => {
-                self.spent.insert((replica, 1));
-                self.set(fabric, &head, MemberState::Open);
+                self.never_reopen.insert((replica, 1));
+                self.set_state(fabric, &head, MemberState::Open);
                 true
             }
             PlanStep::Close { head, .. } | PlanStep::Yield { head, .. } => {
-                self.set(fabric, &head, MemberState::Ready);
+                self.set_state(fabric, &head, MemberState::Ready);
                 true
             }
             PlanStep::Warm { .. } | PlanStep::Stage { .. } => false,
         }
     }
 
-    fn set(&mut self, fabric: &FabricId, id: &HostId, state: MemberState) {
+    fn set_state(&mut self, fabric: &FabricId, id: &HostId, state: MemberState) {
         if let Some(membership) = &mut self.host(fabric, id).membership {
             membership.state = state;
         }
@@ -252,16 +255,17 @@
         let hosts = self.fabrics.get_mut(fabric).expect("the fabric is there");
         let host = hosts.iter_mut().find(|host| host.id == *id);
         let host = host.expect("the host is there");
-        host.unchanged_for = LONG;
+        host.unchanged_for = LONG_AGO;
         host
     }
 
-    /// Whether plans come to an end.
-    fn settles(&mut self) -> bool {
-        (0..60).any(|_| !self.turn())
+    /// Plans until no step is left and returns whether that happens.
+    fn converges(&mut self) -> bool {
+        (0..60).any(|_| !self.plan_round())
     }
 
-    fn lose(&mut self, losses: &[(u8, u8)]) {
+    /// Removes hosts; each loss names a fabric domain and a host in it by their indexes.
+    fn lose_hosts(&mut self, losses: &[(u8, u8)]) {
         for (fabric, host) in losses {
             let count = self.fabrics.len();
             let hosts = self.fabrics.values_mut().nth(usize::from(*fabric) % count);
@@ -273,29 +277,30 @@
         }
     }
 
-    /// Whether some domain lacks a replica of a model that another model could give hosts for and
-    /// still have as much for its share.
+    /// Returns whether some domain needs a replica of a model that another model could give up
+    /// hosts for while keeping at least as much coverage.
     fn is_starved(&self) -> bool {
-        let fleet = self.standing();
-        let wanted = self.wanted();
-        let cover = |model: &ModelConfig, more: f64| {
-            let standing = fleet.get(&model.name).copied().unwrap_or(0);
-            let standing = f64::from(u32::try_from(standing).expect("few replicas")) + more;
-            standing * f64::from(u32::try_from(model.size).expect("few hosts")) / model.share
+        let fleet = self.fleet_replicas();
+        let desired = self.desired();
+        let coverage = |model: &ModelConfig, more: f64| {
+            let replicas = fleet.get(&model.name).copied().unwrap_or(0);
+            let replicas = f64::from(u32::try_from(replicas).expect("few replicas")) + more;
+            replicas * f64::from(u32::try_from(model.size).expect("few hosts")) / model.share
         };
         for fabric in self.fabrics.keys() {
-            let (open, idle) = self.census(fabric);
-            let held = |model: &ModelConfig| open.get(&model.name).copied().unwrap_or(0);
+            let (open, idle) = self.serving(fabric);
+            let current = |model: &ModelConfig| open.get(&model.name).copied().unwrap_or(0);
             for (recipient, donor) in
                 [(0, 1), (1, 0)].map(|(a, b)| (&self.models[a], &self.models[b]))
             {
-                let asked = wanted[fabric].get(&recipient.name).copied().unwrap_or(0);
-                if held(recipient) >= asked {
+                let needed = desired[fabric].get(&recipient.name).copied().unwrap_or(0);
+                if current(recipient) >= needed {
                     continue;
                 }
-                let given = recipient.size.saturating_sub(idle).div_ceil(donor.size);
-                let loss = f64::from(u32::try_from(given).expect("few replicas"));
-                if given <= held(donor) && cover(donor, -loss) >= cover(recipient, 1.0) {
+                let released = recipient.size.saturating_sub(idle).div_ceil(donor.size);
+                let loss = f64::from(u32::try_from(released).expect("few replicas"));
+                if released <= current(donor) && coverage(donor, -loss) >= coverage(recipient, 1.0)
+                {
                     return true;
                 }
             }
@@ -304,10 +309,10 @@
     }
 }
 
-/// Whatever the sizes and shares and whichever hosts are lost, no model lacks a replica while another
-/// has room to give, and hosts do not go to and fro.
+/// Whatever the sizes and shares and whichever hosts are lost, no model needs a replica while
+/// another can give one up for it, and hosts do not move back and forth.
 #[test]
-fn nobody_starved() {
+fn no_model_starved() {
     fn holds(
         sizes: Vec<u8>,
         first: u8,
@@ -326,14 +331,14 @@
             model("small", 1 + usize::from(second % 4), 1.0 - share),
         ];
         let mut fleet = Fleet::new(&sizes, models);
-        if !fleet.settles() {
-            return TestResult::error("plans do not end");
+        if !fleet.converges() {
+            return TestResult::error("plans do not converge");
         }
         let losses: Vec<(u8, u8)> = losses.into_iter().take(24).collect();
         for lost in losses.chunks(3) {
-            fleet.lose(lost);
-            if !fleet.settles() {
-                return TestResult::error("plans do not end after a loss");
+            fleet.lose_hosts(lost);
+            if !fleet.converges() {
+                return TestResult::error("plans do not converge after a loss");
             }
             if fleet.is_starved() {
                 return TestResult::failed();
@@ -341,7 +346,7 @@
         }
         TestResult::passed()
     }
-    // Each case is a fleet with up to 24 losses.
+    // Each case simulates a fleet with up to 24 losses.
     seeded()
         .tests(300)
         .max_tests(1200)
--- a/crates/serving/tests/plan/staged_hosts.rs
+++ b/crates/serving/tests/plan/staged_hosts.rs
@@ -1,21 +1,23 @@
-//! A second model on each host: which hosts get one, and what it is good for when hosts are lost.
+//! Staging of second models: which hosts get one, and how it helps when hosts are lost.
 //!
-//! The load: two hosts of replicas are lost every three seconds in fabric domains of nine, while a
-//! load from the weight store takes twelve to sixteen seconds and callers fill all replicas.
+//! The scenario is that two hosts of replicas are lost every three seconds in fabric domains of
+//! nine hosts, while a load from the weight store takes twelve to sixteen seconds and all replicas
+//! are full.
 
 use serving::MemberState;
 use serving::plan::{HostState, PlanStep, spare_prefix};
 
-use crate::kit::{Domain, formed, host, member, warm};
+use crate::fixtures::{Domain, formed, host, member, warm};
 
-/// A host that holds one model in memory and the other one staged.
-fn universal(id: &str, model: &str, other: &str) -> HostState {
+/// A host with one model in memory and the other staged.
+fn warm_and_staged(id: &str, model: &str, other: &str) -> HostState {
     HostState {
         staged: vec![other.parse().expect("a model")],
         ..warm(id, model)
     }
 }
 
+/// Returns the hosts that the steps stage models on, with these models.
 fn staged(steps: &[PlanStep]) -> Vec<(&str, &str)> {
     let mut staged = Vec::new();
     for step in steps {
@@ -26,7 +28,8 @@
     staged
 }
 
-/// Before the first caller loads are quick: each host gets the model that it does not hold.
+/// Before the first request, when loads are quick, each host stages the model that it does not
+/// have.
 #[test]
 fn each_host_staged() {
     let hosts = vec![
@@ -34,55 +37,57 @@
         member("b", "small", "r-1", 1, MemberState::Ready),
         warm("c", "large"),
     ];
-    let steps = Domain::of(hosts).staging().plan();
+    let steps = Domain::new(hosts).staging().plan();
     assert_eq!(
         staged(&steps),
         [("a", "large"), ("b", "large"), ("c", "small")]
     );
 }
 
-/// A host whose first load is under way is left alone: that load would drop what was staged before.
+/// A host that still loads its first model stages none, since that load would remove it again.
+/// Neither does a host that was told to stage a model, or that has one staged.
 #[test]
-fn joining_host_waits() {
+fn joining_host_stages_none() {
     let mut joining = host("a");
     joining.membership = member("a", "small", "r-1", 0, MemberState::Joining).membership;
     let mut told = warm("b", "large");
     told.staging = Some("small".parse().expect("a model"));
-    let done = universal("c", "large", "small");
-    let steps = Domain::of(vec![joining, told, done]).staging().plan();
+    let done = warm_and_staged("c", "large", "small");
+    let steps = Domain::new(vec![joining, told, done]).staging().plan();
     assert_eq!(staged(&steps), Vec::new());
 }
 
-/// While callers wait, the weight store is left to loads that somebody needs.
+/// While callers wait, the weight store is left to urgent loads.
 #[test]
-fn none_under_load() {
-    let steps = Domain::of(vec![warm("a", "large")]).plan();
+fn none_staged_under_load() {
+    let steps = Domain::new(vec![warm("a", "large")]).plan();
     assert_eq!(staged(&steps), Vec::new());
 }
 
 /// A replica of the large model loses two hosts at once, and its domain has one spare of each
-/// model. With one model a host no replica of four can be formed for many seconds, and callers of
-/// that model are refused; here the spare of the small model steps in.
+/// model. With one model per host, no replica of four hosts could be formed for many seconds, and
+/// callers of the model would be refused. With a second one staged, the spare of the small model
+/// joins.
 #[test]
-fn any_spare_steps_in() {
+fn any_spare_joins() {
     let mut hosts = vec![
         member("a", "large", "r-1", 0, MemberState::Open),
         member("b", "large", "r-1", 1, MemberState::Ready),
-        universal("x", "large", "small"),
-        universal("y", "small", "large"),
+        warm_and_staged("x", "large", "small"),
+        warm_and_staged("y", "small", "large"),
     ];
     for host in &mut hosts[..2] {
         host.staged = vec!["small".parse().expect("a model")];
     }
-    let steps = Domain::of(hosts).plan();
+    let steps = Domain::new(hosts).plan();
     assert_eq!(formed(&steps), [["a", "b", "x", "y"]]);
 }
 
-/// A spare that has a model in memory stays as it is: a join for the other one would drop it.
+/// A spare with a model in memory is not told to load the staged one, which would replace it.
 #[test]
 fn warm_spare_left_alone() {
-    let hosts = vec![universal("x", "small", "large")];
-    let steps = Domain::of(hosts).plan();
+    let hosts = vec![warm_and_staged("x", "small", "large")];
+    let steps = Domain::new(hosts).plan();
     assert!(
         !steps
             .iter()
@@ -90,45 +95,46 @@
     );
 }
 
-/// A domain has lost its large replica and has three hosts left that hold both models; the fleet has
-/// more of the small model already. If they formed small replicas, each of two hosts, the large one
-/// would never find its fourth host: callers of the large model are refused for the rest of the day
-/// beside small replicas that stand half idle.
+/// A domain has lost its large replica and has three hosts left that have both models, and the
+/// fleet has more coverage of the small model. If they formed small replicas of two hosts each,
+/// there would never be four free hosts for the large model, and its callers would be refused
+/// permanently while small replicas are half idle.
 #[test]
 fn large_model_not_starved() {
     let hosts = vec![
         member("a", "small", "r-1", 0, MemberState::Open),
         member("b", "small", "r-1", 1, MemberState::Ready),
-        universal("x", "large", "small"),
-        universal("y", "large", "small"),
-        universal("z", "large", "small"),
+        warm_and_staged("x", "large", "small"),
+        warm_and_staged("y", "large", "small"),
+        warm_and_staged("z", "large", "small"),
     ];
     let fleet = |large: usize, small: usize| {
-        let mut domain = Domain::of(hosts.clone());
+        let mut domain = Domain::new(hosts.clone());
         domain
-            .fleet
+            .fleet_replicas
             .insert("large".parse().expect("a model"), large);
         domain
-            .fleet
+            .fleet_replicas
             .insert("small".parse().expect("a model"), small);
         domain
     };
     assert_eq!(formed(&fleet(4, 7).plan()), Vec::<Vec<&str>>::new());
-    // Where the fleet lacks the small model more, hosts that would serve nobody serve it.
+    // If the fleet has less coverage of the small model, hosts that would otherwise be idle serve
+    // it.
     assert_eq!(formed(&fleet(6, 3).plan()).len(), 1);
 }
 
-/// Two hosts come to a domain one after the other while the first one still loads. The name of its
-/// group tells which model that is, so the second loads towards the same replica.
+/// A second host comes to a domain while the first one is still loading. The name of its group
+/// tells which model that is, so the second host loads the same model and both can form a replica.
 #[test]
-fn loads_under_way_count() {
+fn ongoing_loads_counted() {
     let mut loading = host("a");
     loading.membership = member("a", "small", "r-1", 0, MemberState::Joining).membership;
     let prefix = spare_prefix(&"small".parse().expect("a model"));
     if let Some(membership) = &mut loading.membership {
         membership.replica = format!("{prefix}n-1").parse().expect("a replica");
     }
-    let steps = Domain::of(vec![loading, host("b")]).plan();
+    let steps = Domain::new(vec![loading, host("b")]).plan();
     let warmed = steps.iter().find_map(|step| match step {
         PlanStep::Warm { model, .. } => Some(model.as_str()),
         _ => None,
