--- a/crates/serving/tests/choose_target.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -1,4 +1,4 @@
-//! Which target takes a request, under bursts, skew and slow targets.
+//! Selection of the target for a request, under bursts, skewed load and failing targets.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     load
 }
 
-fn choice(load: TargetLoad) -> TargetCandidate {
+fn candidate(load: TargetLoad) -> TargetCandidate {
     TargetCandidate {
         load,
         slots: 26,
@@ -30,44 +30,44 @@
     }
 }
 
-/// A burst: each replica runs all it can and as many wait as can begin in time. One more would be
-/// late and delay the others, so its caller is told to come back.
+/// In a burst, all slots are in use and as many requests wait as can begin in time. One more would
+/// be late and delay the others, so it is refused and its caller can retry.
 #[test]
 fn full_targets_refuse() {
-    let choices = [choice(reported(32)), choice(reported(40))];
+    let candidates = [candidate(reported(32)), candidate(reported(40))];
     assert_eq!(
-        choose_target(&choices, limits(6.0), NOW),
+        choose_target(&candidates, limits(6.0), NOW),
         Err(NoTarget::Full)
     );
     assert_eq!(choose_target(&[], limits(6.0), NOW), Err(NoTarget::Absent));
 }
 
-/// Requests sent since the last report count: a node that went by reports alone would send a whole
-/// burst to targets that it believes to be idle, far beyond what they run.
+/// Requests sent since the last report count. A node that relied on reports alone would send a
+/// whole burst to targets that looked idle, far beyond their capacity.
 #[test]
 fn burst_spreads() {
     let mut loads = [reported(3), reported(4), reported(5)];
     for number in 0..81 {
-        let choices: Vec<TargetCandidate> = loads.iter().map(|load| choice(*load)).collect();
+        let candidates: Vec<TargetCandidate> = loads.iter().map(|load| candidate(*load)).collect();
         let start = number % 3;
         let drawn = [start, (start + 1) % 3, (start + 2) % 3];
-        let order = drawn.map(|index| choices[index]);
+        let order = drawn.map(|index| candidates[index]);
         let index = choose_target(&order, limits(6.0), NOW).expect("room for all");
         loads[drawn[index]].record_sent();
     }
     for load in loads {
-        let there = load.reported + load.sent_since_report.unsigned_abs();
-        assert!((29..=32).contains(&there), "{load:?}");
+        let total = load.reported + load.sent_since_report.unsigned_abs();
+        assert!((29..=32).contains(&total), "{load:?}");
     }
-    let choices = loads.map(choice);
-    let next = choose_target(&choices[..], limits(2.0), NOW);
+    let candidates = loads.map(candidate);
+    let next = choose_target(&candidates[..], limits(2.0), NOW);
     assert_eq!(next, Err(NoTarget::Full));
 }
 
-/// A replica has just begun to serve beside three that are half full, and six nodes see it idle
-/// until its first report. Were the emptiest one taken, all would send it their next requests, and
-/// the prompts in its queue would make each first token late. No target gets more of the requests
-/// between two reports than chance explains.
+/// A replica has just begun to serve next to three that are half full, and six nodes see it as idle
+/// until its first report. If the least loaded one were chosen, all nodes would send it their next
+/// requests, and the prompts in its queue would make each first token late. Between two reports no
+/// target may get more requests than a random choice explains.
 #[test]
 fn new_target_not_flooded() {
     const REQUESTS: usize = 24;
@@ -78,8 +78,9 @@
         for request in 0..REQUESTS / 6 {
             let mut order: Vec<usize> = (0..4).collect();
             order.sort_by_key(|index| stable_hash(&(node, request, *index)));
-            let choices: Vec<TargetCandidate> = order.iter().map(|at| choice(loads[*at])).collect();
-            let index = choose_target(&choices, limits(6.0), NOW).expect("all have room");
+            let candidates: Vec<TargetCandidate> =
+                order.iter().map(|at| candidate(loads[*at])).collect();
+            let index = choose_target(&candidates, limits(6.0), NOW).expect("all have room");
             loads[order[index]].record_sent();
             got[order[index]] += 1;
         }
@@ -88,34 +89,34 @@
     assert!(most < REQUESTS / 2, "{got:?}");
 }
 
-/// A target that fails fast looks idle. By its load alone it would draw all requests. Where no
-/// other has room it is tried all the same: to try one costs less than to refuse.
+/// A target that fails fast looks idle, so its load alone would attract all requests. It is still
+/// used if no other has capacity, since a failed attempt costs less than a refusal.
 #[test]
 fn failing_target_avoided() {
     let mut failing = reported(0);
     for _ in 0..3 {
         failing.record_failure(NOW);
     }
-    let choices = [choice(failing), choice(reported(15))];
-    assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(1));
-    let choices = [choice(failing), choice(reported(32))];
-    assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(0));
+    let candidates = [candidate(failing), candidate(reported(15))];
+    assert_eq!(choose_target(&candidates, limits(6.0), NOW), Ok(1));
+    let candidates = [candidate(failing), candidate(reported(32))];
+    assert_eq!(choose_target(&candidates, limits(6.0), NOW), Ok(0));
 }
 
-/// A replica failed while a member was lost, and works again. Avoided for as long as others have
-/// room, it would idle beside them, and their queues would grow for nothing.
+/// A replica failed when it lost a member, and has recovered. If it were avoided for as long as
+/// others have capacity, it would stay idle while their queues grow.
 #[test]
-fn recovered_target_taken() {
+fn recovered_target_used() {
     let mut recovered = reported(0);
     recovered.record_failure(NOW);
     recovered.record_failure(NOW);
-    let choices = [choice(recovered), choice(reported(15))];
+    let candidates = [candidate(recovered), candidate(reported(15))];
     let later = NOW + Duration::from_millis(1100);
-    assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(1));
-    assert_eq!(choose_target(&choices, limits(6.0), later), Ok(0));
+    assert_eq!(choose_target(&candidates, limits(6.0), NOW), Ok(1));
+    assert_eq!(choose_target(&candidates, limits(6.0), later), Ok(0));
 }
 
-/// No report for a while: a node takes its own requests as its part of all that run there.
+/// Without a recent report, a node assumes that all nodes have as many requests there as itself.
 #[test]
 fn old_report_ignored() {
     let mut load = TargetLoad::default();
@@ -124,20 +125,20 @@
     assert!((load.estimate(NOW, 6) - 12.0).abs() < 1e-9);
 }
 
-/// A target takes few connections from all nodes together. Sent more, it would reset some of
-/// them, and their callers would lose answers.
+/// A target accepts a limited number of connections from all nodes together. Beyond it the target
+/// resets connections, and callers lose their answers.
 #[test]
-fn connection_part_kept() {
+fn connection_limit_kept() {
     let narrow = TargetCandidate {
         in_flight_limit: 3,
         load: TargetLoad {
             in_flight: 3,
             ..reported(3)
         },
-        ..choice(reported(3))
+        ..candidate(reported(3))
     };
-    let choices = [narrow, choice(reported(20))];
-    assert_eq!(choose_target(&choices, limits(6.0), NOW), Ok(1));
+    let candidates = [narrow, candidate(reported(20))];
+    assert_eq!(choose_target(&candidates, limits(6.0), NOW), Ok(1));
     let alone = choose_target(&[narrow], limits(6.0), NOW);
     assert_eq!(alone, Err(NoTarget::Full));
 }
--- a/crates/serving/tests/event_splitter.rs
+++ b/crates/serving/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Cutting a stream into whole events.
+//! Splitting a stream into whole events.
 
 use cases::properties;
 use serving::EventSplitter;
@@ -11,34 +11,34 @@
     out
 }
 
-fn joined(splitter: &mut EventSplitter, bytes: &[u8]) -> Vec<u8> {
+fn push(splitter: &mut EventSplitter, bytes: &[u8]) -> Vec<u8> {
     let events = splitter.push(bytes).expect("small events");
     events.map(|events| events.to_vec()).unwrap_or_default()
 }
 
-/// An engine dies in the middle of an event. The half is never passed on: joined with the next
-/// engine's first event, it would show the caller a piece that nobody made.
+/// An engine crashes in the middle of an event. If the partial event were forwarded, it would merge
+/// with the first event of the next engine into one that no engine sent.
 #[test]
-fn half_event_kept_back() {
+fn partial_event_not_forwarded() {
     let mut splitter = EventSplitter::default();
     let mut bytes = stream(1..=2);
     bytes.extend_from_slice(b"id: 3\ndata: pie");
-    assert_eq!(joined(&mut splitter, &bytes), stream(1..=2));
+    assert_eq!(push(&mut splitter, &bytes), stream(1..=2));
     assert!(splitter.has_partial());
     splitter.drop_partial();
-    assert_eq!(joined(&mut splitter, &stream(3..=4)), stream(3..=4));
+    assert_eq!(push(&mut splitter, &stream(3..=4)), stream(3..=4));
     assert_eq!(splitter.last_id(), Some(4));
 }
 
-/// The engine that goes on repeats events that the caller has.
+/// An engine that resumes a stream may repeat events that the caller already has.
 #[test]
 fn repeated_event_dropped() {
     let mut splitter = EventSplitter::after(Some(2));
-    assert_eq!(joined(&mut splitter, &stream(1..=4)), stream(3..=4));
+    assert_eq!(push(&mut splitter, &stream(1..=4)), stream(3..=4));
 }
 
 #[test]
-fn endless_event_refused() {
+fn oversized_event_rejected() {
     let mut splitter = EventSplitter::default();
     let chunk = vec![b'x'; 600 << 10];
     assert!(splitter.push(&chunk).is_ok());
@@ -46,7 +46,7 @@
 }
 
 properties! {
-    /// However the network cuts a stream, its caller gets the same bytes.
+    /// However the network splits a stream into chunks, the caller gets the same bytes.
     fn any_chunks(count: u8, cuts: Vec<u8>) -> bool {
         let bytes = stream(1..=u64::from(count));
         let mut splitter = EventSplitter::default();
@@ -54,14 +54,14 @@
         let mut rest = bytes.as_slice();
         for cut in cuts {
             let (first, later) = rest.split_at(usize::from(cut).min(rest.len()));
-            out.extend(joined(&mut splitter, first));
+            out.extend(push(&mut splitter, first));
             rest = later;
         }
-        out.extend(joined(&mut splitter, rest));
+        out.extend(push(&mut splitter, rest));
         out == bytes && !splitter.has_partial()
     }
 
-    /// No bytes make it panic.
+    /// No input makes the splitter panic.
     fn any_bytes(bytes: Vec<u8>) -> bool {
         EventSplitter::default().push(&bytes).is_ok()
     }
--- a/crates/serving/tests/poison_requests.rs
+++ b/crates/serving/tests/poison_requests.rs
@@ -1,4 +1,4 @@
-//! Which request is to blame when targets end under it.
+//! Detection of the requests that crash targets.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const CULPRIT: RequestFingerprint = RequestFingerprint(1);
 
-fn end(index: usize) -> TargetCrash {
+fn crash(index: usize) -> TargetCrash {
     let host: HostId = format!("h{index}").parse().expect("a host");
     TargetCrash {
         host,
@@ -17,124 +17,136 @@
     }
 }
 
-fn run(mark: u128, millis: u64) -> CrashedRequest {
+fn request(fingerprint: u128, millis: u64) -> CrashedRequest {
     CrashedRequest {
-        fingerprint: RequestFingerprint(mark),
+        fingerprint: RequestFingerprint(fingerprint),
         answer_age: Some(Duration::from_millis(millis)),
     }
 }
 
 fn seconds(index: usize) -> Duration {
-    Duration::from_secs(u64::try_from(index).expect("few ends"))
+    Duration::from_secs(u64::try_from(index).expect("few crashes"))
 }
 
-/// Requests that move together from one target that ends to the next see the same ends. One of them
-/// is barred, the one that had just begun each time; its neighbours' callers are served.
+/// Requests that move together from one crashed target to the next are at the same crashes. Only
+/// the one whose answer had just begun each time must be barred.
 #[test]
-fn neighbours_kept() {
-    let mut ledger = PoisonDetector::default();
+fn only_youngest_answer_barred() {
+    let mut detector = PoisonDetector::default();
     for index in 0..MIN_CRASHES_TO_BAR {
-        let runs = [run(1, 50), run(2, 700), run(3, 300)];
-        ledger.record(end(index), seconds(index), &runs);
-        ledger.evaluate(seconds(index));
-        let due = index + 1 == MIN_CRASHES_TO_BAR;
-        assert_eq!(ledger.verdict(CULPRIT) == PoisonVerdict::Barred, due);
+        let requests = [request(1, 50), request(2, 700), request(3, 300)];
+        detector.record(crash(index), seconds(index), &requests);
+        detector.evaluate(seconds(index));
+        let is_last = index + 1 == MIN_CRASHES_TO_BAR;
+        assert_eq!(detector.verdict(CULPRIT) == PoisonVerdict::Barred, is_last);
     }
-    assert_eq!(ledger.barred(), [CULPRIT]);
-    assert_eq!(ledger.verdict(RequestFingerprint(2)), PoisonVerdict::Clear);
-    assert_eq!(ledger.verdict(RequestFingerprint(3)), PoisonVerdict::Clear);
+    assert_eq!(detector.barred(), [CULPRIT]);
+    assert_eq!(
+        detector.verdict(RequestFingerprint(2)),
+        PoisonVerdict::Clear
+    );
+    assert_eq!(
+        detector.verdict(RequestFingerprint(3)),
+        PoisonVerdict::Clear
+    );
 }
 
-/// A request that waited in the queue of each target that ended is not taken for what ran there.
+/// A request that was queued at each crashed target must not be barred instead of the one that ran.
 #[test]
-fn waiting_not_blamed() {
-    let mut ledger = PoisonDetector::default();
+fn queued_request_not_barred() {
+    let mut detector = PoisonDetector::default();
     for index in 0..MIN_CRASHES_TO_BAR {
-        let waiting = CrashedRequest {
+        let queued = CrashedRequest {
             fingerprint: RequestFingerprint(2),
             answer_age: None,
         };
-        ledger.record(end(index), seconds(index), &[waiting, run(1, 400)]);
+        detector.record(crash(index), seconds(index), &[queued, request(1, 400)]);
     }
-    ledger.evaluate(seconds(MIN_CRASHES_TO_BAR));
-    assert_eq!(ledger.barred(), [CULPRIT]);
+    detector.evaluate(seconds(MIN_CRASHES_TO_BAR));
+    assert_eq!(detector.barred(), [CULPRIT]);
 }
 
-/// One taken for the culprit by chance is cleared as soon as a further end shows who it is.
+/// A request that was barred by mistake is cleared as soon as a further crash points to another
+/// one.
 #[test]
-fn wrong_blame_ends() {
-    let mut ledger = PoisonDetector::default();
+fn wrong_verdict_corrected() {
+    let mut detector = PoisonDetector::default();
     for index in 0..MIN_CRASHES_TO_BAR {
-        ledger.record(end(index), seconds(index), &[run(1, 90), run(2, 20)]);
+        detector.record(
+            crash(index),
+            seconds(index),
+            &[request(1, 90), request(2, 20)],
+        );
     }
-    ledger.evaluate(seconds(3));
-    assert_eq!(ledger.barred(), [RequestFingerprint(2)]);
-    ledger.record(end(9), seconds(4), &[run(1, 90)]);
-    ledger.evaluate(seconds(4));
-    assert_eq!(ledger.barred(), [CULPRIT]);
+    detector.evaluate(seconds(3));
+    assert_eq!(detector.barred(), [RequestFingerprint(2)]);
+    detector.record(crash(9), seconds(4), &[request(1, 90)]);
+    detector.evaluate(seconds(4));
+    assert_eq!(detector.barred(), [CULPRIT]);
 }
 
-/// Several nodes see parts of the same end, and one process that comes back and ends again is another
-/// end.
+/// Reports of several nodes on the same crash count as one crash. A process that restarts and
+/// crashes again counts as another.
 #[test]
-fn parts_are_one_end() {
-    let mut ledger = PoisonDetector::default();
+fn crash_identified_by_boot() {
+    let mut detector = PoisonDetector::default();
     for _ in 0..4 {
-        ledger.record(end(0), seconds(0), &[run(1, 50)]);
+        detector.record(crash(0), seconds(0), &[request(1, 50)]);
     }
-    ledger.evaluate(seconds(1));
-    assert_eq!(ledger.verdict(CULPRIT), PoisonVerdict::Clear);
+    detector.evaluate(seconds(1));
+    assert_eq!(detector.verdict(CULPRIT), PoisonVerdict::Clear);
     let again = TargetCrash {
         boot: BootNumber(2),
-        ..end(0)
+        ..crash(0)
     };
-    ledger.record(again, seconds(2), &[run(1, 50)]);
-    ledger.evaluate(seconds(2));
-    assert_eq!(ledger.verdict(CULPRIT), PoisonVerdict::Suspect);
+    detector.record(again, seconds(2), &[request(1, 50)]);
+    detector.evaluate(seconds(2));
+    assert_eq!(detector.verdict(CULPRIT), PoisonVerdict::Suspect);
 }
 
-/// What ended long ago speaks against nobody.
+/// Crashes older than the retention are no evidence.
 #[test]
-fn old_ends_forgotten() {
-    let mut ledger = PoisonDetector::default();
+fn old_crashes_expire() {
+    let mut detector = PoisonDetector::default();
     for index in 0..MIN_CRASHES_TO_BAR {
-        ledger.record(end(index), seconds(index), &[run(1, 50)]);
+        detector.record(crash(index), seconds(index), &[request(1, 50)]);
     }
-    ledger.evaluate(seconds(MIN_CRASHES_TO_BAR));
-    assert_eq!(ledger.barred(), [CULPRIT]);
-    ledger.evaluate(seconds(MIN_CRASHES_TO_BAR) + CRASH_RETENTION);
-    assert!(ledger.is_clear());
+    detector.evaluate(seconds(MIN_CRASHES_TO_BAR));
+    assert_eq!(detector.barred(), [CULPRIT]);
+    detector.evaluate(seconds(MIN_CRASHES_TO_BAR) + CRASH_RETENTION);
+    assert!(detector.is_clear());
 }
 
-/// Whatever ran beside it, a request under which all targets ended is barred, in whichever order
-/// nodes hear of the ends, and no more are barred than a third of the ends could blame.
+/// A request that was at all crashes is barred whatever ran next to it and in whichever order the
+/// crashes are recorded. Each barred request needs its own crashes, at least as many as the
+/// minimum.
 #[test]
-fn culprit_found() {
-    fn holds(beside: Vec<Vec<(u8, u16)>>) -> bool {
-        let ends = beside.len();
+fn culprit_always_found() {
+    fn holds(neighbours: Vec<Vec<(u8, u16)>>) -> bool {
+        let crashes = neighbours.len();
         let mut forward = PoisonDetector::default();
         let mut backward = PoisonDetector::default();
-        let records: Vec<Vec<CrashedRequest>> = beside
+        let records: Vec<Vec<CrashedRequest>> = neighbours
             .into_iter()
-            .map(|runs| {
-                let others = runs.into_iter();
+            .map(|requests| {
+                let others = requests.into_iter();
                 let others =
-                    others.map(|(mark, ran)| run(u128::from(mark) + 2, u64::from(ran) + 200));
-                others.chain([run(1, 100)]).collect()
+                    others.map(|(mark, ran)| request(u128::from(mark) + 2, u64::from(ran) + 200));
+                others.chain([request(1, 100)]).collect()
             })
             .collect();
-        for (index, runs) in records.iter().enumerate() {
-            forward.record(end(index), seconds(index), runs);
+        for (index, requests) in records.iter().enumerate() {
+            forward.record(crash(index), seconds(index), requests);
         }
-        for (index, runs) in records.iter().enumerate().rev() {
-            backward.record(end(index), seconds(index), runs);
+        for (index, requests) in records.iter().enumerate().rev() {
+            backward.record(crash(index), seconds(index), requests);
         }
-        forward.evaluate(seconds(ends));
-        backward.evaluate(seconds(ends));
+        forward.evaluate(seconds(crashes));
+        backward.evaluate(seconds(crashes));
         let barred = forward.verdict(CULPRIT) == PoisonVerdict::Barred;
         forward.barred() == backward.barred()
-            && barred == (ends >= MIN_CRASHES_TO_BAR)
-            && forward.barred().len() <= ends / MIN_CRASHES_TO_BAR
+            && barred == (crashes >= MIN_CRASHES_TO_BAR)
+            && forward.barred().len() <= crashes / MIN_CRASHES_TO_BAR
     }
     seeded().quickcheck(holds as fn(Vec<Vec<(u8, u16)>>) -> bool);
 }
--- a/crates/serving/tests/queue_capacity.rs
+++ b/crates/serving/tests/queue_capacity.rs
@@ -1,12 +1,12 @@
-//! How much may wait at a full replica.
+//! How many requests may wait at a full replica.
 
 use std::time::Duration;
 
 use cases::properties;
 use serving::ReplicaTiming;
 
-/// A replica of 26 places: 7 ms a step, seven steps a pass, prompts of 1,115 tokens.
-fn pace() -> ReplicaTiming {
+/// A replica with 26 slots, decode steps of 7 ms, seven steps per pass and prompts of 1,115 tokens.
+fn timing() -> ReplicaTiming {
     ReplicaTiming {
         completion_interval: Duration::from_millis(70),
         decode_pass: Duration::from_millis(50),
@@ -15,26 +15,31 @@
     }
 }
 
-/// All replicas are full and callers keep coming. One that is let in behind four others gets its
-/// first token after 350 ms of the 300 that it should take, and so does everyone after it: half of
-/// the answers are late though as many are refused. Two places end in time.
+/// If all replicas are full and requests keep arriving, one that is queued behind four others gets
+/// its first token after 350 ms instead of the 300 ms that it should take, and so do all that
+/// follow. Half of the answers were late although as many requests were refused. Two queued
+/// requests are in time.
 #[test]
-fn queue_ends_in_time() {
+fn queue_meets_target() {
     let target = Duration::from_millis(300);
-    let places = pace().queue_capacity(target).expect("a step model");
-    let waited = pace().completion_interval.mul_f64(places) + pace().decode_pass + pace().prefill;
-    assert!(waited <= target, "{places} places take {waited:?}");
-    assert!(places >= 2.0, "{places}");
+    let capacity = timing().queue_capacity(target).expect("a step model");
+    let waited =
+        timing().completion_interval.mul_f64(capacity) + timing().decode_pass + timing().prefill;
+    assert!(
+        waited <= target,
+        "{capacity} queued requests take {waited:?}"
+    );
+    assert!(capacity >= 2.0, "{capacity}");
 }
 
-/// A target that a pass alone uses up: only free places are taken.
+/// A single decode pass uses up the target latency, so no request may wait.
 #[test]
-fn short_target_never_waits() {
-    let places = pace().queue_capacity(Duration::from_millis(60));
-    assert_eq!(places, Some(0.0));
+fn short_target_never_queues() {
+    let capacity = timing().queue_capacity(Duration::from_millis(60));
+    assert_eq!(capacity, Some(0.0));
 }
 
-/// A service that publishes no step model is served by a plain limit instead.
+/// Without a step model there is no capacity to compute; the caller applies a fixed limit.
 #[test]
 fn no_step_model() {
     assert_eq!(
@@ -44,11 +49,13 @@
 }
 
 properties! {
-    /// Whatever is let in has its first token due within the target, at any pace.
-    fn places_fit(target_ms: u16, factor: u8) -> bool {
-        let pace = pace().scaled(f64::from(factor) / 16.0);
+    /// At any speed, queued requests get their first token within the target.
+    fn capacity_meets_target(target_ms: u16, factor: u8) -> bool {
+        let timing = timing().scaled(f64::from(factor) / 16.0);
         let target = Duration::from_millis(u64::from(target_ms));
-        let places = pace.queue_capacity(target).unwrap_or(0.0);
-        places == 0.0 || pace.completion_interval.mul_f64(places) + pace.decode_pass + pace.prefill <= target
+        let capacity = timing.queue_capacity(target).unwrap_or(0.0);
+        capacity == 0.0
+            || timing.completion_interval.mul_f64(capacity) + timing.decode_pass + timing.prefill
+                <= target
     }
 }
--- a/crates/serving/tests/rendezvous_rank.rs
+++ b/crates/serving/tests/rendezvous_rank.rs
@@ -1,4 +1,4 @@
-//! Which node acts first for a fabric domain.
+//! The order in which nodes act for a fabric domain.
 
 use serving::hashing::rendezvous_rank;
 
@@ -27,22 +27,22 @@
     assert_eq!(ranks, [0, 1, 2, 3, 4, 5]);
 }
 
-/// The node that acts first dies. The next one is the same for all, and no other subject changes
-/// hands but those of the dead one.
+/// When a node is lost, the order of the others stays the same for each subject, so only the
+/// subjects of the lost node move.
 #[test]
-fn loss_moves_little() {
+fn loss_keeps_order() {
     for subject in 0..40 {
         let subject = format!("f{subject}");
         let before = order(&NODES, &subject);
-        let left: Vec<&str> = NODES.iter().copied().filter(|node| *node != "n2").collect();
-        let after = order(&left, &subject);
+        let remaining: Vec<&str> = NODES.iter().copied().filter(|node| *node != "n2").collect();
+        let after = order(&remaining, &subject);
         let expected: Vec<String> = before.into_iter().filter(|node| node != "n2").collect();
         assert_eq!(after, expected);
     }
 }
 
 #[test]
-fn subjects_spread() {
+fn subjects_spread_evenly() {
     let mut firsts = [0_u32; 6];
     for subject in 0..600 {
         let subject = format!("fabric-{subject}");
--- a/crates/serving/tests/retry_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats that all nodes share without a message.
+//! The retry budget that nodes share without exchanging messages.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     extra: 130.0,
 };
 
-/// All answers of a service are lost for a while. Repeating each request would double its load;
-/// the repeats stay within the agreed part.
+/// If all answers of a service are lost for a while, retrying each request would double its load.
+/// The retries must stay within the ratio.
 #[test]
-fn storm_stays_within() {
+fn retry_storm_limited() {
     let mut budget = RetryBudget::new(LIMITS);
     let mut taken = 0;
     for step in 0..1000_u64 {
@@ -28,7 +28,7 @@
     assert!((100..=221).contains(&taken), "{taken}");
 }
 
-/// The budget is back a window after a storm.
+/// The full budget is available again one window after it was used up.
 #[test]
 fn window_slides() {
     let mut budget = RetryBudget::new(LIMITS);
@@ -38,20 +38,20 @@
 }
 
 properties! {
-    /// In any window the repeats of all nodes together stay within the limit for all of them.
-    fn sum_within_limit(gaps: Vec<(u8, u8, bool)>) -> bool {
+    /// In any window the retries of all nodes together stay within the shared limit.
+    fn total_within_limit(gaps: Vec<(u8, u8, bool)>) -> bool {
         let nodes = 4;
         let mut budgets: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(LIMITS)).collect();
         let mut now = Duration::ZERO;
         let mut requests: Vec<Duration> = Vec::new();
-        let mut repeats: Vec<Duration> = Vec::new();
-        for (gap, node, repeat) in gaps {
+        let mut retries: Vec<Duration> = Vec::new();
+        for (gap, node, is_retry) in gaps {
             now += Duration::from_millis(u64::from(gap) * 3);
             let budget = &mut budgets[usize::from(node) % nodes];
-            if repeat {
+            if is_retry {
                 for _ in 0..20 {
                     if budget.take(now, nodes) {
-                        repeats.push(now);
+                        retries.push(now);
                     }
                 }
             } else {
@@ -61,7 +61,7 @@
             let start = now.saturating_sub(LIMITS.window);
             let within = |times: &[Duration]| times.iter().filter(|at| **at >= start).count();
             let allowed = 0.2 * f64::from(u32::try_from(within(&requests)).unwrap()) + 130.0;
-            if f64::from(u32::try_from(within(&repeats)).unwrap()) > allowed {
+            if f64::from(u32::try_from(within(&retries)).unwrap()) > allowed {
                 return false;
             }
         }
--- a/crates/serving/tests/route_choice.rs
+++ b/crates/serving/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Routes of a configuration.
+//! Selection of the route and the service of a request.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 
 fn config(routes: Vec<Route>) -> GatewayConfig {
     let mut by_host = FastMap::default();
-    by_host.insert("desk.example".to_owned(), routes);
+    by_host.insert("api.example".to_owned(), routes);
     GatewayConfig {
         revision: ConfigRevision(1),
         routes: by_host,
@@ -48,7 +48,7 @@
     ]);
     let found = |path| {
         config
-            .route("desk.example", path)
+            .route("api.example", path)
             .map(|route| route.name.as_str())
     };
     assert_eq!(found("/a/b/c"), Some("/a/b/"));
@@ -57,7 +57,7 @@
     assert_eq!(config.route("other.example", "/a/c"), None);
 }
 
-/// A service takes over a tenth of the traffic. Each node sends it that part without counting.
+/// Each node keeps to the weights of a traffic split without shared counters.
 #[test]
 fn split_holds() {
     let route = route("/a/", &[("old", 90), ("new", 10)]);
--- a/crates/serving/tests/shutdown_plan.rs
+++ b/crates/serving/tests/shutdown_plan.rs
@@ -1,4 +1,4 @@
-//! What a stopping node takes and when it ends.
+//! Which requests a stopping node accepts, and when it exits.
 
 use std::time::Duration;
 
@@ -11,27 +11,28 @@
     ShutdownPlan::new(Duration::from_secs(100), GRACE)
 }
 
-/// Nodes of one failure domain are stopped one after the other, so the balancer goes on sending
-/// to those that stop. A stream that may last eight seconds and is taken six seconds after the
-/// signal would be cut off in the middle; its caller is sent elsewhere while it still has time.
+/// While the nodes of a failure domain are stopped one after another, the load balancer keeps
+/// sending to them. A stream of up to eight seconds that is accepted six seconds after the signal
+/// would be cut off halfway, so it must be refused while its caller can still be served elsewhere.
 #[test]
 fn late_stream_refused() {
     let now = Duration::from_secs(106);
     assert!(!plan().accepts(now, now + Duration::from_secs(8)));
-    // A call of a plain service that is over in time is still served.
+    // A call of a plain service that ends in time is still accepted.
     assert!(plan().accepts(now, now + Duration::from_millis(800)));
 }
 
-/// The balancer sends callers for two seconds after the signal. They are served as before.
+/// The load balancer still sends requests for two seconds after the signal. They are accepted as
+/// before.
 #[test]
-fn early_stream_served() {
+fn early_stream_accepted() {
     let now = Duration::from_secs(102);
     assert!(plan().accepts(now, now + Duration::from_secs(8)));
     assert!(!plan().closes_connections(now));
 }
 
 #[test]
-fn idle_process_ends() {
+fn idle_process_exits() {
     assert!(!plan().is_over(Duration::from_secs(102), true));
     assert!(plan().is_over(Duration::from_secs(104), true));
     assert!(!plan().is_over(Duration::from_secs(104), false));
@@ -39,8 +40,9 @@
 }
 
 properties! {
-    /// Whatever is taken after the balancer's time is over before the process ends.
-    fn nothing_late_cut(after_ms: u16, limit_ms: u16, grace_s: u8) -> bool {
+    /// Requests accepted after the load balancer has had time to react end before the process
+    /// exits.
+    fn late_requests_end_in_time(after_ms: u16, limit_ms: u16, grace_s: u8) -> bool {
         let began = Duration::from_secs(5);
         let plan = ShutdownPlan::new(began, Duration::from_secs(u64::from(grace_s)));
         let now = began + Duration::from_millis(u64::from(after_ms));
--- a/crates/serving/tests/stall_detector.rs
+++ b/crates/serving/tests/stall_detector.rs
@@ -1,39 +1,39 @@
-//! Noticing a replica that stands still.
+//! Detection of replicas whose requests make no progress.
 
 use std::time::Duration;
 
 use serving::stall::{PROBE_INTERVAL, STALL_TIMEOUT, StallDetector};
 
-/// A replica was idle for a minute when a request comes. The minute is no silence.
+/// The time for which a replica was idle before a request does not count as a stall.
 #[test]
 fn idle_time_ignored() {
-    let mut pulse = StallDetector::default();
-    pulse.request_started(Duration::from_mins(1));
-    assert!(!pulse.should_probe(Duration::from_mins(1) + STALL_TIMEOUT / 2));
+    let mut detector = StallDetector::default();
+    detector.request_started(Duration::from_mins(1));
+    assert!(!detector.should_probe(Duration::from_mins(1) + STALL_TIMEOUT / 2));
 }
 
-/// All streams of a replica stop at once: a member is gone, and callers would wait for seconds
-/// until the head notices. One stream that moves shows that it lives.
+/// If a member is lost, all streams of the replica stop at once, and callers would wait for seconds
+/// until the head notices. Progress of a single stream shows that the replica works.
 #[test]
-fn common_silence_asked() {
-    let mut pulse = StallDetector::default();
-    pulse.request_started(Duration::ZERO);
-    pulse.request_started(Duration::ZERO);
-    pulse.record_progress(STALL_TIMEOUT / 2);
-    assert!(!pulse.should_probe(STALL_TIMEOUT));
-    let silent = STALL_TIMEOUT * 2;
-    assert!(pulse.should_probe(silent));
+fn stall_of_all_streams_probed() {
+    let mut detector = StallDetector::default();
+    detector.request_started(Duration::ZERO);
+    detector.request_started(Duration::ZERO);
+    detector.record_progress(STALL_TIMEOUT / 2);
+    assert!(!detector.should_probe(STALL_TIMEOUT));
+    let stalled = STALL_TIMEOUT * 2;
+    assert!(detector.should_probe(stalled));
     assert!(
-        !pulse.should_probe(silent + PROBE_INTERVAL / 2),
-        "asked once a pause"
+        !detector.should_probe(stalled + PROBE_INTERVAL / 2),
+        "probed at most once per interval"
     );
-    assert!(pulse.should_probe(silent + PROBE_INTERVAL));
+    assert!(detector.should_probe(stalled + PROBE_INTERVAL));
 }
 
 #[test]
-fn ended_requests_silent() {
-    let mut pulse = StallDetector::default();
-    pulse.request_started(Duration::ZERO);
-    pulse.request_ended();
-    assert!(!pulse.should_probe(Duration::from_secs(5)));
+fn no_probe_without_requests() {
+    let mut detector = StallDetector::default();
+    detector.request_started(Duration::ZERO);
+    detector.request_ended();
+    assert!(!detector.should_probe(Duration::from_secs(5)));
 }
