--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -56,7 +56,7 @@
 fn row(result: &SimulationResult, rate: f64, span: (f64, f64)) -> String {
     let inside = |job: &simulation::Job| (span.0..span.1).contains(&job.call.at);
     let good = result.goodput(span.0, span.1) / (rate * 100.0);
-    let all = result.filter(inside);
+    let all = result.select(inside);
     let late = all
         .iter()
         .filter(|job| job.first_token.is_some() && !job.on_time());
@@ -177,7 +177,7 @@
         let burst = poisson_calls(13, rate * 4.0, (5.0, 15.0), |_, _| {});
         let rest = poisson_calls(14, rate * 0.5, (0.0, 60.0), |call, _| call.customer = 1);
         let result = Simulation::new(&scenario).run(&merge_calls(vec![burst, rest]));
-        let callers = result.filter(|job| job.call.customer == 0);
+        let callers = result.select(|job| job.call.customer == 0);
         let offers: u32 = callers.iter().map(|job| job.retries + 1).sum();
         let refused = callers.iter().filter(|job| job.refused).count();
         #[allow(clippy::cast_precision_loss)]
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -44,7 +44,7 @@
         );
         assert!(goodput > 0.76, "{goodput} of 0.8 with {entries} entries");
         assert!(even_goodput < 0.6, "even shares gave {even_goodput}");
-        let refused = scaled.filter(|job| job.refused).len();
+        let refused = scaled.select(|job| job.refused).len();
         assert!(refused * 50 < scaled.jobs.len(), "{refused} refused");
     }
 }
--- a/crates/policy/tests/load/early_refusal.rs
+++ b/crates/policy/tests/load/early_refusal.rs
@@ -33,7 +33,7 @@
     for times in [2.0, 10.0] {
         let (result, goodput) = saturate(times, QueueKind::Fair, 0);
         assert!(goodput > 0.93, "{goodput} at {times} times");
-        let late = result.filter(|job| job.first_token.is_some() && !job.on_time());
+        let late = result.select(|job| job.first_token.is_some() && !job.on_time());
         assert!(late.len() * 50 < result.jobs.len(), "{} late", late.len());
         let (_, baseline) = saturate(times, QueueKind::Fifo { limit: 200 }, 0);
         assert!(baseline < 0.1, "FIFO gave {baseline}");
--- a/crates/policy/tests/load/simulation/workload.rs
+++ b/crates/policy/tests/load/simulation/workload.rs
@@ -219,19 +219,19 @@
 }
 
 impl SimulationResult {
-    pub fn filter(&self, keep: impl Fn(&Job) -> bool) -> Vec<&Job> {
+    pub fn select(&self, keep: impl Fn(&Job) -> bool) -> Vec<&Job> {
         self.jobs.iter().filter(|job| keep(job)).collect()
     }
 
     pub fn on_time(&self, keep: impl Fn(&Job) -> bool) -> f64 {
-        let selected = self.filter(keep);
+        let selected = self.select(keep);
         let good = selected.iter().filter(|job| job.on_time()).count();
         good as f64 / selected.len().max(1) as f64
     }
 
     /// Returns the tokens per second of answers that started on time.
     pub fn goodput(&self, from: f64, until: f64) -> f64 {
-        let good = self.filter(|job| job.on_time() && (from..until).contains(&job.call.at));
+        let good = self.select(|job| job.on_time() && (from..until).contains(&job.call.at));
         good.iter()
             .map(|job| f64::from(job.call.answer))
             .fold(0.0, |sum, tokens| sum + tokens)
@@ -241,7 +241,7 @@
     /// Returns a quantile of the time to first token, over the selected calls that got one.
     pub fn first_token(&self, quantile: f64, keep: impl Fn(&Job) -> bool) -> f64 {
         let mut times: Vec<f64> = self
-            .filter(keep)
+            .select(keep)
             .iter()
             .filter_map(|job| job.first_token)
             .collect();
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -214,10 +214,10 @@
     let usable = fixture.targets[321];
     let list = fixture.pool.candidates(fixture.targets.iter().copied());
     let request = PlacementRequest::default();
-    let filter = |target| target == usable;
+    let accept = |target| target == usable;
     let choice = fixture
         .pool
-        .choose(&list, &request, Duration::ZERO, filter, &mut fixture.rng);
+        .choose(&list, &request, Duration::ZERO, accept, &mut fixture.rng);
     assert_eq!(choice.map(|choice| choice.target), Some(usable));
     let none = fixture
         .pool
