--- a/crates/policy/tests/load/simulation/mod.rs
+++ b/crates/policy/tests/load/simulation/mod.rs
@@ -374,13 +374,13 @@
         if outcome == AttemptOutcome::Finished {
             self.engines[engine].running -= 1;
             let cost = job.cost();
-            let work = FinishedRequest::builder()
+            let finished = FinishedRequest::builder()
                 .customer(self.customers[job.call.customer])
                 .predicted_cost(cost)
                 .actual_cost(cost)
                 .maybe_first_token(job.target_first_token)
                 .build();
-            entry.queue.record_finished(now, work);
+            entry.queue.record_finished(now, finished);
             self.start_streams(now, engine);
         } else {
             if outcome == AttemptOutcome::Full {
