--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -1,15 +1,16 @@
-//! Proof that a peer has the deployment's shared key.
+//! Authentication of peers and their messages with the deployment's shared key.
 //!
-//! Weighed against TLS by `rustls`: what the links carry is no secret (records hold only hashes of
-//! callers' keys), but a forged digest could put a configuration of the forger's into force, so
-//! every message has to prove its origin. Certificates would have to be issued to hosts that have
-//! no disks and are replaced a hundred times a day, and their expiry would cut all links at once
-//! while nobody looks. A shared key comes with the settings that a host gets anyway. So: an HMAC
-//! on each message. Who needs the links unreadable as well runs them inside a private network.
+//! Every message carries an HMAC. The alternative was TLS with `rustls`. The links carry no secrets
+//! (records contain only hashes of callers' keys), but a forged digest could put an attacker's
+//! configuration into force, so the origin of every message must be verified. Certificates would
+//! have to be issued to diskless hosts that are replaced a hundred times a day, and their expiry
+//! could break all links at once without warning. A shared key is delivered with the settings that
+//! a host receives anyway. Deployments that also need confidentiality run the links inside a
+//! private network.
 //!
-//! Replay: each side contributes a nonce to the connection's key, so a frame proves nothing on
-//! another connection; within one, the sequence must rise; the direction is part of the hash, so
-//! a frame can't be sent back to its sender.
+//! Replay protection: both sides contribute a nonce to the key of the connection, so a frame is not
+//! valid on another connection; within a connection the sequence number must increase; and the
+//! direction is part of the HMAC, so a frame can't be reflected to its sender.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
@@ -18,10 +19,10 @@
     PeerBodyError, PeerHello, PeerWelcome, SealedFrame, TAG_BYTES, decode_body, encode_body,
 };
 
-/// Shortest shared key that is accepted, in bytes.
+/// Minimum length of the shared key in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// The deployment's shared key. Not printed by `Debug`.
+/// The deployment's shared key. Its `Debug` output omits the key.
 #[derive(Clone)]
 pub struct SharedKey(Vec<u8>);
 
@@ -31,29 +32,29 @@
     }
 }
 
-/// Why a peer's message is not believed.
+/// Why a shared key or a peer's message was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
-    /// The shared key is too short.
-    #[error("the peers' key has {0} bytes: write at least {MIN_KEY_BYTES}")]
+    /// The shared key is shorter than [`MIN_KEY_BYTES`].
+    #[error("the shared key of the peers has {0} bytes, at least {MIN_KEY_BYTES} are required")]
     KeyTooShort(usize),
-    /// The sender does not have the shared key, or the frame was changed.
-    #[error("the peer did not prove that it has the shared key")]
+    /// The sender doesn't have the shared key, or the message was modified.
+    #[error("authentication with the shared key failed")]
     InvalidProof,
-    /// The frame was sent before.
-    #[error("the peer's message was sent before")]
+    /// The sequence number of the frame is not higher than the last one.
+    #[error("replayed message")]
     Replayed,
-    /// The message can't be read.
+    /// The message can't be encoded or decoded.
     #[error(transparent)]
     Body(#[from] PeerBodyError),
 }
 
-/// Who sent a frame: the side that made the connection or the other.
+/// The side of a connection that sent a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameSide {
-    /// The side that made the connection.
+    /// The side that opened the connection.
     Initiator,
-    /// The side that accepted it.
+    /// The side that accepted the connection.
     Responder,
 }
 
@@ -74,11 +75,11 @@
 }
 
 impl SharedKey {
-    /// A key; white space around it is dropped, so that a file may end with a line break.
+    /// Creates a key. Surrounding whitespace is trimmed, so a key file may end with a newline.
     ///
     /// # Errors
     ///
-    /// [`AuthError::KeyTooShort`].
+    /// [`AuthError::KeyTooShort`] if fewer than [`MIN_KEY_BYTES`] remain.
     pub fn new(text: &str) -> Result<Self, AuthError> {
         let bytes = text.trim().as_bytes();
         if bytes.len() < MIN_KEY_BYTES {
@@ -99,18 +100,18 @@
         mac.finalize().into_bytes().into()
     }
 
-    /// The answerer's proof; the versions are part of it, so that nobody in between can talk the
-    /// two into an older version.
+    /// Computes the responder's proof that it has the key. It covers the protocol versions, which
+    /// prevents a downgrade by a man in the middle.
     #[must_use]
     pub fn proof(&self, hello: &PeerHello, welcome: &PeerWelcome) -> [u8; TAG_BYTES] {
         truncate_tag(self.hash(b"bramleyspring welcome", hello, welcome))
     }
 
-    /// Checks the answerer's proof.
+    /// Verifies the responder's proof in constant time.
     ///
     /// # Errors
     ///
-    /// [`AuthError::InvalidProof`].
+    /// [`AuthError::InvalidProof`] if it doesn't match.
     pub fn verify_proof(&self, hello: &PeerHello, welcome: &PeerWelcome) -> Result<(), AuthError> {
         let expected = self.proof(hello, welcome);
         if bool::from(expected.ct_eq(&welcome.proof)) {
@@ -119,7 +120,7 @@
         Err(AuthError::InvalidProof)
     }
 
-    /// The seal of one side of a connection.
+    /// Returns the frame authenticator for one side of a connection.
     #[must_use]
     pub fn authenticator(
         &self,
@@ -147,7 +148,7 @@
     tag
 }
 
-/// Seals and opens the frames of one side of one connection.
+/// Signs and verifies frames on one side of a connection.
 #[derive(Debug)]
 pub struct FrameAuthenticator {
     key: [u8; 32],
@@ -157,12 +158,12 @@
     last_received: u64,
 }
 
-/// An opened frame.
+/// A frame whose tag and sequence number were verified.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VerifiedFrame {
-    /// Its sequence.
+    /// Sequence number of the frame.
     pub sequence: u64,
-    /// Its message.
+    /// Encoded message.
     pub payload: Vec<u8>,
 }
 
@@ -176,23 +177,23 @@
         truncate_tag(mac.finalize().into_bytes().into())
     }
 
-    /// Sequence of the newest frame that was opened.
+    /// Returns the sequence number of the last frame that was verified, 0 if none.
     #[must_use]
     pub fn last_received(&self) -> u64 {
         self.last_received
     }
 
-    /// Sequence of the newest frame that was sealed.
+    /// Returns the sequence number of the last frame that was signed, 0 if none.
     #[must_use]
     pub fn last_sent(&self) -> u64 {
         self.last_sent
     }
 
-    /// Seals a message.
+    /// Signs a message and returns the encoded frame.
     ///
     /// # Errors
     ///
-    /// [`AuthError::Body`] when the frame can't be written.
+    /// [`AuthError::Body`] if the frame can't be encoded.
     pub fn sign(&mut self, payload: Vec<u8>) -> Result<Vec<u8>, AuthError> {
         self.last_sent += 1;
         let tag = self.tag(self.side, self.version, self.last_sent, &payload);
@@ -205,11 +206,12 @@
         Ok(encode_body(&frame)?)
     }
 
-    /// Opens a frame of the other side.
+    /// Decodes a frame from the other side and verifies its tag and sequence number.
     ///
     /// # Errors
     ///
-    /// [`AuthError`].
+    /// [`AuthError::Body`] if it can't be decoded, [`AuthError::InvalidProof`] if the tag or version
+    /// is wrong, [`AuthError::Replayed`] if the sequence number did not increase.
     pub fn verify<const LIMIT: usize>(&mut self, bytes: &[u8]) -> Result<VerifiedFrame, AuthError> {
         let frame: SealedFrame = decode_body::<_, LIMIT>(bytes)?;
         let side = self.side.opposite();
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a link ended.
+//! Errors of links.
 
 use domain::NodeId;
 
 use crate::auth::AuthError;
 
-/// Why a link ended.
+/// Why a link failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The connection could not be made or broke.
-    #[error("the connection failed: {0}")]
+    /// The connection could not be established or failed.
+    #[error("connection failed: {0}")]
     Connection(String),
-    /// The peer took too long; it may be frozen or behind a broken network.
-    #[error("no answer in time")]
+    /// The peer didn't respond in time; it may be frozen or unreachable.
+    #[error("the peer did not respond in time")]
     TimedOut,
-    /// The peer refused: too many links, or no common version.
-    #[error("the peer refused with status {0}")]
+    /// The peer refused a request, for example because there is no common protocol version.
+    #[error("the peer refused the request with status {0}")]
     Refused(u16),
-    /// Another node answers at the address: the expected one was replaced.
-    #[error("node {0} answers there")]
+    /// A node other than the expected one responded at the address.
+    #[error("unexpected node {0} at this address")]
     UnexpectedNode(NodeId),
-    /// The peer's message is not believed or can't be read.
+    /// A message of the peer can't be authenticated or decoded.
     #[error(transparent)]
-    Seal(#[from] AuthError),
-    /// A message is larger than allowed.
-    #[error("a message of more than {0} bytes")]
+    Auth(#[from] AuthError),
+    /// A message exceeds this size limit in bytes.
+    #[error("message exceeds {0} bytes")]
     TooLarge(usize),
-    /// This process was frozen; what lies in the buffers is too old to go by.
-    #[error("the message lay too long")]
+    /// The message was buffered too long, because this process or the peer was frozen.
+    #[error("the message is too old")]
     Stale,
 }
 
@@ -50,6 +50,6 @@
 
 impl From<wire::peer::PeerBodyError> for LinkError {
     fn from(error: wire::peer::PeerBodyError) -> Self {
-        Self::Seal(error.into())
+        Self::Auth(error.into())
     }
 }
--- a/crates/peers/src/evidence.rs
+++ b/crates/peers/src/evidence.rs
@@ -1,29 +1,29 @@
-//! What the links carry of evidence of wholeness, and where it comes from and goes to.
+//! The interface through which links exchange health evidence with the rest of the node.
 
 use std::time::Instant;
 
 use domain::HealthEvidence;
 
-/// Evidence with the moment on this node's monotonic clock of the oldest report in it; the
-/// evidence's own `age` is of no account.
+/// Health evidence with a timestamp of this node's monotonic clock. The `age` of the evidence itself
+/// is ignored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedEvidence {
-    /// The evidence.
+    /// Evidence about one replica.
     pub evidence: HealthEvidence,
-    /// The moment of its oldest report, or an earlier one.
+    /// Time of the oldest report in the evidence, or earlier.
     pub as_of: Instant,
 }
 
-/// Where evidence comes from and goes to.
+/// Source and sink of the health evidence that links exchange.
 pub trait EvidenceExchange: Clone + Send + Sync + 'static {
-    /// The newest evidence on each replica.
+    /// Returns the newest evidence of each replica.
     fn export(&self) -> Vec<TimedEvidence>;
 
-    /// Takes in evidence of a peer.
+    /// Accepts evidence received from a peer.
     fn import(&self, evidence: TimedEvidence);
 }
 
-/// Passes on no evidence.
+/// An implementation that neither provides nor accepts evidence.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoEvidence;
 
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Where the links of a node meet what it knows: makes digests and takes them in.
+//! Builds digests of what this node knows for its peers, and applies the digests of peers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,35 +15,37 @@
 use crate::peer_view::{PeerView, millis};
 use crate::traffic::PeerTraffic;
 
-/// Changes of one digest; the rest follows with the next.
+/// Maximum number of configuration changes in one digest; the rest is sent with the next one.
 const MAX_CHANGES: usize = 16;
 
-/// Bytes of changes after which a digest takes no more.
-const CHANGE_BYTES: usize = 64 << 10;
+/// Maximum size of the changes in one digest, in bytes. A single larger change is still sent.
+const MAX_CHANGE_BYTES: usize = 64 << 10;
 
-/// What the links of a node share. Cheap to clone.
+/// The state of this node that all its links exchange with peers. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct GossipState<E> {
-    /// The configuration in force.
+    /// Handle to the configuration in force.
     pub config: ConfigHandle,
-    /// The membership.
+    /// Membership as known to this node, shared with the tasks that read and write the table.
     pub membership: SharedMembership,
-    /// Evidence of wholeness.
+    /// Source and sink of health evidence of replicas.
     pub evidence: E,
-    /// Counts what goes over the links.
+    /// Traffic counters of all links.
     pub traffic: PeerTraffic,
-    /// Its clock orders the events of all nodes.
+    /// Event recorder; its hybrid logical clock is advanced by the stamps of received digests.
     pub recorder: EventRecorder,
-    /// Wakes the links when something must go out at once.
+    /// Wakes all links to exchange digests immediately.
     pub wake: Arc<Notify>,
 }
 
 impl<E: EvidenceExchange> GossipState<E> {
-    /// Makes the digest for a peer of which `memory` knows what it has.
+    /// Builds the digest for a peer, with everything that it lacks according to `peer_view`.
+    ///
+    /// `echo` is the sequence number of the last frame received from the peer.
     pub async fn build_digest(&self, peer_view: &mut PeerView, echo: u64) -> PeerDigest {
-        let news = self.config.status();
+        let status = self.config.status();
         let now = Instant::now();
-        let confirmation = news.confirmation.map(|known| PeerConfirmation {
+        let confirmation = status.confirmation.map(|known| PeerConfirmation {
             revision: known.revision.0,
             age_ms: millis(now.saturating_duration_since(known.as_of)),
         });
@@ -54,11 +56,11 @@
                 millis: stamp.millis,
                 counter: stamp.counter,
             },
-            revision: news.revision.0,
+            revision: status.revision.0,
             confirmation,
             ..PeerDigest::default()
         };
-        if peer_view.revision < news.revision {
+        if peer_view.revision < status.revision {
             self.add_changes(&mut digest, peer_view).await;
         }
         let (rows, departed) = {
@@ -82,7 +84,7 @@
                 return;
             };
             bytes += entry.len();
-            if bytes > CHANGE_BYTES && !digest.changes.is_empty() {
+            if bytes > MAX_CHANGE_BYTES && !digest.changes.is_empty() {
                 return;
             }
             peer_view.revision = change.revision;
@@ -93,13 +95,15 @@
         }
     }
 
-    /// Takes in a peer's digest. `asked_at` is a moment on this node's clock before which the
-    /// digest was certainly not made; ages count from there.
+    /// Applies a digest received from a peer.
+    ///
+    /// `not_before` is a time on this node's clock before which the digest can't have been built.
+    /// Ages in the digest are subtracted from it.
     pub async fn apply_digest(
         &self,
         peer_view: &mut PeerView,
         digest: PeerDigest,
-        asked_at: Instant,
+        not_before: Instant,
     ) {
         let PeerStamp { millis, counter } = digest.stamp;
         self.recorder
@@ -107,11 +111,11 @@
             .observe(HybridStamp { millis, counter });
         peer_view.revision = peer_view.revision.max(digest.revision());
         self.apply_members(peer_view, &digest);
-        for held in peer_view.apply_evidence(&digest, asked_at) {
-            self.evidence.import(held);
+        for evidence in peer_view.apply_evidence(&digest, not_before) {
+            self.evidence.import(evidence);
         }
         let confirmation = digest.confirmation.and_then(|known| {
-            let as_of = asked_at.checked_sub(Duration::from_millis(known.age_ms))?;
+            let as_of = not_before.checked_sub(Duration::from_millis(known.age_ms))?;
             let revision = ConfigRevision(known.revision);
             Some(HeadConfirmation { revision, as_of })
         });
@@ -135,15 +139,15 @@
 
     fn apply_members(&self, peer_view: &mut PeerView, digest: &PeerDigest) {
         let now = Instant::now();
-        let news = peer_view.apply_members(digest);
-        let mut changed = !news.rows.is_empty() || !digest.departed.is_empty();
+        let updates = peer_view.apply_members(digest);
+        let mut changed = !updates.rows.is_empty() || !digest.departed.is_empty();
         {
             let mut state = self.membership.state();
-            for row in news.rows {
+            for row in updates.rows {
                 changed |= state.observe(row, HeartbeatSource::Peer, now);
             }
-            for beat in news.beats {
-                state.observe_heartbeat(&beat.node, beat.beat, now);
+            for update in updates.heartbeats {
+                state.observe_heartbeat(&update.node, update.heartbeat, now);
             }
             for node in &digest.departed {
                 state.observe_leave(node);
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Takes in a peer's whole configuration.
+    /// Applies a complete configuration received from a peer.
     pub async fn apply_snapshot(&self, snapshot: ConfigSnapshot) {
         let observation = ConfigObservation {
             known: snapshot.revision,
@@ -167,7 +171,8 @@
         self.config.observe(observation).await;
     }
 
-    /// Tells the peers that this node goes, as far as they can be reached within `limit`.
+    /// Announces to the linked peers that this node is leaving, and waits `limit` for the
+    /// announcement to be sent.
     pub async fn announce_leave(&self, limit: Duration) {
         self.membership.state().leave();
         self.wake.notify_waiters();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Links between the nodes: `h2` streams that carry `bincode` digests.
+//! Gossip between the nodes: links over HTTP/2 that carry `bincode` digests.
 //!
-//! Each node makes a few links ([`select`]) and keeps them ([`manage`]); on each it exchanges
-//! digests about once a second and at once when a newer configuration is in force ([`link`],
-//! [`listen`]). A digest holds only what the peer is not known to have ([`peer_view`], [`gossip`]). So a
-//! node's traffic grows with the members and replicas, and not with their square.
+//! Each node opens links to a few peers ([`select`]) and maintains them ([`manage`]). On each link
+//! it exchanges digests about once a second, and immediately when a newer configuration comes into
+//! force ([`link`], [`listen`]). A digest contains only what the peer doesn't already have
+//! ([`peer_view`], [`gossip`]), so a node's traffic grows linearly with the number of members and
+//! replicas, not quadratically.
 
 pub mod auth;
 pub mod error;
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,4 +1,4 @@
-//! The calling side of a link.
+//! The initiating side of a link.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -25,23 +25,24 @@
 use crate::peer_view::PeerView;
 use crate::settings::PeerSettings;
 
-/// Exchanges after which a node that is still behind its peer asks for everything. The table
-/// brings the changes sooner, so this happens when the node can't reach it.
-const PATIENT_EXCHANGES: u32 = 3;
+/// Number of exchanges after which a node whose configuration is still behind its peer's fetches a
+/// snapshot. Normally the table delivers the changes sooner, so this happens only if the node can't
+/// reach it.
+const MAX_EXCHANGES_BEHIND: u32 = 3;
 
-/// News of the configuration wait this long for more of it before they go out.
-const NEWS_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a new configuration revision is sent, so that several changes go out together.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// What a link needs beside its address.
+/// What a link needs besides its address.
 #[derive(Debug, Clone)]
 pub struct LinkContext<E> {
-    /// What the links share.
+    /// State of this node that is exchanged over all links.
     pub gossip: GossipState<E>,
-    /// The deployment's key.
+    /// Key shared by all nodes of the deployment.
     pub key: SharedKey,
-    /// Settings.
+    /// Settings of all links.
     pub settings: PeerSettings,
-    /// Events.
+    /// Recorder of link events.
     pub recorder: EventRecorder,
 }
 
@@ -53,17 +54,18 @@
     peer: NodeId,
 }
 
-/// Keeps one link until it fails. `expected` is the node that should answer, where it is known.
+/// Runs one link until it fails. `expected` is the node that should respond; none for a seed
+/// address.
 ///
 /// # Errors
 ///
-/// [`LinkError`], always: a link ends only by failing.
+/// Always returns a [`LinkError`], because a link ends only by failing.
 pub async fn run_link<E: EvidenceExchange>(
     context: &LinkContext<E>,
     address: SocketAddr,
     expected: Option<&NodeId>,
 ) -> Result<std::convert::Infallible, LinkError> {
-    let mut link = within(
+    let mut link = with_timeout(
         context.settings.exchange_timeout(),
         open_link(context, address, expected),
     )
@@ -73,7 +75,7 @@
         EventSubject::default(),
         format!("{} at {address}", link.peer),
     );
-    let mut news = context.gossip.config.watch();
+    let mut status = context.gossip.config.watch();
     let mut behind = 0;
     loop {
         let revision = context.gossip.config.status().revision;
@@ -84,13 +86,13 @@
             behind = 0;
         }
         if link.peer_view.is_full() {
-            link = within(
+            link = with_timeout(
                 context.settings.exchange_timeout(),
                 open_link(context, address, expected),
             )
             .await?;
         }
-        if behind >= PATIENT_EXCHANGES {
+        if behind >= MAX_EXCHANGES_BEHIND {
             link.fetch_snapshot(context).await?;
             behind = 0;
         }
@@ -98,31 +100,33 @@
         tokio::select! {
             () = pause => {}
             () = context.gossip.wake.notified() => {}
-            changed = newer_revision(&mut news, revision) => changed?,
+            changed = newer_revision(&mut status, revision) => changed?,
         }
     }
 }
 
 async fn newer_revision(
-    news: &mut watch::Receiver<ConfigStatus>,
+    status: &mut watch::Receiver<ConfigStatus>,
     revision: ConfigRevision,
 ) -> Result<(), LinkError> {
-    if news
-        .wait_for(|news| news.revision > revision)
+    if status
+        .wait_for(|status| status.revision > revision)
         .await
         .is_err()
     {
-        return Err(LinkError::Connection("the node stops".to_owned()));
+        return Err(LinkError::Connection(
+            "this node is shutting down".to_owned(),
+        ));
     }
-    tokio::time::sleep(NEWS_PAUSE).await;
+    tokio::time::sleep(CHANGE_BATCH_DELAY).await;
     Ok(())
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
-    step: impl Future<Output = Result<T, LinkError>>,
+    operation: impl Future<Output = Result<T, LinkError>>,
 ) -> Result<T, LinkError> {
-    match tokio::time::timeout(limit, step).await {
+    match tokio::time::timeout(limit, operation).await {
         Ok(result) => result,
         Err(_) => Err(LinkError::TimedOut),
     }
@@ -146,14 +150,14 @@
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
         node: context.gossip.membership.node().clone(),
     };
-    let answer = post(
+    let response = post(
         &mut requests,
         "/hello",
         encode_body(&hello)?,
         MAX_HELLO_BYTES,
     )
     .await?;
-    let welcome: PeerWelcome = decode_body::<_, MAX_HELLO_BYTES>(&answer)?;
+    let welcome: PeerWelcome = decode_body::<_, MAX_HELLO_BYTES>(&response)?;
     context.key.verify_proof(&hello, &welcome)?;
     if expected.is_some_and(|node| *node != welcome.node) {
         return Err(LinkError::UnexpectedNode(welcome.node));
@@ -174,21 +178,21 @@
         &mut self,
         context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let echo = self.auth.last_received();
         let digest = context.gossip.build_digest(&mut self.peer_view, echo).await;
         let payload = encode_body(&digest)?;
-        let answer = self.ask::<MAX_DIGEST_BYTES>("/digest", payload).await?;
+        let response = self.request::<MAX_DIGEST_BYTES>("/digest", payload).await?;
         context.gossip.traffic.count_exchange();
-        // A process that was frozen finds the answer before its own timeout: the answer may tell
-        // of heartbeats that were heard long ago.
-        if asked_at.elapsed() > self.timeout {
+        // After this process was frozen, the response may be ready before the timeout fires. Its
+        // heartbeats may then be long out of date.
+        if requested_at.elapsed() > self.timeout {
             return Err(LinkError::Stale);
         }
-        let answer: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&answer)?;
+        let response: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&response)?;
         context
             .gossip
-            .apply_digest(&mut self.peer_view, answer, asked_at)
+            .apply_digest(&mut self.peer_view, response, requested_at)
             .await;
         Ok(())
     }
@@ -197,25 +201,25 @@
         &mut self,
         context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
-        let answer = self
-            .ask::<MAX_SNAPSHOT_BYTES>("/snapshot", Vec::new())
+        let response = self
+            .request::<MAX_SNAPSHOT_BYTES>("/snapshot", Vec::new())
             .await?;
-        let Ok(snapshot) = serde_json::from_slice(&answer) else {
-            return Err(LinkError::Connection("an unreadable snapshot".to_owned()));
+        let Ok(snapshot) = serde_json::from_slice(&response) else {
+            return Err(LinkError::Connection("malformed snapshot".to_owned()));
         };
         context.gossip.apply_snapshot(snapshot).await;
         Ok(())
     }
 
-    async fn ask<const LIMIT: usize>(
+    async fn request<const LIMIT: usize>(
         &mut self,
         path: &str,
         payload: Vec<u8>,
     ) -> Result<Vec<u8>, LinkError> {
         let frame = self.auth.sign(payload)?;
-        let step = post(&mut self.requests, path, frame, LIMIT);
-        let answer = within(self.timeout, step).await?;
-        Ok(self.auth.verify::<LIMIT>(&answer)?.payload)
+        let operation = post(&mut self.requests, path, frame, LIMIT);
+        let response = with_timeout(self.timeout, operation).await?;
+        Ok(self.auth.verify::<LIMIT>(&response)?.payload)
     }
 }
 
@@ -230,20 +234,20 @@
         .uri(format!("http://peer{path}"))
         .body(())?;
     let mut ready = requests.clone().ready().await?;
-    let (answer, mut sender) = ready.send_request(request, false)?;
+    let (response, mut sender) = ready.send_request(request, false)?;
     sender.send_data(Bytes::from(body), true)?;
-    let answer = answer.await?;
-    if answer.status() != StatusCode::OK {
-        return Err(LinkError::Refused(answer.status().as_u16()));
+    let response = response.await?;
+    if response.status() != StatusCode::OK {
+        return Err(LinkError::Refused(response.status().as_u16()));
     }
-    read_stream(answer.into_body(), limit).await
+    read_stream(response.into_body(), limit).await
 }
 
-/// Reads a stream of at most `limit` bytes.
+/// Reads a whole stream of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// [`LinkError::TooLarge`] and [`LinkError::Connection`].
+/// [`LinkError::TooLarge`] beyond `limit`, [`LinkError::Connection`] if the stream fails.
 pub async fn read_stream(mut stream: RecvStream, limit: usize) -> Result<Vec<u8>, LinkError> {
     let mut bytes = Vec::new();
     while let Some(chunk) = stream.data().await {
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -1,4 +1,4 @@
-//! The answering side of the links.
+//! The accepting side of links.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,51 +21,51 @@
 use crate::link::{LinkContext, read_stream};
 use crate::peer_view::PeerView;
 
-/// Connections at once. A node is linked to by about as many as it links to; 64 leave room for an
-/// unlucky hash and bound what strangers can hold open.
+/// Maximum number of concurrent connections. A node accepts about as many links as it opens; 64
+/// leaves room for an uneven hash distribution and bounds what unauthenticated clients can hold
+/// open.
 const MAX_CONNECTIONS: usize = 64;
 
-/// Requests of one connection at once: a peer sends them one after the other.
+/// Maximum number of concurrent requests per connection; a peer sends them one at a time.
 const MAX_STREAMS: u32 = 4;
 
-/// A connection without a request for this time is closed: its peer is frozen or gone.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+/// Time without a request after which a connection is closed; its peer is frozen or gone.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers whose moment is kept; a peer echoes the newest that it has.
-const KEPT_ANSWERS: usize = 8;
+/// Number of responses whose send time is kept. A peer echoes the newest one that it received.
+const KEPT_RESPONSES: usize = 8;
 
-/// A request that echoes an answer older than this lay in a buffer while this process or its peer
-/// was frozen; what it tells of heartbeats is too old to go by.
-const LATE_LIMIT: Duration = Duration::from_secs(6);
+/// Maximum age of the response that a request echoes. An older one means that the request was
+/// buffered while this process or its peer was frozen, so its heartbeats are out of date.
+const MAX_ECHO_AGE: Duration = Duration::from_secs(6);
 
-/// Shortest time between two answers on one connection, so that one peer can't take the
-/// processor.
-const ANSWER_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before each response to a digest, so that one peer can't use up the CPU.
+const RESPONSE_DELAY: Duration = Duration::from_millis(10);
 
-/// Pause after a failed accept; without it a process out of file descriptors spins.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which prevents a busy loop when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links until the task is dropped.
 pub async fn accept_links<E: EvidenceExchange>(listener: TcpListener, context: LinkContext<E>) {
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
         let context = context.clone();
         tokio::spawn(async move {
-            let ended = serve_connection(&context, stream).await;
-            if let Err(LinkError::Seal(error @ AuthError::InvalidProof)) = ended {
+            let outcome = serve_connection(&context, stream).await;
+            if let Err(LinkError::Auth(error @ AuthError::InvalidProof)) = outcome {
                 let detail = format!("{address}: {error}");
                 context
                     .recorder
                     .note(EventCode::PeerRefused, EventSubject::default(), detail);
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -79,109 +79,110 @@
     let mut builder = h2::server::Builder::new();
     builder.max_concurrent_streams(MAX_STREAMS);
     let handshake = builder.handshake::<_, Bytes>(stream);
-    let mut connection = match tokio::time::timeout(IDLE_LIMIT, handshake).await {
+    let mut connection = match tokio::time::timeout(IDLE_TIMEOUT, handshake).await {
         Ok(connection) => connection?,
         Err(_) => return Err(LinkError::TimedOut),
     };
     let session = Arc::new(Mutex::new(None));
-    let (ended_sender, mut ended) = tokio::sync::mpsc::channel(1);
+    let (error_sender, mut errors) = tokio::sync::mpsc::channel(1);
     loop {
         let request = tokio::select! {
-            error = ended.recv() => return error.map_or(Ok(()), Err),
-            request = tokio::time::timeout(IDLE_LIMIT, connection.accept()) => request,
+            error = errors.recv() => return error.map_or(Ok(()), Err),
+            request = tokio::time::timeout(IDLE_TIMEOUT, connection.accept()) => request,
         };
-        let (request, respond) = match request {
+        let (request, responder) = match request {
             Ok(Some(request)) => request?,
             Ok(None) => return Ok(()),
             Err(_) => return Err(LinkError::TimedOut),
         };
-        // The connection itself moves only while it is polled here, so a request must not be
-        // answered in this loop.
+        // The connection makes progress only while `accept` is polled, so requests are handled in
+        // separate tasks.
         let context = context.clone();
         let session = Arc::clone(&session);
-        let ended_sender = ended_sender.clone();
+        let error_sender = error_sender.clone();
         tokio::spawn(async move {
             let mut session = session.lock().await;
-            if let Err(error) = answer_request(&context, &mut session, request, respond).await {
-                let _ = ended_sender.send(error).await;
+            if let Err(error) = handle_request(&context, &mut session, request, responder).await {
+                let _ = error_sender.send(error).await;
             }
         });
     }
 }
 
-/// The answering side of one connection after the hello.
-struct AnswerSession {
+/// State of an accepted connection after the hello.
+struct ResponderSession {
     auth: FrameAuthenticator,
     peer_view: PeerView,
-    answered: VecDeque<AnswerMoment>,
+    responses: VecDeque<SentResponse>,
 }
 
-/// When an answer was sent.
-struct AnswerMoment {
+/// The sequence number and send time of a response.
+struct SentResponse {
     sequence: u64,
-    at: Instant,
+    sent_at: Instant,
 }
 
-impl AnswerSession {
-    /// The moment after which a request that echoes an answer was made.
-    fn asked_at(&self, echo: u64) -> Option<Instant> {
-        self.answered
+impl ResponderSession {
+    /// Returns when the echoed response was sent, which is before the request was built. None if
+    /// the response is no longer kept.
+    fn response_time(&self, echo: u64) -> Option<Instant> {
+        self.responses
             .iter()
-            .find(|answer| answer.sequence == echo)
-            .map(|answer| answer.at)
+            .find(|response| response.sequence == echo)
+            .map(|response| response.sent_at)
     }
 
-    fn note_answer(&mut self) {
-        if self.answered.len() == KEPT_ANSWERS {
-            self.answered.pop_front();
+    fn record_response(&mut self) {
+        if self.responses.len() == KEPT_RESPONSES {
+            self.responses.pop_front();
         }
-        self.answered.push_back(AnswerMoment {
+        self.responses.push_back(SentResponse {
             sequence: self.auth.last_sent(),
-            at: Instant::now(),
+            sent_at: Instant::now(),
         });
     }
 }
 
-async fn answer_request<E: EvidenceExchange>(
+async fn handle_request<E: EvidenceExchange>(
     context: &LinkContext<E>,
-    session: &mut Option<AnswerSession>,
+    session: &mut Option<ResponderSession>,
     request: Request<h2::RecvStream>,
-    respond: SendResponse<Bytes>,
+    responder: SendResponse<Bytes>,
 ) -> Result<(), LinkError> {
     let path = request.uri().path().to_owned();
     let body = request.into_body();
     match (path.as_str(), session) {
-        ("/hello", place @ None) => {
+        ("/hello", empty @ None) => {
             let bytes = read_stream(body, MAX_HELLO_BYTES).await?;
             let hello: PeerHello = decode_body::<_, MAX_HELLO_BYTES>(&bytes)?;
             let Some(version) = common_version(&hello) else {
-                return refuse(respond, StatusCode::UPGRADE_REQUIRED);
+                return respond_error(responder, StatusCode::UPGRADE_REQUIRED);
             };
-            let (opened, welcome) = welcome_peer(context, &hello, version);
-            *place = Some(opened);
-            answer(respond, encode_body(&welcome)?)
+            let (opened, welcome) = accept_hello(context, &hello, version);
+            *empty = Some(opened);
+            respond_ok(responder, encode_body(&welcome)?)
         }
         ("/digest", Some(session)) => {
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
             let frame = session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
             let digest: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
-            let asked_at = session.asked_at(digest.echo).ok_or(LinkError::Stale)?;
-            if asked_at.elapsed() > LATE_LIMIT {
+            let not_before = session.response_time(digest.echo).ok_or(LinkError::Stale)?;
+            if not_before.elapsed() > MAX_ECHO_AGE {
                 return Err(LinkError::Stale);
             }
             context
                 .gossip
-                .apply_digest(&mut session.peer_view, digest, asked_at)
+                .apply_digest(&mut session.peer_view, digest, not_before)
                 .await;
-            tokio::time::sleep(ANSWER_PAUSE).await;
+            tokio::time::sleep(RESPONSE_DELAY).await;
             let digest = context
                 .gossip
                 .build_digest(&mut session.peer_view, frame.sequence)
                 .await;
             let signed = session.auth.sign(encode_body(&digest)?)?;
-            session.note_answer();
+            session.record_response();
             context.gossip.traffic.count_exchange();
-            answer(respond, signed)
+            respond_ok(responder, signed)
         }
         ("/snapshot", Some(session)) => {
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
@@ -190,18 +191,18 @@
             let json = serde_json::to_vec(&snapshot)
                 .map_err(|error| LinkError::Connection(error.to_string()))?;
             let signed = session.auth.sign(json)?;
-            session.note_answer();
-            answer(respond, signed)
+            session.record_response();
+            respond_ok(responder, signed)
         }
-        _ => refuse(respond, StatusCode::NOT_FOUND),
+        _ => respond_error(responder, StatusCode::NOT_FOUND),
     }
 }
 
-fn welcome_peer<E: EvidenceExchange>(
+fn accept_hello<E: EvidenceExchange>(
     context: &LinkContext<E>,
     hello: &PeerHello,
     version: u8,
-) -> (AnswerSession, PeerWelcome) {
+) -> (ResponderSession, PeerWelcome) {
     let mut welcome = PeerWelcome {
         version,
         nonce: rand::random::<[u8; NONCE_BYTES]>(),
@@ -209,26 +210,26 @@
         proof: Default::default(),
     };
     welcome.proof = context.key.proof(hello, &welcome);
-    let mut session = AnswerSession {
+    let mut session = ResponderSession {
         auth: context
             .key
             .authenticator(hello, &welcome, FrameSide::Responder),
         peer_view: PeerView::default(),
-        answered: VecDeque::new(),
+        responses: VecDeque::new(),
     };
-    session.note_answer();
+    session.record_response();
     (session, welcome)
 }
 
-fn answer(mut respond: SendResponse<Bytes>, body: Vec<u8>) -> Result<(), LinkError> {
+fn respond_ok(mut responder: SendResponse<Bytes>, body: Vec<u8>) -> Result<(), LinkError> {
     let head = Response::builder().status(StatusCode::OK).body(())?;
-    let mut stream = respond.send_response(head, false)?;
+    let mut stream = responder.send_response(head, false)?;
     stream.send_data(Bytes::from(body), true)?;
     Ok(())
 }
 
-fn refuse(mut respond: SendResponse<Bytes>, status: StatusCode) -> Result<(), LinkError> {
+fn respond_error(mut responder: SendResponse<Bytes>, status: StatusCode) -> Result<(), LinkError> {
     let head = Response::builder().status(status).body(())?;
-    respond.send_response(head, true)?;
+    responder.send_response(head, true)?;
     Ok(())
 }
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -1,4 +1,4 @@
-//! Keeps the node's links: makes the chosen ones, drops the others, avoids peers that failed.
+//! Link management: opens links to selected peers, closes others, and avoids peers that failed.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,123 +13,124 @@
 use crate::link::{LinkContext, run_link};
 use crate::select::select_peers;
 
-/// The choice is made anew so often; a change of members is never urgent here.
-const CHOOSE_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which peers are selected again; reacting to membership changes isn't urgent.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Where a link goes.
+/// The remote end of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum LinkPlace {
-    /// To a member.
+enum LinkEndpoint {
+    /// A known member.
     Member(NodeId),
-    /// To an address from the settings, whoever answers there.
+    /// A seed address from the settings; any node may respond there.
     Seed(SocketAddr),
 }
 
-struct LinkEnd {
-    place: LinkPlace,
+struct EndedLink {
+    endpoint: LinkEndpoint,
     error: LinkError,
 }
 
-/// Keeps the node's links until the task is dropped.
+/// Maintains the node's links until the task is dropped.
 pub async fn maintain_links<E: EvidenceExchange>(context: LinkContext<E>) {
-    let mut keeper = LinkKeeper {
+    let mut manager = LinkManager {
         context,
         running: FastMap::default(),
         tasks: JoinSet::new(),
         avoided: FastMap::default(),
     };
-    let mut ticks = tokio::time::interval(CHOOSE_PERIOD);
+    let mut ticker = tokio::time::interval(SELECTION_INTERVAL);
     loop {
         tokio::select! {
-            _ = ticks.tick() => keeper.choose(Instant::now()),
-            Some(ended) = keeper.tasks.join_next() => {
+            _ = ticker.tick() => manager.update_links(Instant::now()),
+            Some(ended) = manager.tasks.join_next() => {
                 if let Ok(ended) = ended {
-                    keeper.note_end(ended, Instant::now());
+                    manager.handle_link_end(ended, Instant::now());
                 }
             }
         }
     }
 }
 
-struct LinkKeeper<E> {
+struct LinkManager<E> {
     context: LinkContext<E>,
-    running: FastMap<LinkPlace, AbortHandle>,
-    tasks: JoinSet<LinkEnd>,
-    avoided: FastMap<LinkPlace, Instant>,
+    running: FastMap<LinkEndpoint, AbortHandle>,
+    tasks: JoinSet<EndedLink>,
+    avoided: FastMap<LinkEndpoint, Instant>,
 }
 
-impl<E: EvidenceExchange> LinkKeeper<E> {
-    fn choose(&mut self, now: Instant) {
+impl<E: EvidenceExchange> LinkManager<E> {
+    fn update_links(&mut self, now: Instant) {
         self.avoided.retain(|_, until| *until > now);
         let view = self.context.gossip.membership.view(now);
         let avoided: FastSet<NodeId> = self
             .avoided
             .keys()
-            .filter_map(|place| match place {
-                LinkPlace::Member(node) => Some(node.clone()),
-                LinkPlace::Seed(_) => None,
+            .filter_map(|endpoint| match endpoint {
+                LinkEndpoint::Member(node) => Some(node.clone()),
+                LinkEndpoint::Seed(_) => None,
             })
             .collect();
         let own = self.context.gossip.membership.own();
         let degree = self.context.settings.degree;
-        let mut wanted: FastMap<LinkPlace, SocketAddr> = FastMap::default();
+        let mut selected: FastMap<LinkEndpoint, SocketAddr> = FastMap::default();
         for member in select_peers(&own, &view, degree, &avoided) {
-            wanted.insert(LinkPlace::Member(member.node), member.address);
+            selected.insert(LinkEndpoint::Member(member.node), member.address);
         }
-        if wanted.is_empty() {
+        if selected.is_empty() {
             for seed in &self.context.settings.seeds {
-                let place = LinkPlace::Seed(*seed);
-                if *seed == own.address || self.avoided.contains_key(&place) {
+                let endpoint = LinkEndpoint::Seed(*seed);
+                if *seed == own.address || self.avoided.contains_key(&endpoint) {
                     continue;
                 }
-                wanted.insert(place, *seed);
+                selected.insert(endpoint, *seed);
             }
         }
-        self.running.retain(|place, task| {
-            let keep = wanted.contains_key(place);
+        self.running.retain(|endpoint, task| {
+            let keep = selected.contains_key(endpoint);
             if !keep {
                 task.abort();
             }
             keep
         });
-        for (place, address) in wanted {
-            self.start(place, address);
+        for (endpoint, address) in selected {
+            self.start_link(endpoint, address);
         }
     }
 
-    fn start(&mut self, place: LinkPlace, address: SocketAddr) {
-        if self.running.contains_key(&place) {
+    fn start_link(&mut self, endpoint: LinkEndpoint, address: SocketAddr) {
+        if self.running.contains_key(&endpoint) {
             return;
         }
         let context = self.context.clone();
-        let target = place.clone();
+        let remote = endpoint.clone();
         let task = self.tasks.spawn(async move {
-            let expected = match &target {
-                LinkPlace::Member(node) => Some(node),
-                LinkPlace::Seed(_) => None,
+            let expected = match &remote {
+                LinkEndpoint::Member(node) => Some(node),
+                LinkEndpoint::Seed(_) => None,
             };
             let ended = run_link(&context, address, expected).await;
             let error = match ended {
                 Ok(never) => match never {},
                 Err(error) => error,
             };
-            LinkEnd {
-                place: target,
+            EndedLink {
+                endpoint: remote,
                 error,
             }
         });
-        self.running.insert(place, task);
+        self.running.insert(endpoint, task);
     }
 
-    /// A peer whose link failed is avoided for a while, and another takes its place: retried at
-    /// once, a frozen peer would hold the place and a returning one be run over.
-    fn note_end(&mut self, ended: LinkEnd, now: Instant) {
+    /// Avoids a peer for a while after its link failed, so that another peer is selected instead.
+    /// With an immediate retry, a frozen peer would keep its link slot, and all nodes would
+    /// reconnect at once to a peer that comes back.
+    fn handle_link_end(&mut self, ended: EndedLink, now: Instant) {
         let until = now + jittered(self.context.settings.avoid_duration());
-        self.running.remove(&ended.place);
-        let detail = format!("{:?}: {}", ended.place, ended.error);
+        self.running.remove(&ended.endpoint);
+        let detail = format!("{:?}: {}", ended.endpoint, ended.error);
         self.context
             .recorder
             .note(EventCode::PeerLost, EventSubject::default(), detail);
-        self.avoided.insert(ended.place, until);
+        self.avoided.insert(ended.endpoint, until);
     }
 }
--- a/crates/peers/src/peer_view.rs
+++ b/crates/peers/src/peer_view.rs
@@ -1,7 +1,8 @@
-//! What the peer at the other end of a connection is known to have.
+//! What the peer at the other end of a connection already has.
 //!
-//! A connection delivers in order or ends, and the memory ends with it. So what was sent counts as
-//! known: without this, 410 nodes would send each other the whole membership once a second.
+//! A connection either delivers in order or fails, and this state ends with it. Everything that was
+//! sent therefore counts as known to the peer. Without this state, 410 nodes would send each other
+//! the whole membership once a second.
 
 use std::time::{Duration, Instant};
 
@@ -12,31 +13,35 @@
 
 use crate::evidence::TimedEvidence;
 
-/// Member rows of one digest; the rest follows with the next.
+/// Maximum number of member rows in one digest; the rest is sent with the next one.
 const MAX_ROWS: usize = 200;
 
-/// Evidence older than this opens no gate and is not passed on.
-const EVIDENCE_LIMIT: Duration = Duration::from_secs(10);
+/// Age beyond which evidence is not forwarded, because it no longer allows dispatch.
+const MAX_EVIDENCE_AGE: Duration = Duration::from_secs(10);
 
-/// A newer look is passed on when it is this much newer. Watchers look about once a second; a step
-/// of a whole second skipped every look that came a little early, and every look of both watchers
-/// of a replica would not fit into the 3 KB/s that a node may spend.
-const LOOK_STEP: Duration = Duration::from_millis(600);
+/// A health check with the same result is forwarded only if it is newer by at least this much.
+///
+/// Health checks run about once a second on two nodes per replica. With a minimum of 1 s, every
+/// check that ran slightly early was skipped; forwarding all checks of both nodes would exceed the
+/// 3 KB/s that a node may use.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Rows or findings after which a connection is made anew. The memory only grows while it stands:
-/// with 410 nodes, a hundred restarts a day and a finding for every host that fails or returns,
-/// one of months would hold ever more of what is long gone.
-const WORN_ENTRIES: usize = 4_096;
+/// Number of rows or pieces of evidence after which the connection is replaced.
+///
+/// The view only grows during a connection. With 410 nodes, a hundred restarts a day and new
+/// evidence for every host that fails or returns, a connection that lasts for months would
+/// accumulate entries of nodes and replicas that no longer exist.
+const MAX_ENTRIES: usize = 4_096;
 
-/// What a peer is known to have, on one connection.
+/// What the peer of one connection already has.
 #[derive(Debug, Default)]
 pub struct PeerView {
-    /// The highest revision that the peer has or was sent.
+    /// Highest configuration revision that the peer has or was sent.
     pub revision: ConfigRevision,
     sent_rows: Vec<NodeId>,
     received_rows: Vec<NodeId>,
-    places: FastMap<NodeId, u32>,
-    beats: FastMap<NodeId, u64>,
+    row_indices: FastMap<NodeId, u32>,
+    heartbeats: FastMap<NodeId, u64>,
     departed: FastSet<NodeId>,
     sent_evidence: FastMap<ReplicaId, SentEvidence>,
     evidence_count: u32,
@@ -46,48 +51,48 @@
 
 #[derive(Debug)]
 struct SentEvidence {
-    place: u32,
+    index: u32,
     evidence: HealthEvidence,
     as_of: Instant,
 }
 
 impl PeerView {
-    /// Whether so much went over the connection that it should be made anew.
+    /// Whether the view has grown so large that the connection should be replaced.
     #[must_use]
     pub fn is_full(&self) -> bool {
         let rows = self.sent_rows.len().max(self.received_rows.len());
-        let findings = self.received_evidence.len();
-        rows.max(findings).max(self.evidence_count as usize) >= WORN_ENTRIES
+        let evidence = self.received_evidence.len();
+        rows.max(evidence).max(self.evidence_count as usize) >= MAX_ENTRIES
     }
 
-    /// Adds the members, heartbeats and goodbyes that the peer lacks.
+    /// Adds the member rows and heartbeats that the peer lacks to a digest.
     pub fn add_members(&mut self, digest: &mut PeerDigest, rows: Vec<MemberRow>) {
         for row in rows {
             let node = row.member.node.clone();
-            let Some(place) = self.places.get(&node) else {
+            let Some(index) = self.row_indices.get(&node) else {
                 if digest.rows.len() == MAX_ROWS {
                     continue;
                 }
-                let place = u32::try_from(self.sent_rows.len()).unwrap_or(u32::MAX);
-                self.places.insert(node.clone(), place * 2);
+                let index = u32::try_from(self.sent_rows.len()).unwrap_or(u32::MAX);
+                self.row_indices.insert(node.clone(), index * 2);
                 self.sent_rows.push(node.clone());
-                self.beats.insert(node, row.beat);
+                self.heartbeats.insert(node, row.beat);
                 digest.rows.push(row_to_wire(row));
                 continue;
             };
-            let known = self.beats.get(&node).copied().unwrap_or_default();
+            let known = self.heartbeats.get(&node).copied().unwrap_or_default();
             if row.beat <= known {
                 continue;
             }
             digest.beats.push(PeerBeat {
-                place: *place,
+                place: *index,
                 beat: row.beat,
             });
-            self.beats.insert(node, row.beat);
+            self.heartbeats.insert(node, row.beat);
         }
     }
 
-    /// Adds the goodbyes that the peer lacks.
+    /// Adds the departed members that the peer doesn't know of to a digest.
     pub fn add_departed(&mut self, digest: &mut PeerDigest, departed: Vec<NodeId>) {
         for node in departed {
             if self.departed.insert(node.clone()) {
@@ -96,16 +101,16 @@
         }
     }
 
-    /// Adds the evidence that the peer lacks.
+    /// Adds the evidence that the peer lacks to a digest.
     pub fn add_evidence(
         &mut self,
         digest: &mut PeerDigest,
-        held: Vec<TimedEvidence>,
+        known: Vec<TimedEvidence>,
         now: Instant,
     ) {
-        for TimedEvidence { evidence, as_of } in held {
+        for TimedEvidence { evidence, as_of } in known {
             let age = now.saturating_duration_since(as_of);
-            if age > EVIDENCE_LIMIT {
+            if age > MAX_EVIDENCE_AGE {
                 continue;
             }
             let age = LookAge::from(age);
@@ -113,14 +118,14 @@
                 continue;
             }
             if let Some(sent) = self.sent_evidence.get_mut(&evidence.replica)
-                && same_finding(&sent.evidence, &evidence)
+                && same_result(&sent.evidence, &evidence)
             {
-                if as_of < sent.as_of + LOOK_STEP {
+                if as_of < sent.as_of + MIN_REFRESH_INTERVAL {
                     continue;
                 }
                 sent.as_of = as_of;
-                let place = sent.place;
-                digest.looks.push(PeerLook { place, age });
+                let index = sent.index;
+                digest.looks.push(PeerLook { place: index, age });
                 continue;
             }
             digest.evidence.push(PeerEvidence {
@@ -131,7 +136,7 @@
                 age,
             });
             let sent = SentEvidence {
-                place: self.evidence_count,
+                index: self.evidence_count,
                 evidence: evidence.clone(),
                 as_of,
             };
@@ -140,24 +145,28 @@
         }
     }
 
-    /// Whether the peer itself sent a look that is about as new: it must not get it back.
+    /// Whether the peer itself sent the same result from about the same time, so that it must not be
+    /// sent back.
     fn peer_has(&self, evidence: &HealthEvidence, as_of: Instant) -> bool {
         self.peer_evidence
             .get(&evidence.replica)
             .is_some_and(|known| {
-                same_finding(&known.evidence, evidence) && as_of < known.as_of + LOOK_STEP
+                same_result(&known.evidence, evidence) && as_of < known.as_of + MIN_REFRESH_INTERVAL
             })
     }
 
-    /// Takes in the members of a digest: whole rows, and heartbeats with their node.
+    /// Applies the members of a digest to the view, and returns them with heartbeat indices resolved
+    /// to nodes.
     pub fn apply_members(&mut self, digest: &PeerDigest) -> MemberUpdates {
-        let mut news = MemberUpdates::default();
+        let mut updates = MemberUpdates::default();
         for row in &digest.rows {
-            let place = u32::try_from(self.received_rows.len()).unwrap_or(u32::MAX);
+            let index = u32::try_from(self.received_rows.len()).unwrap_or(u32::MAX);
             self.received_rows.push(row.node.clone());
-            self.places.entry(row.node.clone()).or_insert(place * 2 + 1);
-            self.raise_beat(&row.node, row.beat);
-            news.rows.push(row_from_wire(row.clone()));
+            self.row_indices
+                .entry(row.node.clone())
+                .or_insert(index * 2 + 1);
+            self.update_heartbeat(&row.node, row.beat);
+            updates.rows.push(row_from_wire(row.clone()));
         }
         for beat in &digest.beats {
             let index = beat.place as usize / 2;
@@ -169,26 +178,31 @@
             let Some(node) = rows.get(index).cloned() else {
                 continue;
             };
-            self.raise_beat(&node, beat.beat);
-            news.beats.push(NodeHeartbeat {
+            self.update_heartbeat(&node, beat.beat);
+            updates.heartbeats.push(NodeHeartbeat {
                 node,
-                beat: beat.beat,
+                heartbeat: beat.beat,
             });
         }
         for node in &digest.departed {
             self.departed.insert(node.clone());
         }
-        news
+        updates
     }
 
-    fn raise_beat(&mut self, node: &NodeId, beat: u64) {
-        let known = self.beats.entry(node.clone()).or_default();
-        *known = beat.max(*known);
+    fn update_heartbeat(&mut self, node: &NodeId, heartbeat: u64) {
+        let known = self.heartbeats.entry(node.clone()).or_default();
+        *known = heartbeat.max(*known);
     }
 
-    /// Takes in the evidence of a digest that answers a question sent at `asked_at`.
-    pub fn apply_evidence(&mut self, digest: &PeerDigest, asked_at: Instant) -> Vec<TimedEvidence> {
-        let mut taken = Vec::new();
+    /// Applies the evidence of a digest that was built after `not_before`, and returns it with
+    /// timestamps of this node's clock.
+    pub fn apply_evidence(
+        &mut self,
+        digest: &PeerDigest,
+        not_before: Instant,
+    ) -> Vec<TimedEvidence> {
+        let mut received = Vec::new();
         for wire in &digest.evidence {
             let evidence = HealthEvidence {
                 replica: wire.replica.clone(),
@@ -198,53 +212,57 @@
                 age: Duration::ZERO,
             };
             self.received_evidence.push(evidence.clone());
-            taken.extend(held(evidence, wire.age, asked_at));
+            received.extend(with_timestamp(evidence, wire.age, not_before));
         }
         for look in &digest.looks {
             let Some(evidence) = self.received_evidence.get(look.place as usize) else {
                 continue;
             };
-            taken.extend(held(evidence.clone(), look.age, asked_at));
+            received.extend(with_timestamp(evidence.clone(), look.age, not_before));
         }
-        for held in &taken {
+        for timed in &received {
             self.peer_evidence
-                .insert(held.evidence.replica.clone(), held.clone());
+                .insert(timed.evidence.replica.clone(), timed.clone());
         }
-        taken
+        received
     }
 }
 
-/// Members that a digest brought.
+/// Member updates received in a digest.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MemberUpdates {
-    /// Whole rows.
+    /// Complete member rows; each side sends a row at most once per connection.
     pub rows: Vec<MemberRow>,
-    /// Heartbeats of members whose row came before.
-    pub beats: Vec<NodeHeartbeat>,
+    /// Heartbeats of members whose rows were sent over this connection before.
+    pub heartbeats: Vec<NodeHeartbeat>,
 }
 
-/// A member's heartbeat.
+/// The heartbeat counter of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeHeartbeat {
-    /// The member.
+    /// Node id of the member.
     pub node: NodeId,
-    /// Its heartbeat.
-    pub beat: u64,
+    /// Heartbeat counter, which the member itself increments.
+    pub heartbeat: u64,
 }
 
-fn same_finding(left: &HealthEvidence, right: &HealthEvidence) -> bool {
+fn same_result(left: &HealthEvidence, right: &HealthEvidence) -> bool {
     left.incarnation == right.incarnation
         && left.hosts == right.hosts
         && left.leaving == right.leaving
 }
 
-/// None when the age reaches back before the start of this host's clock.
-fn held(evidence: HealthEvidence, age: LookAge, asked_at: Instant) -> Option<TimedEvidence> {
-    let as_of = asked_at.checked_sub(Duration::from(age))?;
+/// Adds a timestamp to evidence. None if its age reaches back before the start of this host's clock.
+fn with_timestamp(
+    evidence: HealthEvidence,
+    age: LookAge,
+    not_before: Instant,
+) -> Option<TimedEvidence> {
+    let as_of = not_before.checked_sub(Duration::from(age))?;
     Some(TimedEvidence { evidence, as_of })
 }
 
-/// A duration in whole milliseconds, rounded up: an age may look older, never younger.
+/// Converts an age to whole milliseconds, rounded up so that it is never underestimated.
 #[must_use]
 pub fn millis(age: Duration) -> u64 {
     u64::try_from(age.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
--- a/crates/peers/src/select.rs
+++ b/crates/peers/src/select.rs
@@ -1,17 +1,17 @@
-//! Which peers a node links to.
+//! Selection of the peers that a node opens links to.
 
 use control::Member;
 use control::members::{MemberView, rendezvous_weight};
 use domain::FastSet;
 use domain::NodeId;
 
-/// Picks the peers that `own` makes links to, `degree` at most.
+/// Selects at most `degree` peers that `own` opens links to.
 ///
-/// Made for 410 nodes in 13 failure domains and 4 regions: each node makes the same few links
-/// however many nodes there are, and by rendezvous hashing the choice moves little when nodes come
-/// and go. One link leaves the region and one leaves the failure domain, so that no domain is an
-/// island; the others stay in the own domain, where a message costs least and evidence matters
-/// most. `avoided` are peers whose link failed lately; their place goes to the next in rank.
+/// Designed for 410 nodes in 13 failure domains and 4 regions. The number of links per node doesn't
+/// depend on the number of nodes, and rendezvous hashing keeps most links in place when nodes come
+/// and go. One link leaves the region and one leaves the failure domain, so that no domain is
+/// isolated; the others stay within the domain, where messages are cheapest and health evidence
+/// matters most. Peers in `avoided`, whose links failed recently, are replaced by the next in rank.
 #[must_use]
 pub fn select_peers(
     own: &Member,
@@ -39,12 +39,12 @@
             chosen.push((*member).clone());
         }
     };
-    let abroad = |member: &Member| member.region != own.region;
-    let next_door = |member: &Member| member.region == own.region && member.domain != own.domain;
-    let near = |member: &Member| member.domain == own.domain && member.region == own.region;
-    take(&abroad, degree.min(1));
-    take(&next_door, degree.min(2));
-    take(&near, degree);
+    let other_region = |member: &Member| member.region != own.region;
+    let other_domain = |member: &Member| member.region == own.region && member.domain != own.domain;
+    let same_domain = |member: &Member| member.domain == own.domain && member.region == own.region;
+    take(&other_region, degree.min(1));
+    take(&other_domain, degree.min(2));
+    take(&same_domain, degree);
     take(&|_| true, degree);
     chosen
 }
--- a/crates/peers/src/settings.rs
+++ b/crates/peers/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the links.
+//! Settings of the links between nodes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,31 +6,31 @@
 
 use serde::Deserialize;
 
-/// Settings of the links between nodes. Times are milliseconds.
+/// Settings of the links between nodes. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Where peers connect; none takes a free port on the callers' address.
+    /// Address on which to accept links; if none, a free port on the address for callers.
     pub listen: Option<SocketAddr>,
-    /// File with the key that all nodes share. Without one the node makes and takes no links.
+    /// File with the key that all nodes share. Without a key, the node opens and accepts no links.
     pub key_file: Option<PathBuf>,
-    /// Environment variable with that key, for hosts whose settings come without files.
+    /// Environment variable with the shared key, for hosts that are configured without files.
     pub key_env: Option<String>,
-    /// Addresses of some nodes, asked while the node knows no other, such as when it starts while
-    /// the store is down.
+    /// Addresses of some nodes, contacted while no other node is known, for example when starting
+    /// while the store is down.
     #[builder(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Links that the node makes, from 2 to 8; about as many are made to it.
+    /// Number of links that the node opens, from 2 to 8; it accepts about as many.
     #[builder(default = 4)]
     pub degree: usize,
-    /// Mean time between two exchanges on a link, from 200 to 10,000. News of the configuration
-    /// goes out at once.
+    /// Mean time between exchanges on a link, from 200 to 10,000. Configuration changes are sent
+    /// immediately.
     #[builder(default = 1_000)]
     pub exchange_ms: u64,
-    /// An exchange that takes longer ends the link, from 500 to 5,000.
+    /// Timeout of an exchange, after which the link fails, from 500 to 5,000.
     #[builder(default = 2_000)]
     pub timeout_ms: u64,
-    /// A peer whose link failed is avoided for this time, from 1,000 to 60,000.
+    /// Time for which a peer is avoided after its link failed, from 1,000 to 60,000.
     #[builder(default = 10_000)]
     pub avoid_ms: u64,
 }
@@ -42,19 +42,19 @@
 }
 
 impl PeerSettings {
-    /// Mean time between two exchanges on a link.
+    /// Returns the mean time between exchanges on a link.
     #[must_use]
     pub fn exchange_interval(&self) -> Duration {
         Duration::from_millis(self.exchange_ms)
     }
 
-    /// Longest exchange.
+    /// Returns the timeout of an exchange.
     #[must_use]
     pub fn exchange_timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// How long a peer whose link failed is avoided.
+    /// Returns how long a peer is avoided after its link failed.
     #[must_use]
     pub fn avoid_duration(&self) -> Duration {
         Duration::from_millis(self.avoid_ms)
--- a/crates/peers/src/traffic.rs
+++ b/crates/peers/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what goes over the links.
+//! Traffic counters of the links.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counters over all links of a node since its start. Clones share them.
+/// Counters of all links of a node since it started. Clones share the counters.
 #[derive(Debug, Clone, Default)]
 pub struct PeerTraffic {
     counters: Arc<TrafficCounters>,
@@ -22,19 +22,19 @@
     exchanges: AtomicU64,
 }
 
-/// What went over the links, without the headers of TCP and IP.
+/// A snapshot of the traffic counters. Bytes exclude TCP and IP headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     pub received: u64,
-    /// Digests sent, as a question or an answer.
+    /// Number of digests sent, in requests or responses.
     pub exchanges: u64,
 }
 
 impl PeerTraffic {
-    /// The counts so far.
+    /// Returns the current values of the counters.
     #[must_use]
     pub fn counts(&self) -> TrafficCounts {
         TrafficCounts {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Counts a digest.
+    /// Counts one digest sent.
     pub fn count_exchange(&self) {
         self.counters.exchanges.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the bytes of a connection.
+    /// Wraps a connection to count its bytes.
     #[must_use]
     pub fn wrap(&self, stream: TcpStream) -> CountedStream {
         CountedStream {
@@ -59,7 +59,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A TCP stream that counts the bytes read and written.
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
