--- a/crates/peers/tests/frame_auth.rs
+++ b/crates/peers/tests/frame_auth.rs
@@ -1,4 +1,4 @@
-//! Frames that were changed, repeated, turned around or signed with another key.
+//! Frames that were modified, replayed, reflected or signed with another key are rejected.
 
 use peers::SharedKey;
 use peers::auth::{AuthError, FrameAuthenticator, FrameSide};
@@ -35,11 +35,11 @@
 
 fn verify(auth: &mut FrameAuthenticator, frame: &[u8]) -> Result<Vec<u8>, AuthError> {
     auth.verify::<MAX_DIGEST_BYTES>(frame)
-        .map(|opened| opened.payload)
+        .map(|frame| frame.payload)
 }
 
 #[test]
-fn frame_opened() {
+fn frames_verified() {
     let (mut initiator, mut responder) = pair(1, KEY);
     let frame = initiator.sign(vec![1, 2, 3]).expect("signed");
     assert_eq!(verify(&mut responder, &frame), Ok(vec![1, 2, 3]));
@@ -47,10 +47,10 @@
     assert_eq!(verify(&mut initiator, &back), Ok(vec![4]));
 }
 
-// Someone on the network sends a node's message once more, so that an old head or an old heartbeat
-// is taken for news.
+// An attacker on the network replays a node's message, so that an old configuration head or
+// heartbeat is accepted as new.
 #[test]
-fn repeats_refused() {
+fn replayed_frames_refused() {
     let (mut initiator, mut responder) = pair(1, KEY);
     let frame = initiator.sign(vec![1]).expect("signed");
     assert!(verify(&mut responder, &frame).is_ok());
@@ -61,35 +61,35 @@
 }
 
 #[test]
-fn changes_refused() {
+fn modified_frames_refused() {
     let (mut initiator, _) = pair(1, KEY);
     let frame = initiator.sign(vec![1, 2, 3]).expect("signed");
-    for place in 0..frame.len() {
+    for index in 0..frame.len() {
         let (_, mut responder) = pair(1, KEY);
         let mut changed = frame.clone();
-        changed[place] ^= 1;
-        assert!(verify(&mut responder, &changed).is_err(), "byte {place}");
+        changed[index] ^= 1;
+        assert!(verify(&mut responder, &changed).is_err(), "byte {index}");
     }
 }
 
 #[test]
 fn other_key_refused() {
-    let (mut stranger, _) = pair(1, "another key, as long as it");
+    let (mut outsider, _) = pair(1, "another key, as long as it");
     let (_, mut responder) = pair(1, KEY);
-    let frame = stranger.sign(vec![1]).expect("signed");
+    let frame = outsider.sign(vec![1]).expect("signed");
     assert_eq!(verify(&mut responder, &frame), Err(AuthError::InvalidProof));
     let key = SharedKey::new(KEY).expect("long enough");
-    let mut answer = welcome(1);
+    let mut reply = welcome(1);
     assert_eq!(
-        key.verify_proof(&hello(1), &answer),
+        key.verify_proof(&hello(1), &reply),
         Err(AuthError::InvalidProof)
     );
-    answer.proof = key.proof(&hello(1), &answer);
-    assert_eq!(key.verify_proof(&hello(1), &answer), Ok(()));
-    // An older version named by someone in between is noticed.
-    answer.version = 0;
+    reply.proof = key.proof(&hello(1), &reply);
+    assert_eq!(key.verify_proof(&hello(1), &reply), Ok(()));
+    // A downgrade to an older version by a man in the middle is detected.
+    reply.version = 0;
     assert_eq!(
-        key.verify_proof(&hello(1), &answer),
+        key.verify_proof(&hello(1), &reply),
         Err(AuthError::InvalidProof)
     );
 }
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes of one mesh in one process, each with its own configuration, membership and links.
+//! A mesh of nodes in one process, each with its own configuration, membership and links.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 use tokio::task::JoinHandle;
 use wire::record::RecordFrame;
 
-/// Generous bound on anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout of anything that a test waits for, long enough for a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// One node of a mesh.
 pub struct MeshNode {
@@ -44,25 +44,25 @@
     }
 }
 
-/// How the nodes of a mesh are set.
+/// Settings of the nodes of a mesh.
 #[derive(Clone)]
-pub struct MeshPlan {
-    pub beat: Duration,
-    pub limits: LivenessTimeouts,
-    pub rule: ReadinessPolicy,
+pub struct MeshConfig {
+    pub heartbeat_interval: Duration,
+    pub liveness: LivenessTimeouts,
+    pub readiness: ReadinessPolicy,
     pub settings: PeerSettings,
 }
 
-impl MeshPlan {
-    /// Ten times as fast as the defaults, for tests.
-    pub fn quick() -> Self {
+impl MeshConfig {
+    /// Settings for tests: heartbeats ten times as fast as by default, other times shorter as well.
+    pub fn fast() -> Self {
         Self {
-            beat: Duration::from_millis(500),
-            limits: LivenessTimeouts {
+            heartbeat_interval: Duration::from_millis(500),
+            liveness: LivenessTimeouts {
                 dead: Duration::from_secs(4),
                 unreachable: Duration::from_secs(2),
             },
-            rule: ReadinessPolicy {
+            readiness: ReadinessPolicy {
                 confirm_limit: Duration::from_millis(1_500),
                 settle: Duration::from_millis(2_500),
             },
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Starts a node that knows the given seeds and no table.
+    /// Starts a node with the given seeds, without a table or evidence.
     pub async fn start(&self, name: &str, key: &str, seeds: &[SocketAddr]) -> MeshNode {
         self.start_with(name, key, seeds, NoEvidence).await
     }
 
-    /// Starts such a node that passes on evidence.
+    /// Starts a node with the given seeds and evidence, without a table.
     pub async fn start_with<E: EvidenceExchange>(
         &self,
         name: &str,
@@ -98,10 +98,11 @@
             region: "dakar".parse().expect("a region"),
             admin: None,
         };
-        let membership = SharedMembership::new(MemberState::new(own.clone(), self.limits));
+        let membership = SharedMembership::new(MemberState::new(own.clone(), self.liveness));
         let recorder = EventRecorder::new(own.node.clone(), 1_000);
         let views = watch::Sender::new(Arc::new(ConfigView::default()));
-        let config = ConfigActor::start(self.rule, membership.clone(), views, recorder.clone());
+        let config =
+            ConfigActor::start(self.readiness, membership.clone(), views, recorder.clone());
         let gossip = GossipState {
             config: config.clone(),
             membership: membership.clone(),
@@ -121,7 +122,7 @@
         let tasks = vec![
             tokio::spawn(accept_links(listener, context.clone())),
             tokio::spawn(maintain_links(context)),
-            tokio::spawn(beat_forever(membership.clone(), self.beat)),
+            tokio::spawn(send_heartbeats(membership.clone(), self.heartbeat_interval)),
         ];
         MeshNode {
             config,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Starts nodes that all know the first one.
+    /// Starts nodes that all use the first one as their seed.
     pub async fn start_many(&self, count: usize) -> Vec<MeshNode> {
         let mut nodes: Vec<MeshNode> = Vec::new();
         for number in 0..count {
@@ -144,18 +145,18 @@
     }
 }
 
-/// The mesh's key.
+/// The shared key of the mesh.
 pub const KEY: &str = "a key that all nodes share";
 
-async fn beat_forever(membership: SharedMembership, pause: Duration) {
+async fn send_heartbeats(membership: SharedMembership, interval: Duration) {
     loop {
         membership.state().advance_heartbeat();
         membership.publish(Instant::now());
-        tokio::time::sleep(control::config::poll::jittered(pause)).await;
+        tokio::time::sleep(control::config::poll::jittered(interval)).await;
     }
 }
 
-/// The change that makes a revision.
+/// Returns the change that creates a revision.
 pub fn change(revision: u64) -> ChangeEntry {
     let name = format!("d{revision}");
     ChangeEntry {
@@ -173,8 +174,8 @@
 }
 
 impl MeshNode {
-    /// Learns the head as if from the table, now.
-    #[allow(dead_code, reason = "the measurement needs it")]
+    /// Confirms the head revision, as if it had just been read from the table.
+    #[allow(dead_code, reason = "used by the benchmark")]
     pub async fn confirm(&self, revision: u64) {
         let observation = ConfigObservation {
             update: ConfigUpdate::default(),
@@ -187,8 +188,8 @@
         self.config.observe(observation).await;
     }
 
-    /// Learns a change and the head as if from the table, now.
-    pub async fn learn(&self, revision: u64) {
+    /// Applies a change and confirms its revision, as if both had just been read from the table.
+    pub async fn apply_change(&self, revision: u64) {
         let update = ConfigUpdate {
             snapshot: None,
             changes: vec![change(revision)],
@@ -209,20 +210,20 @@
         self.config.status().revision.0
     }
 
-    pub fn standing(&self) -> NodeReadiness {
+    pub fn readiness(&self) -> NodeReadiness {
         self.config.status().readiness
     }
 
-    pub fn alive(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.membership.view(Instant::now()).members.len()
     }
 }
 
-/// Waits until something holds.
-pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until a condition is met; `what` describes it in the panic message.
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < PATIENCE, "waited too long: {what}");
+    while !condition() {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/peers/tests/peer_links.rs
+++ b/crates/peers/tests/peer_links.rs
@@ -1,155 +1,189 @@
-//! Links between nodes of one mesh, over loopback connections.
+//! Tests of links between the nodes of a mesh over loopback connections.
 
 mod mesh;
 
 use std::time::{Duration, Instant};
 
 use control::config::NodeReadiness;
-use mesh::{KEY, MeshPlan, wait_until};
+use mesh::{KEY, MeshConfig, wait_until};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn members_met() {
-    let nodes = MeshPlan::quick().start_many(8).await;
+async fn members_discovered() {
+    let nodes = MeshConfig::fast().start_many(8).await;
     for node in &nodes {
-        wait_until("every node knows all", || node.alive() == nodes.len()).await;
+        wait_until("all members discovered", || {
+            node.member_count() == nodes.len()
+        })
+        .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_spread() {
-    let nodes = MeshPlan::quick().start_many(8).await;
+async fn changes_propagated() {
+    let nodes = MeshConfig::fast().start_many(8).await;
     for node in &nodes {
-        wait_until("every node knows all", || node.alive() == nodes.len()).await;
+        wait_until("all members discovered", || {
+            node.member_count() == nodes.len()
+        })
+        .await;
     }
     for revision in 1..=5 {
-        nodes[revision % 3].learn(revision as u64).await;
+        nodes[revision % 3].apply_change(revision as u64).await;
         for node in &nodes {
-            wait_until("in force", || node.revision() >= revision as u64).await;
+            wait_until("the revision is in force", || {
+                node.revision() >= revision as u64
+            })
+            .await;
         }
     }
     for node in &nodes {
         assert_eq!(node.revision(), 5);
-        assert_eq!(node.standing(), NodeReadiness::Confirmed);
+        assert_eq!(node.readiness(), NodeReadiness::Confirmed);
     }
 }
 
-/// A node that was away for long misses more changes than its peers keep. It would stay behind for
-/// good if they could only pass on single changes; callers would see records of weeks ago.
+/// A node was away for so long that it misses more changes than its peers keep. If they could only
+/// send single changes, it would stay behind forever and serve outdated records.
 #[tokio::test(flavor = "multi_thread")]
 async fn snapshot_fetched() {
-    let plan = MeshPlan::quick();
-    let first = plan.start("e1", KEY, &[]).await;
+    let config = MeshConfig::fast();
+    let first = config.start("e1", KEY, &[]).await;
     for revision in 1..=400 {
-        first.learn(revision).await;
+        first.apply_change(revision).await;
     }
-    let second = plan.start("e2", KEY, &[first.address]).await;
-    wait_until("the late node has all", || second.revision() == 400).await;
+    let second = config.start("e2", KEY, &[first.address]).await;
+    wait_until("the second node catches up", || second.revision() == 400).await;
     let records = second.config.snapshot().await.records;
     assert_eq!(records, first.config.snapshot().await.records);
 }
 
-/// A process with another key, such as one of another deployment or an attacker's, speaks to a
-/// node. If it were believed it could put a configuration of its own into force.
+/// A process with another key, for example of another deployment or an attacker, connects to a
+/// node. If it were accepted, it could put its own configuration into force.
 #[tokio::test(flavor = "multi_thread")]
-async fn stranger_refused() {
-    let plan = MeshPlan::quick();
-    let first = plan.start("e1", KEY, &[]).await;
-    let stranger = plan
+async fn wrong_key_refused() {
+    let config = MeshConfig::fast();
+    let first = config.start("e1", KEY, &[]).await;
+    let stranger = config
         .start("e2", "another key of the right length", &[first.address])
         .await;
-    stranger.learn(1).await;
+    stranger.apply_change(1).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(first.revision(), 0);
-    assert_eq!(first.alive(), 1);
-    assert_eq!(stranger.alive(), 1);
+    assert_eq!(first.member_count(), 1);
+    assert_eq!(stranger.member_count(), 1);
 }
 
-/// One of three nodes loses all links. It can't know what is in force any more and steps out of
-/// service; the two others, who hear each other, take the store to be down and go on.
+/// Nodes that can't reach the store but hear each other conclude that the store is down and keep
+/// serving. When the two other nodes of a mesh of three are gone, the remaining one can't know which
+/// configuration is in force and stops serving.
 #[tokio::test(flavor = "multi_thread")]
-async fn lonely_node_stops() {
-    let plan = MeshPlan::quick();
-    let mut nodes = plan.start_many(3).await;
-    nodes[0].learn(1).await;
+async fn isolated_node_stops() {
+    let config = MeshConfig::fast();
+    let mut nodes = config.start_many(3).await;
+    nodes[0].apply_change(1).await;
     for node in &nodes {
-        wait_until("all know all", || node.alive() == 3).await;
-        wait_until("in force", || node.revision() == 1).await;
+        wait_until("all members discovered", || node.member_count() == 3).await;
+        wait_until("the revision is in force", || node.revision() == 1).await;
     }
     for node in &nodes {
-        wait_until("goes on", || node.standing() == NodeReadiness::StoreDown).await;
+        wait_until("the store is considered down", || {
+            node.readiness() == NodeReadiness::StoreDown
+        })
+        .await;
     }
-    let gone = nodes.split_off(1);
-    drop(gone);
-    wait_until("steps out", || nodes[0].standing() == NodeReadiness::CutOff).await;
+    let stopped = nodes.split_off(1);
+    drop(stopped);
+    wait_until("the node is cut off", || {
+        nodes[0].readiness() == NodeReadiness::CutOff
+    })
+    .await;
 }
 
-/// The store is down for all while a node starts. Its peers have the configuration; it takes over
-/// theirs and serves once it has heard more than half of the roster for a while.
+/// A node starts while the store is down for all. It takes the configuration from its peers and
+/// serves once it has heard from more than half of the roster for the settle time.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_store() {
-    let plan = MeshPlan::quick();
-    let nodes = plan.start_many(3).await;
-    nodes[0].learn(1).await;
+    let config = MeshConfig::fast();
+    let nodes = config.start_many(3).await;
+    nodes[0].apply_change(1).await;
     for node in &nodes {
-        wait_until("in force", || node.revision() == 1).await;
-        wait_until("all know all", || node.alive() == 3).await;
+        wait_until("the revision is in force", || node.revision() == 1).await;
+        wait_until("all members discovered", || node.member_count() == 3).await;
     }
     for node in &nodes {
-        wait_until("goes on", || node.standing() == NodeReadiness::StoreDown).await;
+        wait_until("the store is considered down", || {
+            node.readiness() == NodeReadiness::StoreDown
+        })
+        .await;
     }
     let started = Instant::now();
-    let late = plan.start("late", KEY, &[nodes[0].address]).await;
-    wait_until("serves", || late.standing() == NodeReadiness::StoreDown).await;
+    let late = config.start("late", KEY, &[nodes[0].address]).await;
+    wait_until("the late node serves", || {
+        late.readiness() == NodeReadiness::StoreDown
+    })
+    .await;
     assert_eq!(late.revision(), 1);
-    assert!(started.elapsed() >= plan.rule.settle, "it did not wait");
+    assert!(
+        started.elapsed() >= config.readiness.settle,
+        "it did not wait for the settle time"
+    );
 }
 
-/// A small group of old nodes is cut off and a node starts among them. They tell it an old
-/// configuration and a roster of which most can't be heard; it must not serve.
+/// A node starts in a minority of nodes that is cut off from the others. It receives an old
+/// configuration and a roster of which most nodes can't be heard, and must not serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn minority_start_refused() {
-    let plan = MeshPlan::quick();
-    let mut nodes = plan.start_many(7).await;
-    nodes[0].learn(1).await;
+    let config = MeshConfig::fast();
+    let mut nodes = config.start_many(7).await;
+    nodes[0].apply_change(1).await;
     for node in &nodes {
-        wait_until("in force", || node.revision() == 1).await;
-        wait_until("all know all", || node.alive() == 7).await;
+        wait_until("the revision is in force", || node.revision() == 1).await;
+        wait_until("all members discovered", || node.member_count() == 7).await;
     }
     nodes.truncate(2);
     for node in &nodes {
-        wait_until("steps out", || node.standing() == NodeReadiness::CutOff).await;
+        wait_until("the node is cut off", || {
+            node.readiness() == NodeReadiness::CutOff
+        })
+        .await;
     }
-    let late = plan.start("late", KEY, &[nodes[0].address]).await;
-    wait_until("has the old head", || late.revision() == 1).await;
-    let watched = Instant::now();
-    while watched.elapsed() < plan.rule.settle * 3 {
-        assert!(!late.standing().serves(), "{:?}", late.standing());
+    let late = config.start("late", KEY, &[nodes[0].address]).await;
+    wait_until("the late node has the old configuration", || {
+        late.revision() == 1
+    })
+    .await;
+    let started = Instant::now();
+    while started.elapsed() < config.readiness.settle * 3 {
+        assert!(!late.readiness().serves(), "{:?}", late.readiness());
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A node that stops says goodbye, so that watchers are chosen anew at once and the majority is
-/// counted without it.
+/// A node that stops announces that it leaves, so that health checks are reassigned at once and the
+/// majority is counted without it.
 #[tokio::test(flavor = "multi_thread")]
-async fn goodbye_heard() {
-    let plan = MeshPlan::quick();
-    let nodes = plan.start_many(4).await;
+async fn leave_announced() {
+    let config = MeshConfig::fast();
+    let nodes = config.start_many(4).await;
     for node in &nodes {
-        wait_until("all know all", || node.alive() == 4).await;
+        wait_until("all members discovered", || node.member_count() == 4).await;
     }
     nodes[3].membership.state().leave();
     for node in &nodes[..3] {
-        wait_until("three are left", || node.alive() == 3).await;
+        wait_until("three members are left", || node.member_count() == 3).await;
         let reach = node.membership.reach(Instant::now());
         assert_eq!(reach.roster_size, 3);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_news_sent() {
-    let nodes = MeshPlan::quick().start_many(6).await;
+async fn only_updates_sent() {
+    let nodes = MeshConfig::fast().start_many(6).await;
     for node in &nodes {
-        wait_until("every node knows all", || node.alive() == nodes.len()).await;
+        wait_until("all members discovered", || {
+            node.member_count() == nodes.len()
+        })
+        .await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = nodes[0].traffic.counts();
@@ -157,7 +191,10 @@
     let after = nodes[0].traffic.counts();
     let bytes = after.sent - before.sent;
     let exchanges = after.exchanges - before.exchanges;
-    assert!(exchanges > 0, "the links stand still");
-    let each = bytes / exchanges;
-    assert!(each < 160, "{each} bytes a digest: rows are sent again");
+    assert!(exchanges > 0, "no digests were exchanged");
+    let mean = bytes / exchanges;
+    assert!(
+        mean < 160,
+        "{mean} bytes per digest: rows are sent repeatedly"
+    );
 }
--- a/crates/peers/tests/peer_selection.rs
+++ b/crates/peers/tests/peer_selection.rs
@@ -1,4 +1,4 @@
-//! Which peers are chosen, and that the links hold all nodes together.
+//! Tests of peer selection, and that the resulting links connect all nodes.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use peers::PeerSettings;
 use peers::select::select_peers;
 
-/// Nodes in 13 failure domains of 4 regions, as in two years' time.
+/// Returns nodes in 13 failure domains of 4 regions, the layout expected in two years.
 fn members(count: usize) -> MemberView {
     let mut members: Vec<Member> = (0..count)
         .map(|number| Member {
@@ -27,37 +27,38 @@
     PeerSettings::default().degree
 }
 
-fn choices(view: &MemberView) -> FastMap<NodeId, Vec<Member>> {
+fn selections(view: &MemberView) -> FastMap<NodeId, Vec<Member>> {
     let none = FastSet::default();
-    let mut choices = FastMap::default();
+    let mut selections = FastMap::default();
     for member in &view.members {
-        let chosen = select_peers(member, view, degree(), &none);
-        choices.insert(member.node.clone(), chosen);
+        let selected = select_peers(member, view, degree(), &none);
+        selections.insert(member.node.clone(), selected);
     }
-    choices
+    selections
 }
 
-fn reached(choices: &FastMap<NodeId, Vec<Member>>, alive: &BTreeSet<NodeId>) -> usize {
+/// Counts the live nodes that the first live node can reach over links between live nodes.
+fn reachable(selections: &FastMap<NodeId, Vec<Member>>, alive: &BTreeSet<NodeId>) -> usize {
     let mut neighbours: FastMap<NodeId, Vec<NodeId>> = FastMap::default();
-    for (node, chosen) in choices {
-        for other in chosen {
+    for (node, selected) in selections {
+        for other in selected {
             if !alive.contains(node) || !alive.contains(&other.node) {
                 continue;
             }
-            let mut join = |from: &NodeId, to: &NodeId| {
+            let mut connect = |from: &NodeId, to: &NodeId| {
                 neighbours.entry(from.clone()).or_default().push(to.clone());
             };
-            join(node, &other.node);
-            join(&other.node, node);
+            connect(node, &other.node);
+            connect(&other.node, node);
         }
     }
     let mut seen = BTreeSet::new();
-    let mut open: Vec<NodeId> = alive.first().cloned().into_iter().collect();
-    while let Some(node) = open.pop() {
+    let mut pending: Vec<NodeId> = alive.first().cloned().into_iter().collect();
+    while let Some(node) = pending.pop() {
         if !seen.insert(node.clone()) {
             continue;
         }
-        open.extend(neighbours.get(&node).into_iter().flatten().cloned());
+        pending.extend(neighbours.get(&node).into_iter().flatten().cloned());
     }
     seen.len()
 }
@@ -65,19 +66,19 @@
 #[test]
 fn spread_over_regions() {
     let view = members(410);
-    for (node, chosen) in choices(&view) {
+    for (node, selected) in selections(&view) {
         let own = view.members.iter().find(|member| member.node == node);
         let own = own.expect("a member");
-        assert_eq!(chosen.len(), degree());
-        assert!(chosen.iter().any(|other| other.region != own.region));
-        assert!(chosen.iter().any(|other| other.domain != own.domain));
-        assert!(chosen.iter().any(|other| other.domain == own.domain));
-        assert!(chosen.iter().all(|other| other.node != own.node));
+        assert_eq!(selected.len(), degree());
+        assert!(selected.iter().any(|other| other.region != own.region));
+        assert!(selected.iter().any(|other| other.domain != own.domain));
+        assert!(selected.iter().any(|other| other.domain == own.domain));
+        assert!(selected.iter().all(|other| other.node != own.node));
     }
 }
 
 #[test]
-fn links_hold_together() {
+fn links_connect_all_nodes() {
     for count in [2, 3, 6, 12, 24, 48, 410] {
         let view = members(count);
         let alive: BTreeSet<_> = view
@@ -85,16 +86,16 @@
             .iter()
             .map(|member| member.node.clone())
             .collect();
-        assert_eq!(reached(&choices(&view), &alive), count);
+        assert_eq!(reachable(&selections(&view), &alive), count);
     }
 }
 
-// A whole failure domain goes dark. The nodes that are left must still hear each other over the
-// links that stand, before any new link is made.
+// A whole failure domain is lost. The remaining nodes must still be connected by their existing
+// links, before any new link is opened.
 #[test]
 fn domain_lost() {
     let view = members(410);
-    let choices = choices(&view);
+    let selections = selections(&view);
     for lost in 0..13 {
         let alive: BTreeSet<_> = view
             .members
@@ -102,22 +103,26 @@
             .filter(|member| member.domain.as_str() != format!("d{lost}"))
             .map(|member| member.node.clone())
             .collect();
-        assert_eq!(reached(&choices, &alive), alive.len(), "without d{lost}");
+        assert_eq!(
+            reachable(&selections, &alive),
+            alive.len(),
+            "without d{lost}"
+        );
     }
 }
 
-// Nodes come and go a hundred times a day. If every change moved every link, the links would
-// hardly ever stand.
+// Nodes come and go a hundred times a day. If every change moved many links, they would constantly
+// be reconnecting.
 #[test]
-fn choice_moves_little() {
+fn selection_is_stable() {
     let view = members(410);
-    let before = choices(&view);
+    let before = selections(&view);
     let mut fewer = view.clone();
     fewer.members.remove(100);
-    let after = choices(&fewer);
+    let after = selections(&fewer);
     let moved = after
         .iter()
-        .filter(|(node, chosen)| before[*node] != **chosen)
+        .filter(|(node, selected)| before[*node] != **selected)
         .count();
     assert!(moved <= 20, "{moved} nodes moved a link");
 }
--- a/crates/peers/tests/peer_view.rs
+++ b/crates/peers/tests/peer_view.rs
@@ -1,4 +1,4 @@
-//! What a connection remembers of its peer: only news goes over it, and all news does.
+//! Tests of the view of a peer: a connection carries all updates, and each of them only once.
 
 use std::time::{Duration, Instant};
 
@@ -26,61 +26,69 @@
     }
 }
 
-/// One end of a connection with what its node knows.
+/// One side of a connection, with the members that its node knows.
 #[derive(Default)]
-struct TestEndpoint {
+struct TestSide {
     peer_view: PeerView,
-    beats: FastMap<NodeId, MemberRow>,
+    members: FastMap<NodeId, MemberRow>,
 }
 
-impl TestEndpoint {
+impl TestSide {
     fn learn(&mut self, row: MemberRow) {
-        let known = self.beats.get(&row.member.node);
+        let known = self.members.get(&row.member.node);
         if known.is_none_or(|known| known.beat < row.beat) {
-            self.beats.insert(row.member.node.clone(), row);
+            self.members.insert(row.member.node.clone(), row);
         }
     }
 
     fn send(&mut self) -> PeerDigest {
         let mut digest = PeerDigest::default();
-        let rows = self.beats.values().cloned().collect();
+        let rows = self.members.values().cloned().collect();
         self.peer_view.add_members(&mut digest, rows);
         digest
     }
 
-    fn take(&mut self, digest: &PeerDigest) {
-        let news = self.peer_view.apply_members(digest);
-        for row in news.rows {
+    fn receive(&mut self, digest: &PeerDigest) {
+        let updates = self.peer_view.apply_members(digest);
+        for row in updates.rows {
             self.learn(row);
         }
-        for beat in news.beats {
-            let known = self.beats.get(&beat.node).cloned().expect("its row came");
+        for update in updates.heartbeats {
+            let known = self
+                .members
+                .get(&update.node)
+                .cloned()
+                .expect("a row received before");
             self.learn(MemberRow {
-                beat: beat.beat,
+                beat: update.heartbeat,
                 ..known
             });
         }
     }
 }
 
-// A heartbeat is written under the wrong place in the other side's list. A dead node would live on
-// and a live one be taken for dead.
+// If the two sides disagreed about the index of a row, heartbeats would be credited to the wrong
+// node: a dead node would appear alive, and a live one dead.
 #[test]
 fn sides_agree() {
     fn property(steps: Vec<(bool, u8, u64)>) -> bool {
-        let mut initiator = TestEndpoint::default();
-        let mut responder = TestEndpoint::default();
-        for (near, number, beat) in steps {
-            let side = if near { &mut initiator } else { &mut responder };
+        let mut initiator = TestSide::default();
+        let mut responder = TestSide::default();
+        for (at_initiator, number, beat) in steps {
+            let side = if at_initiator {
+                &mut initiator
+            } else {
+                &mut responder
+            };
             side.learn(row(number % 8, beat % 50));
             if beat % 3 != 0 {
                 continue;
             }
-            let question = initiator.send();
-            responder.take(&question);
-            let answer = responder.send();
-            initiator.take(&answer);
-            if initiator.beats != responder.beats {
+            let request = initiator.send();
+            responder.receive(&request);
+            let response = responder.send();
+            initiator.receive(&response);
+            if initiator.members != responder.members {
                 return false;
             }
             if initiator.send() != PeerDigest::default() {
@@ -96,7 +104,7 @@
         .quickcheck(property as fn(Vec<(bool, u8, u64)>) -> bool);
 }
 
-fn finding(incarnation: u64, as_of: Instant) -> TimedEvidence {
+fn evidence(incarnation: u64, as_of: Instant) -> TimedEvidence {
     TimedEvidence {
         evidence: HealthEvidence {
             replica: "trader-help.1".parse().expect("a replica"),
@@ -109,49 +117,49 @@
     }
 }
 
-// Evidence that lay with several nodes on its way looks as fresh as at its start. Its age must
-// never shrink, or a gate opens for a replica whose host is long gone.
+// Evidence is forwarded by several nodes, each of which holds it for a while. If its age shrank on
+// the way, requests would be dispatched to a replica whose host failed long ago.
 #[test]
 fn age_never_shrinks() {
     let seen = Instant::now();
-    let mut held = finding(1, seen);
+    let mut current = evidence(1, seen);
     for hop in 1..6_u64 {
         let mut sender = PeerView::default();
         let mut receiver = PeerView::default();
-        let asked_at = seen + Duration::from_millis(733 * hop);
-        let answered_at = asked_at + Duration::from_millis(7);
+        let requested_at = seen + Duration::from_millis(733 * hop);
+        let responded_at = requested_at + Duration::from_millis(7);
         let mut digest = PeerDigest::default();
-        sender.add_evidence(&mut digest, vec![held.clone()], answered_at);
-        let taken = receiver.apply_evidence(&digest, asked_at);
-        assert_eq!(taken.len(), 1);
-        assert!(taken[0].as_of <= seen, "it got younger");
-        held = taken[0].clone();
+        sender.add_evidence(&mut digest, vec![current.clone()], responded_at);
+        let received = receiver.apply_evidence(&digest, requested_at);
+        assert_eq!(received.len(), 1);
+        assert!(received[0].as_of <= seen, "the evidence got younger");
+        current = received[0].clone();
     }
 }
 
 #[test]
-fn looks_not_returned() {
+fn evidence_not_sent_back() {
     let now = Instant::now();
     let mut sender = PeerView::default();
     let mut receiver = PeerView::default();
     let mut digest = PeerDigest::default();
-    sender.add_evidence(&mut digest, vec![finding(1, now)], now);
-    let taken = receiver.apply_evidence(&digest, now);
+    sender.add_evidence(&mut digest, vec![evidence(1, now)], now);
+    let received = receiver.apply_evidence(&digest, now);
     let mut back = PeerDigest::default();
-    receiver.add_evidence(&mut back, taken, now);
+    receiver.add_evidence(&mut back, received, now);
     assert_eq!(back, PeerDigest::default());
     let later = now + Duration::from_secs(1);
     let mut again = PeerDigest::default();
-    sender.add_evidence(&mut again, vec![finding(1, later)], later);
+    sender.add_evidence(&mut again, vec![evidence(1, later)], later);
     assert_eq!((again.evidence.len(), again.looks.len()), (0, 1));
-    let taken = receiver.apply_evidence(&again, later);
-    assert_eq!(taken, vec![finding(1, later)]);
+    let received = receiver.apply_evidence(&again, later);
+    assert_eq!(received, vec![evidence(1, later)]);
 }
 
-// A connection stands for months while hosts fail and return. What it remembers must not grow for
-// ever; it is made anew in time.
+// A connection may last for months while hosts fail and return. Its view of the peer must not grow
+// without bound; at a limit it asks for a new connection.
 #[test]
-fn memory_wears_out() {
+fn view_is_bounded() {
     let now = Instant::now();
     let mut peer_view = PeerView::default();
     for incarnation in 0..10_000 {
@@ -159,7 +167,7 @@
             return;
         }
         let mut digest = PeerDigest::default();
-        peer_view.add_evidence(&mut digest, vec![finding(incarnation, now)], now);
+        peer_view.add_evidence(&mut digest, vec![evidence(incarnation, now)], now);
     }
-    panic!("it is never worn");
+    panic!("the view never reports that it is full");
 }
