--- a/crates/control/src/assembly/serving.rs
+++ b/crates/control/src/assembly/serving.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use domain::{FastMap, FastSet, ModelName, ReplicaId};
-use policy::rollout;
+use policy::rollout::allowed_drains;
 
 use super::rows::FabricRows;
 use crate::view::TargetView;
@@ -37,7 +37,7 @@
         if desired > 0 && (formable || self.active > desired) {
             return self.serving.saturating_sub(desired);
         }
-        rollout::allowed_drains(desired, self.serving, ROLLOUT_STEPS)
+        allowed_drains(desired, self.serving, ROLLOUT_STEPS)
     }
 }
 
--- a/crates/control/tests/rules/allowed_drains.rs
+++ b/crates/control/tests/rules/allowed_drains.rs
@@ -1,9 +1,9 @@
-//! How many replicas of a model may be drained while it goes over to others.
+//! How many replicas of a model may be drained while its versions change.
 
 use control::assembly::ModelCounts;
 
-/// A record names a new version and nothing is free: one replica in twenty may be missing, so that
-/// callers notice no dip.
+/// Guards against a loss of capacity when a record names a new version and no hosts are free: at
+/// most one replica in twenty may be missing.
 #[test]
 fn without_free_hosts() {
     let all = ModelCounts {
@@ -18,7 +18,8 @@
     assert_eq!(one_loads.allowed_drains(20, false), 0);
 }
 
-/// Hosts are free for the new version: nothing of the old one goes before the new one serves.
+/// Guards against draining the old version too early when hosts are free for the new one: no old
+/// replica is drained before a new one serves.
 #[test]
 fn new_version_serves_first() {
     let before = ModelCounts {
--- a/crates/control/tests/rules/assembly_rounds.rs
+++ b/crates/control/tests/rules/assembly_rounds.rs
@@ -1,5 +1,5 @@
-//! Controllers that race, pause and lose answers over engines that die, restart and get orders
-//! late: no host in two replicas, and everything stands again afterwards.
+//! Concurrent, paused and outdated controllers against failing engines and a faulty table: no host
+//! is in two replicas, and all replicas recover.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
     let fencing = rng.chance(50);
     let mut sim = AssemblySim::new(seed, rates, fencing, 15).await;
     for step in 0..STEPS {
-        let number = u16::try_from(rng.below(u64::from(HOSTS))).expect("small");
+        let number = u16::try_from(rng.below(u64::from(HOSTS))).expect("fits the type");
         match rng.below(20) {
             0 => sim.engines.change(number, |host| host.alive = false),
             1 => sim.engines.change(number, |host| host.alive = true),
@@ -33,10 +33,10 @@
                 sim.hosts.send_replace(Arc::new(directory(&[number])));
             }
             6 => {
-                let wanted = u32::try_from(rng.below(4)).expect("small");
+                let wanted = u32::try_from(rng.below(4)).expect("fits the type");
                 sim.config.send_replace(Arc::new(config(2, wanted, &[])));
             }
-            // Old holders go on as if nothing had happened.
+            // Outdated lease holders keep running rounds.
             7..=9 => {
                 let index = rng.index(sim.controllers.len());
                 sim.round(index).await;
@@ -73,13 +73,13 @@
         .enable_all()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("runtime starts");
     runtime.block_on(run(seed))
 }
 
-/// Hosts die, return and restart, orders get lost or arrive late, the table loses answers, and
-/// controllers that lost the lease go on. If a host ever stood in two replicas, each would answer
-/// for the other's callers; if the replicas did not come back, traders would wait for nothing.
+/// Hosts die, return and restart, orders get lost or arrive late, the table loses responses, and
+/// controllers without the lease continue. Guards against a host in two replicas, where each would
+/// answer requests for the other, and against replicas that never recover.
 #[test]
 fn no_host_in_two_replicas() {
     QuickCheck::new()
@@ -96,8 +96,8 @@
     sim
 }
 
-/// A host of a replica dies. The replica goes on with the spare under a new incarnation; the dead
-/// host's slot stays taken until the host itself reports that it is empty.
+/// A replica with a dead host continues with the spare under a new incarnation. The dead host's
+/// slot stays assigned until the host itself reports that it is empty.
 #[tokio::test(start_paused = true)]
 async fn spare_replaces_dead_host() {
     let mut sim = formed_sim().await;
@@ -106,7 +106,9 @@
     sim.round(0).await;
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
     let fleet = sim.fleet();
-    let plan = fleet.replica_of(&host_name(HOSTS - 1)).expect("the spare");
+    let plan = fleet
+        .replica_of(&host_name(HOSTS - 1))
+        .expect("spare is in a replica");
     assert_eq!(plan.incarnation.0, 2);
     assert!(fleet.replica_of(&host_name(0)).is_none());
     assert!(sim.slots()["h0"].assignment.is_some());
@@ -117,8 +119,8 @@
     assert!(sim.engines.state_of(0).assignment.is_none());
 }
 
-/// Two hosts of two replicas die with one spare in the fabric domain. One replica is whole again;
-/// the other keeps its last host, which holds its weights, and goes on when the lost one is back.
+/// Two replicas each lose a host and there is one spare. One replica is completed; the other keeps
+/// its remaining host, which holds its weights, and continues when the lost one is back.
 #[tokio::test(start_paused = true)]
 async fn fewer_spares_than_dead_hosts() {
     let mut sim = formed_sim().await;
@@ -136,8 +138,8 @@
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
-/// One host of each replica dies with one spare. Two broken replicas could wait for their hosts
-/// for hours; one of them is taken apart, and its last host makes the other one whole.
+/// Three replicas each lose a host and there is one spare. Guards against broken replicas that wait
+/// for their hosts indefinitely: one is dissolved, and its remaining host completes another.
 #[tokio::test(start_paused = true)]
 async fn broken_replica_donates_hosts() {
     let mut sim = formed_sim().await;
@@ -151,8 +153,9 @@
     assert_eq!(sim.complete_replicas(), 2);
 }
 
-/// A switch restarts and a host is silent for a while, without a spare. Its replica takes no work
-/// meanwhile; nothing is loaded anew when the host is back, since it still holds its rank.
+/// A host is silent for a while, as during the restart of a switch, and there is no spare. Its
+/// replica takes no work meanwhile and is not reformed when the host is back, since the host kept
+/// its rank.
 #[tokio::test(start_paused = true)]
 async fn silent_host_returns() {
     let mut sim = formed_sim().await;
@@ -161,20 +164,28 @@
     for _ in 0..3 {
         sim.round(0).await;
     }
-    let replica = sim.fleet().replica_of(&host_name(0)).expect("kept").clone();
+    let replica = sim
+        .fleet()
+        .replica_of(&host_name(0))
+        .expect("still present")
+        .clone();
     assert!(replica.draining);
     sim.engines.change(0, |host| host.alive = true);
     for _ in 0..3 {
         sim.round(0).await;
     }
-    let after = sim.fleet().plan(&replica.id).expect("kept").clone();
+    let after = sim
+        .fleet()
+        .plan(&replica.id)
+        .expect("still present")
+        .clone();
     assert!(!after.draining);
     assert_eq!(after.incarnation, replica.incarnation);
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
-/// The whole fabric domain goes dark: a power cut. Nothing is torn apart meanwhile, and all its
-/// replicas stand again after the hosts restarted.
+/// All hosts of the fabric domain fail, as in a power cut. Guards against dissolving replicas
+/// meanwhile; all of them recover after the hosts restarted.
 #[tokio::test(start_paused = true)]
 async fn whole_fabric_outage() {
     let mut sim = formed_sim().await;
@@ -195,8 +206,8 @@
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
-/// A host leaves. Its replica takes no new work at once, and its hosts are taken only after the
-/// last stream ended, so that no trader's answer is cut off.
+/// Guards against cutting off streams when a host leaves: its replica takes no new work at once,
+/// and its hosts are taken only after the last stream ended.
 #[tokio::test(start_paused = true)]
 async fn leaving_host_drains_replica() {
     let mut sim = formed_sim().await;
@@ -205,7 +216,9 @@
     sim.round(0).await;
     sim.round(0).await;
     let fleet = sim.fleet();
-    let plan = fleet.replica_of(&host_name(1)).expect("still there");
+    let plan = fleet
+        .replica_of(&host_name(1))
+        .expect("host is in a replica");
     assert!(plan.draining);
     sim.engines.change(0, |host| host.state.load.running = 0);
     for _ in 0..4 {
@@ -215,9 +228,9 @@
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
-/// A holder was frozen with an order on its way. It arrives after another holder gave the host to
-/// the replica's next incarnation. The host's report then contradicts the plan, and the next round
-/// orders it anew.
+/// An order of a suspended lease holder arrives after another holder assigned the host to the
+/// replica's next incarnation. The host's report then contradicts the plan, and the next round
+/// orders it again.
 #[tokio::test(start_paused = true)]
 async fn late_order_is_corrected() {
     let mut sim = AssemblySim::new(1, FaultRates::default(), false, 0).await;
@@ -234,18 +247,20 @@
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
 }
 
-/// One host's engine restarts quickly, between two questions. The other ranks still wait for the
-/// one that is gone, so the replica gets a new incarnation, though all its hosts are there.
+/// One host's engine restarts between two probes. The other ranks still wait for the old process,
+/// so the replica needs a new incarnation although all its hosts answer.
 #[tokio::test(start_paused = true)]
 async fn host_restart_reforms_replica() {
     let mut sim = formed_sim().await;
     let before = sim.fleet();
-    let old = before.replica_of(&host_name(0)).expect("formed");
+    let old = before
+        .replica_of(&host_name(0))
+        .expect("host is in a replica");
     sim.engines.restart(0);
     sim.round(0).await;
     sim.round(0).await;
     let after = sim.fleet();
-    let new = after.plan(&old.id).expect("the same replica");
+    let new = after.plan(&old.id).expect("replica still exists");
     assert_eq!(new.hosts, old.hosts);
     assert_eq!(new.incarnation, old.incarnation.next());
     assert_eq!(sim.complete_replicas(), REPLICAS as usize);
--- a/crates/control/tests/rules/assembly_sim.rs
+++ b/crates/control/tests/rules/assembly_sim.rs
@@ -1,4 +1,4 @@
-//! A fabric domain with its controllers, over fakes of the table and the engines.
+//! Simulation of a fabric domain with its controllers, over fakes of the table and the engines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 pub type TestController = FabricController<FakeTable, FakeEngines, FirstHosts>;
 
 pub fn fabric() -> FabricId {
-    "f0".parse().expect("an id")
+    "f0".parse().expect("valid id")
 }
 
 pub fn directory(leaving: &[u16]) -> HostDirectory {
@@ -32,8 +32,8 @@
             host: host_name(number),
             address: host_address(number),
             fabric: fabric(),
-            domain: "plateau".parse().expect("an id"),
-            region: "dakar".parse().expect("an id"),
+            domain: "plateau".parse().expect("valid id"),
+            region: "dakar".parse().expect("valid id"),
             leaving: leaving.contains(&number),
         };
         (entry.host.clone(), entry)
@@ -49,15 +49,15 @@
         ..ConfigView::default()
     };
     view.insert(RecordSpec::Model(ModelRecord {
-        name: "trader-help".parse().expect("an id"),
+        name: "trader-help".parse().expect("valid id"),
         hosts_per_replica: SIZE,
         versions: vec![VersionPlan {
-            version: "v1".parse().expect("an id"),
+            version: "v1".parse().expect("valid id"),
             replicas,
         }],
         adapters: adapters
             .iter()
-            .map(|name| name.parse().expect("an id"))
+            .map(|name| name.parse().expect("valid id"))
             .collect(),
     }));
     view
@@ -90,16 +90,16 @@
         sim
     }
 
-    /// A new holder; the old one keeps its grant, as if it were paused and did not know.
+    /// Adds a lease holder with a new epoch. The old one keeps its grant, as if it were suspended.
     pub async fn take_over(&mut self) {
         self.epoch += 1;
         let row = EpochRow {
             epoch: LeaseEpoch(self.epoch),
-            holder: "n0".parse().expect("an id"),
+            holder: "n0".parse().expect("valid id"),
         };
-        let name: domain::LeaseName = "fabric:f0".parse().expect("an id");
-        let token = format!("epoch.{}", self.epoch).parse().expect("an id");
-        let value = serde_json::to_value(&row).expect("a value");
+        let name: domain::LeaseName = "fabric:f0".parse().expect("valid id");
+        let token = format!("epoch.{}", self.epoch).parse().expect("valid id");
+        let value = serde_json::to_value(&row).expect("serializable");
         let key = keys::epoch_key(&name);
         let batch = WriteBatch::new(token).put(key.clone(), RowExpectation::Any, value);
         while self
@@ -133,7 +133,7 @@
             targets: None,
             directory: self.hosts.subscribe(),
             config: self.config.subscribe(),
-            recorder: EventRecorder::new("n0".parse().expect("an id"), 100),
+            recorder: EventRecorder::new("n0".parse().expect("valid id"), 100),
             settings,
         };
         let controller = FabricController::new(parts, fabric());
@@ -148,7 +148,7 @@
     pub fn fleet(&self) -> FabricFleet {
         let row = self.table.row(&keys::fleet_key(&fabric()));
         row.map_or_else(FabricFleet::default, |row| {
-            serde_json::from_value(row.value).expect("a fleet")
+            serde_json::from_value(row.value).expect("valid fleet")
         })
     }
 
@@ -157,12 +157,13 @@
         rows.into_iter()
             .map(|row| {
                 let name = row.key.trim_start_matches(keys::HOSTS).to_owned();
-                (name, serde_json::from_value(row.value).expect("a slot"))
+                (name, serde_json::from_value(row.value).expect("valid slot"))
             })
             .collect()
     }
 
-    /// Every host of a replica has its slot, in the current incarnation, and stands in no other.
+    /// Whether every host of a replica has a slot for its current incarnation and is in no other
+    /// replica.
     pub fn is_consistent(&self) -> bool {
         let fleet = self.fleet();
         let slots = self.slots();
@@ -185,7 +186,7 @@
         true
     }
 
-    /// Replicas all of whose hosts run exactly their rank.
+    /// Number of replicas whose hosts all run their current incarnation.
     pub fn complete_replicas(&self) -> usize {
         let states = self.engines.states();
         let fleet = self.fleet();
@@ -204,7 +205,7 @@
     pub async fn recover(&mut self) {
         self.table.set_rates(FaultRates::default());
         self.table.apply_all_late();
-        self.engines.heal();
+        self.engines.stop_losing_orders();
         for number in 0..HOSTS {
             self.engines.change(number, |host| {
                 host.alive = true;
--- a/crates/control/tests/rules/at_most_once.rs
+++ b/crates/control/tests/rules/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Claims whose answers are lost, repeated and late: a call runs at most once.
+//! Claims whose responses are lost, repeated or late: a call runs at most once.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -16,24 +16,25 @@
 
 fn key(number: usize) -> ClaimKey {
     ClaimKey {
-        service: "licences".parse().expect("an id"),
-        customer: "sandaga-traders".parse().expect("an id"),
+        service: "licences".parse().expect("valid id"),
+        customer: "sandaga-traders".parse().expect("valid id"),
         key_hash: format!("{number:064}"),
     }
 }
 
 fn node(name: &str) -> NodeId {
-    name.parse().expect("an id")
+    name.parse().expect("valid id")
 }
 
 fn attempt(number: usize) -> AttemptId {
-    format!("a.{number}").parse().expect("an id")
+    format!("a.{number}").parse().expect("valid id")
 }
 
-/// Runs of each call at the service.
+/// Executions of each call at the service, by key.
 type RunCounts = Arc<Mutex<BTreeMap<usize, u32>>>;
 
-/// One caller: claims, and with a ticket sends, is refused, loses the answer or dies.
+/// One caller: claims the call and, with a ticket, sends it, is refused, loses the response or
+/// dies.
 async fn call_once(
     ledger: CallLedger<FakeTable>,
     number: usize,
@@ -43,7 +44,7 @@
 ) {
     tokio::time::sleep(Duration::from_millis(rng.below(400))).await;
     let claim = ledger.claim(key(name), attempt(number), "body".to_owned());
-    // Some callers hang up before the claim is answered.
+    // Some callers disconnect before the claim is answered.
     let patience = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
     let Ok(outcome) = tokio::time::timeout(patience, claim).await else {
         return;
@@ -58,11 +59,11 @@
     }
     *runs
         .lock()
-        .expect("no panic inside")
+        .expect("lock is not poisoned")
         .entry(name)
         .or_default() += 1;
     if rng.chance(20) {
-        // The answer is lost or the entry dies after it sent.
+        // The response is lost or the node dies after it sent the call.
         return;
     }
     let answered = ClaimState::Answered {
@@ -78,7 +79,7 @@
         .enable_all()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("runtime starts");
     runtime.block_on(async {
         let rates = FaultRates {
             lost_before: 10,
@@ -89,7 +90,7 @@
         let table = FakeTable::new(seed, rates);
         let mut rng = SeededRng::new(seed);
         let runs = RunCounts::default();
-        // Both entries have the same name, as after a restart.
+        // Both nodes have the same name, as after a restart.
         let ledgers = [
             CallLedger::new(table.clone(), node("e0")),
             CallLedger::new(table.clone(), node("e0")),
@@ -99,29 +100,29 @@
             let ledger = ledgers[rng.index(2)].clone();
             let name = rng.index(KEYS);
             let own = SeededRng::new(rng.below(u64::MAX));
-            // Attempt numbers come back too.
+            // Attempt numbers repeat too.
             let caller = call_once(ledger, number % 5, name, own, Arc::clone(&runs));
             callers.push(tokio::spawn(caller));
         }
         for caller in callers {
-            caller.await.expect("no caller panics");
+            caller.await.expect("caller did not panic");
         }
         table.set_rates(FaultRates::default());
-        // Background writes go on until the table takes them.
+        // Background writes continue until the table accepts them.
         tokio::time::sleep(Duration::from_mins(2)).await;
         table.apply_all_late();
         tokio::time::sleep(Duration::from_mins(2)).await;
-        let counts = runs.lock().expect("no panic inside").clone();
+        let counts = runs.lock().expect("lock is not poisoned").clone();
         for name in 0..KEYS {
             let run = counts.get(&name).copied().unwrap_or(0);
             if run > 1 {
                 return false;
             }
-            // A key whose call never ran must not be stuck as unknown.
+            // A key whose call never ran must not stay unknown.
             let again = ledgers[0]
                 .claim(key(name), attempt(99), "body".to_owned())
                 .await
-                .expect("the table is well");
+                .expect("table is available");
             let free = matches!(again, ClaimOutcome::Granted(_));
             if free != (run == 0) {
                 return false;
@@ -131,9 +132,9 @@
     })
 }
 
-/// A trader's phone repeats a payment through two entries while the table loses answers, and the
-/// entries lose callers and die. The trader must never pay twice, and a payment that never went
-/// out must not stay unknown.
+/// Callers retry the same keys through two nodes while the table loses responses and callers
+/// disconnect or die. Guards against a call that runs twice, and against one that never ran but
+/// stays unknown.
 #[test]
 fn at_most_once() {
     QuickCheck::new()
@@ -142,8 +143,8 @@
         .quickcheck(at_most_once_under_faults as fn(u64) -> bool);
 }
 
-/// The market's rush brings many payments in the same moment, one of them with a key that was used
-/// before. Only that one is refused; nobody else notices.
+/// Many claims share a transaction, and one of them reuses a key with another body. Only that one
+/// may be refused.
 #[tokio::test(start_paused = true)]
 async fn conflict_fails_only_its_row() {
     let table = FakeTable::new(1, FaultRates::default());
@@ -170,8 +171,8 @@
     );
 }
 
-/// A phone sends a payment twice in the same millisecond, so both claims meet in one transaction.
-/// One of them may send; the other is told that the call is under way.
+/// Two claims with the same key arrive in the same batch. Guards against granting both: one gets a
+/// ticket, the other learns that the call is in progress.
 #[tokio::test(start_paused = true)]
 async fn simultaneous_claims() {
     let table = FakeTable::new(1, FaultRates::default());
@@ -185,8 +186,8 @@
     assert_eq!(granted, 1, "{outcomes:?}");
 }
 
-/// The store is down. A trader is told at once that the payment was not run, and does not wait
-/// with a queue behind them.
+/// Guards against claims that wait for a timeout while the table is down: the caller learns at once
+/// that the call was not run.
 #[tokio::test(start_paused = true)]
 async fn table_down_fails_fast() {
     let rates = FaultRates {
@@ -200,8 +201,8 @@
     assert!(started.elapsed() < Duration::from_millis(100));
 }
 
-/// An entry is frozen between its claim and its send, longer than a caller waits. It must not send
-/// the payment when it wakes up.
+/// A node is suspended between its claim and its send for longer than a caller waits. Its ticket
+/// must have expired when it resumes.
 #[tokio::test]
 async fn expired_ticket_not_sent() {
     let table = FakeTable::new(1, FaultRates::default());
@@ -217,6 +218,6 @@
     ledger
         .settle(ticket, ClaimState::NotRun)
         .await
-        .expect("the table is well");
-    assert!(table.scan("claim/").await.expect("rows").len() == 1);
+        .expect("table is available");
+    assert!(table.scan("claim/").await.expect("scan succeeds").len() == 1);
 }
--- a/crates/control/tests/rules/claim_cleanup.rs
+++ b/crates/control/tests/rules/claim_cleanup.rs
@@ -1,4 +1,4 @@
-//! Old settled claims leave the ledger, and nothing else does.
+//! Old settled claims are deleted from the ledger, and nothing else is.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 const RETENTION: Duration = Duration::from_hours(24);
 
 fn lease() -> LeaseName {
-    "housekeeping".parse().expect("an id")
+    "housekeeping".parse().expect("valid id")
 }
 
-/// A new holder of the lease, with its own epoch row.
+/// Acquires the housekeeping lease with a new epoch row.
 async fn take_lease(table: &FakeTable, epoch: u64) -> LeaseGrant {
-    let token = format!("epoch.{epoch}").parse().expect("an id");
+    let token = format!("epoch.{epoch}").parse().expect("valid id");
     let key = keys::epoch_key(&lease());
     let value = serde_json::json!({ "epoch": epoch, "holder": "e0" });
     let batch = WriteBatch::new(token).put(key, RowExpectation::Any, value);
-    let outcome = table.commit(&batch).await.expect("the table is well");
+    let outcome = table.commit(&batch).await.expect("table is available");
     let CommitOutcome::Committed(epoch_version) = outcome else {
         panic!("{outcome:?}");
     };
@@ -35,11 +35,11 @@
 
 async fn claim(ledger: &CallLedger<FakeTable>, name: &str) -> ClaimTicket {
     let key = ClaimKey {
-        service: "licences".parse().expect("an id"),
-        customer: "sandaga-traders".parse().expect("an id"),
+        service: "licences".parse().expect("valid id"),
+        customer: "sandaga-traders".parse().expect("valid id"),
         key_hash: name.to_owned(),
     };
-    let attempt = format!("a.{name}").parse().expect("an id");
+    let attempt = format!("a.{name}").parse().expect("valid id");
     match ledger.claim(key, attempt, "body".to_owned()).await {
         Ok(ClaimOutcome::Granted(ticket)) => ticket,
         other => panic!("{other:?}"),
@@ -57,58 +57,72 @@
 fn names(table: &FakeTable) -> Vec<String> {
     let rows = table.rows(keys::CLAIMS);
     rows.iter()
-        .map(|row| row.key.rsplit('/').next().expect("a name").to_owned())
+        .map(|row| {
+            row.key
+                .rsplit('/')
+                .next()
+                .expect("key has a name")
+                .to_owned()
+        })
         .collect()
 }
 
-/// A trader's receipt is kept for the agreed time, so that a repeated payment gets it. After that
-/// its row goes. A payment that nobody knows the outcome of keeps its row for good: its claimant
-/// may only be frozen.
+/// Settled claims are kept for the retention time, so that a retried call gets its response, and
+/// deleted afterwards. An unsettled claim is never deleted: its claimant may only be suspended.
 #[tokio::test(start_paused = true)]
 async fn old_settled_claims_deleted() {
     let table = FakeTable::new(1, FaultRates::default());
-    let ledger = CallLedger::new(table.clone(), "e0".parse().expect("an id"));
+    let ledger = CallLedger::new(table.clone(), "e0".parse().expect("valid id"));
     let old = claim(&ledger, "old").await;
-    ledger.settle(old, receipt()).await.expect("written");
+    ledger
+        .settle(old, receipt())
+        .await
+        .expect("write committed");
     let unsent = claim(&ledger, "unsent").await;
     ledger
         .settle(unsent, ClaimState::NotRun)
         .await
-        .expect("written");
+        .expect("write committed");
     let _unknown = claim(&ledger, "unknown").await;
     let grant = take_lease(&table, 1).await;
     advance_retention_log(&table, &grant, Duration::ZERO)
         .await
-        .expect("written");
+        .expect("write committed");
     let young = claim(&ledger, "young").await;
-    ledger.settle(young, receipt()).await.expect("written");
+    ledger
+        .settle(young, receipt())
+        .await
+        .expect("write committed");
     let half = advance_retention_log(&table, &grant, RETENTION / 2).await;
-    let half = half.expect("written").expect("the lease is held");
+    let half = half.expect("write committed").expect("lease is held");
     assert_eq!(half.older_than(RETENTION), None);
     let whole = advance_retention_log(&table, &grant, RETENTION / 2).await;
-    let whole = whole.expect("written").expect("the lease is held");
-    let limit = whole.older_than(RETENTION).expect("old enough");
+    let whole = whole.expect("write committed").expect("lease is held");
+    let limit = whole.older_than(RETENTION).expect("retention has passed");
     let rows = table.rows(keys::CLAIMS);
     let cleaned = delete_settled_claims(&table, &grant, &rows, limit).await;
-    assert_eq!(cleaned.expect("written"), 2);
+    assert_eq!(cleaned.expect("write committed"), 2);
     assert_eq!(names(&table), ["unknown", "young"]);
 }
 
-/// Housekeeping is frozen in the middle of a sweep, and another node takes over. When the frozen
-/// one wakes up it deletes nothing and counts no time.
+/// Housekeeping is suspended during a sweep and another node takes over. When the first node
+/// resumes it must delete nothing and add no time to the retention log.
 #[tokio::test(start_paused = true)]
 async fn paused_sweep_deletes_nothing() {
     let table = FakeTable::new(1, FaultRates::default());
-    let ledger = CallLedger::new(table.clone(), "e0".parse().expect("an id"));
+    let ledger = CallLedger::new(table.clone(), "e0".parse().expect("valid id"));
     let old = claim(&ledger, "old").await;
-    ledger.settle(old, receipt()).await.expect("written");
+    ledger
+        .settle(old, receipt())
+        .await
+        .expect("write committed");
     let paused = take_lease(&table, 1).await;
     let rows = table.rows(keys::CLAIMS);
     let limit = rows[0].version;
     take_lease(&table, 2).await;
     let cleaned = delete_settled_claims(&table, &paused, &rows, limit).await;
-    assert_eq!(cleaned.expect("answered"), 0);
+    assert_eq!(cleaned.expect("store responded"), 0);
     let log = advance_retention_log(&table, &paused, RETENTION).await;
-    assert_eq!(log.expect("answered"), None);
+    assert_eq!(log.expect("store responded"), None);
     assert_eq!(names(&table), ["old"]);
 }
--- a/crates/control/tests/rules/config_load.rs
+++ b/crates/control/tests/rules/config_load.rs
@@ -1,4 +1,4 @@
-//! Reading a configuration that is far ahead: log, snapshot, scan, compaction.
+//! Loading a configuration that is far ahead: change log, snapshot, scan and compaction.
 
 use crate::fake::{FakeObjects, FakeTable};
 use control::config::load::load_update;
@@ -26,17 +26,19 @@
         }),
         expect: Expect::Any,
         operator: "test".to_owned(),
-        token: format!("t{number}").parse().expect("a token"),
+        token: format!("t{number}").parse().expect("valid token"),
     };
-    let outcome = amend_record(table, &amendment).await.expect("settled");
+    let outcome = amend_record(table, &amendment)
+        .await
+        .expect("settled outcome");
     assert!(matches!(outcome, AmendOutcome::Accepted(_)));
 }
 
 async fn follow(table: &FakeTable, objects: &FakeObjects, state: &mut ConfigState) {
-    let head = config_head(table).await.expect("a head");
+    let head = config_head(table).await.expect("head is readable");
     let update = load_update(table, objects, state.revision(), head)
         .await
-        .expect("an update");
+        .expect("update is readable");
     if let Some(snapshot) = update.snapshot {
         state.apply_snapshot(snapshot);
     }
@@ -71,8 +73,8 @@
     assert_eq!(table.scans(), scans);
 }
 
-// The log of a node that was away for days is compacted. It reads the snapshot and what follows
-// it; otherwise it would be out of service for good.
+// Guards against a node that can't catch up after its part of the change log was compacted: it
+// reads the snapshot and the changes after it.
 #[tokio::test]
 async fn compacted_log_uses_snapshot() {
     let (table, _) = filled_table(5).await;
@@ -86,7 +88,7 @@
     follow(&table, &objects, &mut fresh).await;
     publish_snapshot(&table, &objects, &fresh.snapshot(), 20, "e1")
         .await
-        .expect("published");
+        .expect("snapshot published");
     assert_eq!(table.keys(keys::CONFIG_LOG).len(), 20);
     for number in 301..=310 {
         amend(&table, number).await;
@@ -94,19 +96,19 @@
     follow(&table, &objects, &mut fresh).await;
     let scans = table.scans();
     follow(&table, &objects, &mut stale).await;
-    assert_eq!(table.scans(), scans, "it read the snapshot");
+    assert_eq!(table.scans(), scans, "the snapshot made a scan unnecessary");
     assert_eq!(stale.snapshot(), fresh.snapshot());
 }
 
-// The object store loses the snapshot, or is down, while a node starts. It reads all records from
-// the table instead.
+// Guards against a node that can't start while the snapshot is missing or the object store is down:
+// it reads all records from the table instead.
 #[tokio::test]
 async fn missing_snapshot_falls_back_to_scan() {
     let (table, expected) = filled_table(120).await;
     let objects = FakeObjects::default();
     publish_snapshot(&table, &objects, &expected, 10, "e1")
         .await
-        .expect("published");
+        .expect("snapshot published");
     objects.clear();
     let mut state = ConfigState::default();
     follow(&table, &objects, &mut state).await;
@@ -129,14 +131,14 @@
     assert_eq!(state.revision(), ConfigRevision(150));
 }
 
-// Operators amend while a starting node reads all records. A read that takes in half of their
-// work under the older head would miss the other half for good.
+// Amendments are made while a starting node scans all records. Guards against a scan that contains
+// a record newer than its head, which would miss other changes for good.
 #[tokio::test]
 async fn scan_is_consistent() {
     let (table, _) = filled_table(100).await;
     let objects = FakeObjects::default();
     for round in 0..20 {
-        let head = config_head(&table).await.expect("a head");
+        let head = config_head(&table).await.expect("head is readable");
         let load = load_update(&table, &objects, ConfigRevision(0), head);
         let writes = async {
             for step in 0..round % 3 {
@@ -145,7 +147,7 @@
         };
         let (update, ()) = tokio::join!(load, writes);
         let Ok(update) = update else { continue };
-        let snapshot = update.snapshot.expect("a scan");
+        let snapshot = update.snapshot.expect("update has a snapshot");
         for record in &snapshot.records {
             assert!(record.revision <= snapshot.revision, "{record:?}");
         }
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force under reordered, repeated, lost and late messages.
+//! The configuration state with reordered, repeated, lost and late messages.
 #![expect(
     clippy::needless_pass_by_value,
     reason = "quickcheck hands its inputs over by value"
@@ -29,7 +29,7 @@
         .quickcheck(property);
 }
 
-/// What operators wrote, in order, and in which order a node hears of it.
+/// A history of changes, and the order in which a node receives them.
 #[derive(Debug, Clone)]
 struct ConfigRun {
     history: Vec<ChangeEntry>,
@@ -81,7 +81,7 @@
 }
 
 impl ConfigRun {
-    /// The configuration after the first changes, by replaying them in order.
+    /// The configuration after the first `changes` changes, replayed in order.
     fn expected(&self, changes: u64) -> ConfigSnapshot {
         let mut state = ConfigState::default();
         for change in &self.history {
@@ -170,7 +170,7 @@
     check(property as fn(ConfigRun) -> bool);
 }
 
-/// Steps of one node's knowledge, in tenths of a second.
+/// Random inputs of the readiness decision, in tenths of a second.
 #[derive(Debug, Clone)]
 struct ReadinessStep(ReadinessFacts);
 
@@ -197,8 +197,8 @@
     settle: Duration::from_secs(12),
 };
 
-// A small side of a partition that goes on serving shows callers records that were amended since;
-// so does a node that knows of a newer revision and can't get it.
+// Guards against outdated answers: the minority side of a partition must not serve records that
+// were amended since, nor may a node that knows of a newer revision which it can't fetch.
 #[test]
 fn minority_never_serves() {
     fn property(step: ReadinessStep) -> bool {
--- a/crates/control/tests/rules/evidence_store.rs
+++ b/crates/control/tests/rules/evidence_store.rs
@@ -1,4 +1,4 @@
-//! Evidence that comes late, twice and out of order.
+//! Health evidence that arrives late, repeatedly and out of order.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use quickcheck::{Gen, QuickCheck};
 
 fn replica() -> ReplicaId {
-    "r1".parse().expect("an id")
+    "r1".parse().expect("valid id")
 }
 
 fn evidence(incarnation: u64, whole: bool, age: Duration) -> HealthEvidence {
@@ -18,16 +18,16 @@
         incarnation: IncarnationNumber(incarnation),
         hosts: seen
             .iter()
-            .map(|host| host.parse().expect("an id"))
+            .map(|host| host.parse().expect("valid id"))
             .collect(),
         leaving: false,
         age,
     }
 }
 
-/// Peers pass evidence on by detours, so that old pieces come after new ones. What stands on the
-/// evidence store is always the newest observation of the highest incarnation; otherwise an old
-/// "whole" would open the gate to a replica that lost a host since.
+/// Peers relay evidence, so old observations arrive after new ones. Guards against old evidence
+/// that makes a replica look healthy although it has lost a host since: the newest observation of
+/// the highest incarnation wins.
 #[test]
 fn newest_observation_wins() {
     fn property(observations: Vec<(u8, bool, u16)>) -> bool {
@@ -39,7 +39,7 @@
             // Whole seconds, so that the test's own run time does not matter.
             let age = Duration::from_secs(u64::from(age));
             evidence_store.record(evidence(incarnation, whole, age));
-            // The same age at a later moment is a newer observation.
+            // The same age at a later time is a newer observation.
             let newer = newest.is_none_or(|(known, known_age, _)| {
                 incarnation > known || (incarnation == known && age <= known_age)
             });
@@ -65,8 +65,8 @@
         .quickcheck(property as fn(Vec<(u8, bool, u16)>) -> bool);
 }
 
-/// Evidence grows older while it lies in the store, and is passed on with its age of that moment;
-/// a peer can't make it look fresh.
+/// Evidence keeps aging in the store and is exported with its current age. Guards against a peer
+/// that makes it look fresh.
 #[test]
 fn age_keeps_growing() {
     let evidence_store = EvidenceStore::default();
@@ -79,6 +79,6 @@
     let peer = EvidenceStore::default();
     peer.record(exported[0].clone());
     evidence_store.record(exported[0].clone());
-    let entry = peer.newest_for(&replica()).expect("recorded");
+    let entry = peer.newest_for(&replica()).expect("evidence is stored");
     assert!(entry.age(Instant::now()) >= exported[0].age);
 }
--- a/crates/control/tests/rules/fake/mod.rs
+++ b/crates/control/tests/rules/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A table and an object store in memory, with switches for lost answers and outages.
+//! An in-memory table and object store with scripted faults.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,20 +8,20 @@
 use platform::{CommitOutcome, ObjectStore, RowRead, StoreError, TableRow, TableStore, WriteBatch};
 use standin::rows::MemoryRows;
 
-/// What becomes of the next commits, in order; none left means that they work.
+/// Result of a commit; commits beyond the scripted ones succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitFault {
     /// It takes effect and is answered.
     None,
-    /// It takes effect and the answer is lost.
+    /// It takes effect and the response is lost.
     LoseAnswer,
-    /// It never takes effect and the answer is lost.
+    /// It never takes effect and the response is lost.
     LoseWrite,
-    /// It takes effect only when [`FakeTable::deliver`] is called; the answer is lost.
+    /// It takes effect only when [`FakeTable::deliver`] is called; the response is lost.
     Delay,
 }
 
-/// A table in memory; clones share it.
+/// An in-memory table; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct FakeTable {
     inner: Arc<Mutex<FakeInner>>,
@@ -41,14 +41,14 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what becomes of the next commits.
+    /// Sets the results of the next commits, in order.
     pub fn set_faults(&self, faults: &[CommitFault]) {
         let mut inner = self.inner();
         inner.faults = faults.to_vec();
         inner.faults.reverse();
     }
 
-    /// Lets the delayed commits take effect now, as far as their expectations still hold.
+    /// Applies the delayed commits now, if their expectations still hold.
     pub fn deliver(&self) {
         let mut inner = self.inner();
         for batch in std::mem::take(&mut inner.delayed) {
@@ -56,17 +56,17 @@
         }
     }
 
-    /// Reads of single rows so far.
+    /// Number of single-row reads so far.
     pub fn reads(&self) -> u64 {
         self.inner().reads
     }
 
-    /// Scans so far.
+    /// Number of scans so far.
     pub fn scans(&self) -> u64 {
         self.inner().scans
     }
 
-    /// Keys that start so.
+    /// Keys with the given prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.inner();
         inner
@@ -79,7 +79,7 @@
 }
 
 fn lost() -> StoreError {
-    StoreError::AnswerLost("switched off".to_owned())
+    StoreError::AnswerLost("injected response loss".to_owned())
 }
 
 impl TableStore for FakeTable {
@@ -115,14 +115,14 @@
     }
 }
 
-/// An object store in memory; clones share it.
+/// An in-memory object store; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct FakeObjects {
     objects: Arc<Mutex<BTreeMap<String, Bytes>>>,
 }
 
 impl FakeObjects {
-    /// Forgets everything.
+    /// Deletes all objects.
     pub fn clear(&self) {
         self.objects
             .lock()
--- a/crates/control/tests/rules/host_reassignment.rs
+++ b/crates/control/tests/rules/host_reassignment.rs
@@ -1,5 +1,5 @@
-//! Moving hosts between replicas: the traces that the specification `assembly` found, on the real
-//! code.
+//! Moving hosts between replicas: traces found by the specification `assembly`, replayed on the
+//! real code.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 const LOADS_AT_ONCE: usize = 4;
 
 fn host(name: &str) -> HostId {
-    name.parse().expect("an id")
+    name.parse().expect("valid id")
 }
 
 fn address() -> SocketAddr {
-    "127.0.0.1:1".parse().expect("an address")
+    "127.0.0.1:1".parse().expect("valid address")
 }
 
 fn directory(names: &[&str]) -> HostDirectory {
     let entries = names.iter().map(|name| HostEntry {
         host: host(name),
         address: address(),
-        fabric: "f0".parse().expect("an id"),
-        domain: "plateau".parse().expect("an id"),
-        region: "dakar".parse().expect("an id"),
+        fabric: "f0".parse().expect("valid id"),
+        domain: "plateau".parse().expect("valid id"),
+        region: "dakar".parse().expect("valid id"),
         leaving: false,
     });
     HostDirectory {
@@ -44,13 +44,13 @@
         address: address(),
     });
     EngineAssignment {
-        replica: replica.parse().expect("an id"),
+        replica: replica.parse().expect("valid id"),
         incarnation: IncarnationNumber(1),
         epoch: LeaseEpoch(1),
         hosts: ranks.collect(),
         rank,
-        model: "trader-help".parse().expect("an id"),
-        version: "v1".parse().expect("an id"),
+        model: "trader-help".parse().expect("valid id"),
+        version: "v1".parse().expect("valid id"),
         adapters: Vec::new(),
         role: ReplicaRole::Both,
     }
@@ -80,7 +80,7 @@
         id: template.replica,
         incarnation: template.incarnation,
         epoch: template.epoch,
-        fabric: "f0".parse().expect("an id"),
+        fabric: "f0".parse().expect("valid id"),
         hosts: members.iter().map(|name| host(name)).collect(),
         model: template.model,
         version: template.version,
@@ -102,9 +102,8 @@
     empty.map(|order| order.host.as_str()).collect()
 }
 
-/// A replica was dissolved, and an entry has not heard of it yet. Were its second host emptied
-/// first, the leader would still take that entry's requests and never answer them; a trader would
-/// wait in vain.
+/// A replica was dissolved and an entry node has not learned of it. If its second host were emptied
+/// first, the leader would still accept that node's requests and never answer them.
 #[test]
 fn leader_emptied_first() {
     let members = ["h0", "h1"];
@@ -121,8 +120,8 @@
     assert_eq!(emptied(&orders), ["h1"]);
 }
 
-/// The leader of a dissolved replica is silent. It may still answer callers, so the others wait
-/// until it counts as lost.
+/// The leader of a dissolved replica is silent. It may still answer requests, so the other hosts
+/// are not emptied until it counts as lost.
 #[test]
 fn silent_leader_blocks_emptying() {
     let members = ["h0", "h1"];
@@ -145,8 +144,9 @@
     assert_eq!(emptied(&orders), ["h1"]);
 }
 
-/// A late order of a paused controller took a host back into its old replica. It must not be
-/// ordered across: an entry with evidence of the old replica would find it whole for a moment.
+/// A late order of a paused controller put a host back into its old replica. It must be emptied
+/// first: with an order for its new replica at once, a node with old evidence could consider the
+/// old replica healthy for a moment.
 #[test]
 fn misassigned_host_emptied() {
     let hosts = BTreeMap::from([
@@ -159,8 +159,7 @@
     assert_eq!(orders.len(), 1);
 }
 
-/// The host is empty again. It rests for longer than any entry trusts old evidence, and only then
-/// joins its own replica.
+/// An emptied host waits longer than any node uses old evidence before it gets its assignment.
 #[test]
 fn misassigned_host_cools_down() {
     let settings = AssemblySettings::default();
@@ -211,9 +210,9 @@
     assert!(hosts[&host("h2")].cooling_down);
 }
 
-/// A host was lost and its replica went on without it, under a new incarnation and with the same
-/// leader. When the host wakes up with its old rank it must be emptied, though the leader runs; it
-/// would otherwise stay stranded for ever.
+/// A host was lost and its replica continued under a new incarnation with the same leader. When the
+/// host returns with its old rank it must be emptied although the leader runs; otherwise it would
+/// never be used again.
 #[test]
 fn returning_host_emptied() {
     let mut newer = assignment("r0", &["h0", "h2"], 0);
--- a/crates/control/tests/rules/lease_fencing.rs
+++ b/crates/control/tests/rules/lease_fencing.rs
@@ -1,4 +1,5 @@
-//! Leases under pauses, slow and lost answers: one holder at a time, and a late one writes nothing.
+//! Leases with pauses and slow or lost responses: at most one holder, and a late one writes
+//! nothing.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +19,7 @@
 const LOG: &str = "log";
 
 fn lease() -> LeaseName {
-    "fabric:f0".parse().expect("an id")
+    "fabric:f0".parse().expect("valid id")
 }
 
 fn settings() -> LeaseSettings {
@@ -30,17 +31,17 @@
 }
 
 fn token(number: usize) -> domain::WriteToken {
-    format!("t.{number}").parse().expect("an id")
+    format!("t.{number}").parse().expect("valid id")
 }
 
-/// A renewal or take-over that was decided at a moment and is sent later.
+/// A step that was decided and is sent later.
 struct DecidedStep {
     step: LeaseStep,
     expect: RowExpectation,
     epoch_expect: RowExpectation,
 }
 
-/// An answer that is on its way to a process.
+/// A response that the process has not received yet.
 struct PendingResponse {
     term: LeaseRecord,
     acquires: bool,
@@ -53,11 +54,11 @@
     paused_until: Instant,
     response: Option<PendingResponse>,
     decided: Option<DecidedStep>,
-    /// Writes prepared under a grant, which leave the process at any later time.
+    /// Writes prepared under a grant, which may be sent at any later time.
     writes: Vec<WriteBatch>,
 }
 
-/// Three processes on one clock, which is the table's truth; none of them reads another's.
+/// Three processes that share the table and one clock, but none of each other's state.
 struct LeaseSim {
     table: FakeTable,
     rng: SeededRng,
@@ -78,7 +79,7 @@
             .map(|number| LeaseProcess {
                 tracker: LeaseTracker::new(
                     lease(),
-                    format!("n{number}").parse::<NodeId>().expect("an id"),
+                    format!("n{number}").parse::<NodeId>().expect("valid id"),
                     settings(),
                 ),
                 paused_until: Instant::now(),
@@ -113,7 +114,7 @@
                 .tracker
                 .observe(LeaseRecord::default(), None, self.now),
             RowRead::Found(row) => {
-                let term = serde_json::from_value(row.value).expect("a term");
+                let term = serde_json::from_value(row.value).expect("valid lease record");
                 process.tracker.observe(term, Some(row.version), self.now);
             }
         }
@@ -128,7 +129,7 @@
             RowRead::Found(row) => RowExpectation::Version(row.version),
             RowRead::Absent | RowRead::Unchanged => RowExpectation::Absent,
         };
-        let rank = CandidateRank(u32::try_from(index).expect("small"));
+        let rank = CandidateRank(u32::try_from(index).expect("fits the type"));
         let process = &mut self.processes[index];
         let step = process.tracker.next_step(Some(rank), self.now);
         let expect = process
@@ -156,15 +157,15 @@
                 (term, false)
             }
         };
-        let value = serde_json::to_value(&term).expect("a value");
+        let value = serde_json::to_value(&term).expect("serializable");
         let key = keys::lease_key(&lease());
         let mut batch = WriteBatch::new(self.next_token()).put(key, decided.expect, value);
         if acquires {
             let row = EpochRow {
                 epoch: term.epoch,
-                holder: term.holder.clone().expect("a holder"),
+                holder: term.holder.clone().expect("record has a holder"),
             };
-            let value = serde_json::to_value(&row).expect("a value");
+            let value = serde_json::to_value(&row).expect("serializable");
             batch = batch.put(keys::epoch_key(&lease()), decided.epoch_expect, value);
         }
         let outcome = self.table.commit(&batch).await;
@@ -202,7 +203,7 @@
         self.processes[index].writes.push(grant.fence(batch));
     }
 
-    /// Sends any write that was prepared at any time.
+    /// Sends a randomly chosen prepared write.
     async fn write(&mut self, index: usize) {
         let count = self.processes[index].writes.len();
         if count == 0 {
@@ -213,7 +214,7 @@
         let _ = self.table.commit(&batch).await;
     }
 
-    /// Whether a write that landed after a take-over is of the new epoch.
+    /// Whether a write that landed after a change of holder belongs to the new epoch.
     fn is_fenced(&self) -> bool {
         let (Some(log), Some(epoch)) = (
             self.table.row(LOG),
@@ -266,13 +267,12 @@
 fn lease_invariants_hold(seed: u64) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("runtime starts");
     runtime.block_on(LeaseSim::new(seed).run())
 }
 
-/// Nodes pause between any two steps while the table answers late, never or twice. If two of them
-/// acted for one fabric domain, its hosts would be torn between two replicas and a trader's answer
-/// would break off.
+/// Nodes pause between any two steps while the table responds late, never, or after the write.
+/// Guards against two holders, which could assign the same hosts to different replicas.
 #[test]
 fn at_most_one_holder() {
     QuickCheck::new()
@@ -294,7 +294,7 @@
         .beat_ms(60)
         .stagger_ms(100)
         .build();
-    let holder: NodeId = node.parse().expect("an id");
+    let holder: NodeId = node.parse().expect("valid id");
     let tracker = LeaseTracker::new(lease(), holder.clone(), settings);
     let (sender, ranks) = watch::channel(Some(CandidateRank(rank)));
     let recorder = EventRecorder::new(holder, 100);
@@ -305,12 +305,12 @@
 async fn granted(grants: &mut watch::Receiver<Option<LeaseGrant>>) -> LeaseGrant {
     let waiting = grants.wait_for(Option::is_some);
     let grant = tokio::time::timeout(Duration::from_secs(30), waiting).await;
-    let grant = grant.expect("in time").expect("kept");
-    grant.clone().expect("a grant")
+    let grant = grant.expect("before the timeout").expect("still present");
+    grant.clone().expect("lease is granted")
 }
 
-/// An entry stops gracefully. Another takes its leases over without waiting for them to run out,
-/// so that a host lost in that moment is replaced as fast as ever.
+/// Guards against waiting for the TTL after a graceful stop: a released lease is acquired by the
+/// next candidate at once, and the old holder's late write is rejected.
 #[tokio::test]
 async fn released_lease_acquired_at_once() {
     let table = FakeTable::new(3, FaultRates::default());
@@ -326,12 +326,12 @@
         RowExpectation::Any,
         serde_json::Value::Null,
     ));
-    let outcome = table.commit(&late).await.expect("the table is well");
+    let outcome = table.commit(&late).await.expect("table is available");
     assert!(matches!(outcome, CommitOutcome::Conflict(_)));
 }
 
-/// The table goes away for longer than the lease lasts. The holder stops acting by itself, and
-/// acts again under the same or a newer epoch when the table is back.
+/// The table is down for longer than the TTL. The holder must stop acting by itself, and acts again
+/// under the same or a newer epoch when the table is back.
 #[tokio::test]
 async fn table_outage_ends_grant() {
     let table = FakeTable::new(3, FaultRates::default());
@@ -346,14 +346,14 @@
     let waiting = grants.wait_for(Option::is_none);
     tokio::time::timeout(Duration::from_secs(30), waiting)
         .await
-        .expect("in time")
-        .expect("kept");
+        .expect("before the timeout")
+        .expect("still present");
     assert!(grant.remaining(Instant::now()).is_zero());
     table.set_rates(FaultRates::default());
     assert!(granted(&mut grants).await.epoch >= grant.epoch);
 }
 
-/// A renewal must not fail the holder's own transactions, or one round in six would be lost.
+/// A renewal must not fail the holder's own transactions; otherwise one round in six would be lost.
 #[tokio::test]
 async fn renewals_keep_fenced_writes() {
     let table = FakeTable::new(3, FaultRates::default());
@@ -361,7 +361,7 @@
     let grant = granted(&mut handle.grants()).await;
     let before = table
         .row(&keys::lease_key(&lease()))
-        .expect("a row")
+        .expect("row exists")
         .version;
     let started = Instant::now();
     while table.row(&keys::lease_key(&lease())).map(|row| row.version) <= Some(before) {
@@ -369,6 +369,9 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let batch = WriteBatch::new(token(1)).put(LOG, RowExpectation::Any, serde_json::Value::Null);
-    let outcome = table.commit(&grant.fence(batch)).await.expect("well");
+    let outcome = table
+        .commit(&grant.fence(batch))
+        .await
+        .expect("table is available");
     assert!(matches!(outcome, CommitOutcome::Committed(RowVersion(_))));
 }
--- a/crates/control/tests/rules/main.rs
+++ b/crates/control/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the real aggregates and state machines of control, over fakes in memory.
+//! Tests of control's state machines and stores against in-memory fakes.
 
 mod allowed_drains;
 mod assembly_rounds;
--- a/crates/control/tests/rules/member_state.rs
+++ b/crates/control/tests/rules/member_state.rs
@@ -1,4 +1,4 @@
-//! The membership under reordered, repeated, lost and late heartbeats.
+//! The membership with reordered, repeated, lost and late heartbeats.
 #![expect(
     clippy::needless_pass_by_value,
     reason = "quickcheck hands its inputs over by value"
@@ -20,10 +20,10 @@
 
 fn member(number: u8) -> Member {
     Member {
-        node: format!("e{number}").parse().expect("a node"),
-        address: "127.0.0.1:1".parse().expect("an address"),
-        domain: "plateau".parse().expect("a domain"),
-        region: "dakar".parse().expect("a region"),
+        node: format!("e{number}").parse().expect("valid node id"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
+        domain: "plateau".parse().expect("valid failure domain"),
+        region: "dakar".parse().expect("valid region"),
         admin: None,
     }
 }
@@ -85,8 +85,8 @@
         .quickcheck(property);
 }
 
-// A node that left is brought back by a late digest; watchers are then chosen that do not exist,
-// and replicas go without evidence.
+// Guards against a late digest that adds a node again after it left: replicas would be assigned to
+// probers that do not exist and get no evidence.
 #[test]
 fn left_node_stays_removed() {
     fn property(steps: Vec<MemberStep>) -> bool {
@@ -110,8 +110,8 @@
     check(property);
 }
 
-// Nodes that hear nothing must not shrink their roster by themselves: the small side of a
-// partition would take itself for the majority.
+// Guards against a roster that shrinks through silence: the minority side of a partition would
+// consider itself the majority.
 #[test]
 fn silence_keeps_roster_size() {
     fn property(steps: Vec<MemberStep>) -> bool {
@@ -128,7 +128,7 @@
     check(property);
 }
 
-// The same heartbeat heard again and again, from a buffer or by a detour, is no sign of life.
+// Guards against counting the same heartbeat again when it is buffered or arrives by another path.
 #[test]
 fn repeated_heartbeats_ignored() {
     fn property(steps: Vec<MemberStep>) -> bool {
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -1,4 +1,4 @@
-//! Amendments against a table in memory: races, lost answers, schema versions.
+//! Amendments against an in-memory table: races, lost responses and schema versions.
 
 use crate::fake::{CommitFault, FakeTable};
 use control::amend::{AmendError, StoredRecord};
@@ -22,7 +22,7 @@
         }),
         expect: Expect::Any,
         operator: token.to_owned(),
-        token: token.parse().expect("a token"),
+        token: token.parse().expect("valid token"),
     }
 }
 
@@ -33,11 +33,11 @@
 async fn stored(table: &FakeTable, name: &str) -> Option<StoredRecord> {
     get_record(table, RecordKind::Customer, name)
         .await
-        .expect("readable")
+        .expect("row is readable")
 }
 
-// Two operators amend the same record at the same moment. One is accepted; the other learns who
-// was faster and with what, instead of taking his own record for the one in force.
+// Two operators amend the same record concurrently. Exactly one is accepted; the other must get a
+// conflict with the accepted change, instead of believing that their own record is active.
 #[tokio::test]
 async fn concurrent_amendments() {
     for round in 0..50 {
@@ -46,7 +46,10 @@
         let second = amendment("c", 2, share(2), &format!("b{round}"));
         let (first, second) =
             tokio::join!(amend_record(&table, &first), amend_record(&table, &second));
-        let outcomes = [first.expect("settled"), second.expect("settled")];
+        let outcomes = [
+            first.expect("settled outcome"),
+            second.expect("settled outcome"),
+        ];
         let accepted = outcomes
             .iter()
             .filter(|outcome| matches!(outcome, AmendOutcome::Accepted(_)))
@@ -56,10 +59,10 @@
             let AmendOutcome::Conflict(conflict) = outcome else {
                 continue;
             };
-            let change = conflict.change.expect("the change is kept");
+            let change = conflict.change.expect("change is in the log");
             assert_eq!(change.record, conflict.current.map(|stored| stored.record));
         }
-        assert_eq!(config_head(&table).await.expect("a head").0, 1);
+        assert_eq!(config_head(&table).await.expect("head is readable").0, 1);
     }
 }
 
@@ -77,10 +80,13 @@
         })
         .collect();
     for task in tasks {
-        let outcome = task.await.expect("no panic").expect("settled");
+        let outcome = task
+            .await
+            .expect("task did not panic")
+            .expect("settled outcome");
         assert!(matches!(outcome, AmendOutcome::Accepted(_)), "{outcome:?}");
     }
-    assert_eq!(config_head(&table).await.expect("a head").0, 16);
+    assert_eq!(config_head(&table).await.expect("head is readable").0, 16);
 }
 
 #[tokio::test]
@@ -88,23 +94,26 @@
     let table = FakeTable::default();
     let mut next = amendment("c", 2, share(1), "t1");
     next.expect = Expect::Revision(ConfigRevision(7));
-    let outcome = amend_record(&table, &next).await.expect("settled");
+    let outcome = amend_record(&table, &next).await.expect("settled outcome");
     assert!(matches!(outcome, AmendOutcome::Conflict(_)));
     next.expect = Expect::Absent;
-    let outcome = amend_record(&table, &next).await.expect("settled");
+    let outcome = amend_record(&table, &next).await.expect("settled outcome");
     assert_eq!(outcome, AmendOutcome::Accepted(ConfigRevision(1)));
     let mut again = amendment("c", 2, share(2), "t2");
     again.expect = Expect::Absent;
-    let outcome = amend_record(&table, &again).await.expect("settled");
+    let outcome = amend_record(&table, &again).await.expect("settled outcome");
     assert!(matches!(outcome, AmendOutcome::Conflict(_)));
     again.expect = Expect::Revision(ConfigRevision(1));
-    let outcome = amend_record(&table, &again).await.expect("settled");
+    let outcome = amend_record(&table, &again).await.expect("settled outcome");
     assert_eq!(outcome, AmendOutcome::Accepted(ConfigRevision(2)));
-    assert_eq!(stored(&table, "c").await.expect("there").revision.0, 2);
+    assert_eq!(
+        stored(&table, "c").await.expect("record exists").revision.0,
+        2
+    );
 }
 
-// The table takes an amendment and its answer is lost. The operator would amend again and take
-// the conflict with himself for another operator's work; the change log tells that it was his.
+// The table applies an amendment and its response is lost. The change log must identify it as the
+// operator's own; otherwise a retry would conflict with itself.
 #[tokio::test(start_paused = true)]
 async fn lost_response_settled() {
     for faults in [
@@ -116,15 +125,15 @@
         let table = FakeTable::default();
         table.set_faults(&faults);
         let outcome = amend_record(&table, &amendment("c", 2, share(3), "t")).await;
-        let outcome = outcome.expect("settled");
+        let outcome = outcome.expect("settled outcome");
         assert_eq!(outcome, AmendOutcome::Accepted(ConfigRevision(1)));
-        assert_eq!(config_head(&table).await.expect("a head").0, 1);
+        assert_eq!(config_head(&table).await.expect("head is readable").0, 1);
     }
 }
 
-// The answer to a delete is lost, and before the client asks again another operator amends another
-// record. The head is his now and the record is gone; only the change log still tells that the
-// delete was accepted. Without it the client would report a conflict and delete again.
+// The response to a delete is lost, and another record is amended before the retry. The head has
+// moved and the record is gone, so only the change log shows that the delete was accepted;
+// otherwise the client would report a conflict.
 #[tokio::test(start_paused = true)]
 async fn lost_delete_settled() {
     let table = FakeTable::default();
@@ -138,14 +147,14 @@
         amend_record(&table, &amendment("d", 2, share(1), "t3")).await
     };
     let (deleted, other) = tokio::join!(amend_record(&table, &delete), other);
-    let deleted = deleted.expect("settled");
+    let deleted = deleted.expect("settled outcome");
     assert_eq!(deleted, AmendOutcome::Accepted(ConfigRevision(2)));
-    let other = other.expect("settled");
+    let other = other.expect("settled outcome");
     assert_eq!(other, AmendOutcome::Accepted(ConfigRevision(3)));
 }
 
-// Every answer is lost, the amendment takes effect long after the operator's client gave up. The
-// client says that it does not know; what it names tells the outcome afterwards.
+// All responses are lost and the amendment takes effect after the client gave up. The client must
+// report the outcome as unknown, with the revision and token that determine it later.
 #[tokio::test(start_paused = true)]
 async fn late_write_accepted() {
     let table = FakeTable::default();
@@ -160,7 +169,7 @@
     let status = |table: FakeTable| async move {
         amendment_status(&table, revision, token.as_str())
             .await
-            .expect("readable")
+            .expect("row is readable")
     };
     assert_eq!(
         status.clone()(table.clone()).await,
@@ -168,11 +177,11 @@
     );
     table.deliver();
     assert_eq!(status(table.clone()).await, AmendmentStatus::Accepted);
-    assert_eq!(config_head(&table).await.expect("a head").0, 1);
+    assert_eq!(config_head(&table).await.expect("head is readable").0, 1);
 }
 
-// A delayed amendment reaches the table after another operator's. It must not take effect: the
-// other operator was told that his record is in force.
+// A delayed amendment arrives after another operator's was accepted for the same revision. It must
+// not take effect.
 #[tokio::test(start_paused = true)]
 async fn late_write_refused() {
     let table = FakeTable::default();
@@ -186,18 +195,21 @@
     };
     let other = amend_record(&table, &amendment("c", 2, share(4), "other")).await;
     assert_eq!(
-        other.expect("settled"),
+        other.expect("settled outcome"),
         AmendOutcome::Accepted(ConfigRevision(1))
     );
     table.deliver();
-    let record = stored(&table, "c").await.expect("there").record;
+    let record = stored(&table, "c").await.expect("record exists").record;
     assert_eq!(record.spec["share"], 4);
     let status = amendment_status(&table, revision, token.as_str()).await;
-    assert_eq!(status.expect("readable"), AmendmentStatus::NotAccepted);
+    assert_eq!(
+        status.expect("row is readable"),
+        AmendmentStatus::NotAccepted
+    );
 }
 
-// A client that knows schema version 1 alone reads a customer, does not see its share, and writes
-// it back. Accepted, it would cut a large customer's share to the default behind his back.
+// A client that only knows schema version 1 reads a customer without its share and writes it back.
+// Accepting it would silently reset a large customer's share to the default.
 #[tokio::test]
 async fn old_schema_refused() {
     let table = FakeTable::default();
@@ -223,5 +235,5 @@
     let table = FakeTable::default();
     let outcome = amend_record(&table, &amendment("c", 3, json!({}), "t1")).await;
     assert!(matches!(outcome, Ok(AmendOutcome::Refused(_))));
-    assert_eq!(config_head(&table).await.expect("a head").0, 0);
+    assert_eq!(config_head(&table).await.expect("head is readable").0, 0);
 }
--- a/crates/control/tests/rules/sim/engine.rs
+++ b/crates/control/tests/rules/sim/engine.rs
@@ -1,4 +1,4 @@
-//! Engines in memory that die, restart, miss orders and get them late.
+//! In-memory engines that die, restart, lose orders and get them late.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// One engine.
 #[derive(Debug, Clone)]
 pub struct FakeHost {
-    /// What it reports.
+    /// The state that it reports.
     pub state: EngineState,
     /// Whether it answers.
     pub alive: bool,
@@ -39,8 +39,8 @@
 }
 
 impl FakeEngines {
-    /// `count` engines named `h0`, `h1` and so on, `lost_orders` percent of whose orders get lost,
-    /// half of these to arrive late.
+    /// Creates `count` engines named `h0`, `h1` and so on. `lost_orders` percent of their orders
+    /// are lost, half of which arrive late.
     pub fn new(seed: u64, count: u16, fencing: bool, lost_orders: u64) -> Self {
         let mut hosts = BTreeMap::new();
         for number in 0..count {
@@ -72,7 +72,7 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, EnginesInner> {
-        self.inner.lock().expect("no test panics inside")
+        self.inner.lock().expect("lock is not poisoned")
     }
 
     /// Changes one engine.
@@ -82,11 +82,11 @@
             inner
                 .hosts
                 .get_mut(&host_address(number))
-                .expect("a known host"),
+                .expect("host exists"),
         );
     }
 
-    /// Restarts one engine: it comes back empty with a new boot number.
+    /// Restarts one engine: it returns empty with a new boot number.
     pub fn restart(&self, number: u16) {
         self.change(number, |host| {
             host.alive = true;
@@ -97,12 +97,12 @@
         });
     }
 
-    /// What one engine reports.
+    /// The state of one engine, whether or not it answers.
     pub fn state_of(&self, number: u16) -> EngineState {
         self.inner().hosts[&host_address(number)].state.clone()
     }
 
-    /// What all engines report that answer.
+    /// The states of all engines that answer.
     pub fn states(&self) -> Vec<EngineState> {
         let inner = self.inner();
         inner
@@ -117,18 +117,18 @@
     pub fn deliver_late_order(&self) {
         let mut inner = self.inner();
         if let Some((address, order)) = inner.late.pop() {
-            inner.follow(address, order);
+            inner.apply_order(address, order);
         }
     }
 
-    /// Loses no more orders.
-    pub fn heal(&self) {
+    /// Stops losing orders.
+    pub fn stop_losing_orders(&self) {
         self.inner().lost_orders = 0;
     }
 }
 
 impl EnginesInner {
-    fn follow(&mut self, address: SocketAddr, order: EngineOrder) -> Option<OrderOutcome> {
+    fn apply_order(&mut self, address: SocketAddr, order: EngineOrder) -> Option<OrderOutcome> {
         let fencing = self.fencing;
         let host = self.hosts.get_mut(&address)?;
         if !host.alive {
@@ -144,17 +144,17 @@
     }
 }
 
-/// Name of an engine's host.
+/// Name of the host with this number.
 pub fn host_name(number: u16) -> HostId {
-    format!("h{number}").parse().expect("an id")
+    format!("h{number}").parse().expect("valid id")
 }
 
-/// Address of an engine.
+/// Address of the host with this number.
 pub fn host_address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 40_000 + number))
 }
 
-/// No streams run in these tests.
+/// Streams are not used in these tests.
 #[derive(Debug)]
 pub struct NoStream;
 
@@ -190,7 +190,7 @@
             }
             return Err(ClientError::TimedOut(address));
         }
-        let outcome = inner.follow(address, order.clone());
+        let outcome = inner.apply_order(address, order.clone());
         outcome.ok_or(ClientError::TimedOut(address))
     }
 
--- a/crates/control/tests/rules/sim/mod.rs
+++ b/crates/control/tests/rules/sim/mod.rs
@@ -1,14 +1,14 @@
-//! A table in memory whose answers get lost, for property tests.
+//! Seeded fault injection for property tests: random numbers, a table and engines.
 
 pub mod engine;
 pub mod table;
 
-/// A small generator, so that one seed tells a whole run.
+/// A small random number generator, so that a seed reproduces a whole run.
 #[derive(Debug, Clone)]
 pub struct SeededRng(u64);
 
 impl SeededRng {
-    /// Dice from a seed.
+    /// A generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
@@ -23,10 +23,10 @@
 
     /// An index below `len`.
     pub fn index(&mut self, len: usize) -> usize {
-        usize::try_from(self.below(len as u64)).expect("small")
+        usize::try_from(self.below(len as u64)).expect("fits the type")
     }
 
-    /// True in `percent` of a hundred cases.
+    /// True with a probability of `percent` percent.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/crates/control/tests/rules/sim/table.rs
+++ b/crates/control/tests/rules/sim/table.rs
@@ -1,4 +1,4 @@
-//! The table: one lock, versions, and faults that dice choose.
+//! An in-memory table with versions and randomly injected faults.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -8,20 +8,20 @@
 
 use super::SeededRng;
 
-/// Faults in percent of the commits.
+/// Probabilities of the faults, in percent of the commits.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FaultRates {
-    /// The answer is lost and nothing took effect.
+    /// The response is lost and nothing took effect.
     pub lost_before: u64,
-    /// The answer is lost and the write took effect.
+    /// The response is lost and the write took effect.
     pub lost_after: u64,
-    /// The answer is lost and the write takes effect during a later call.
+    /// The response is lost and the write takes effect during a later call.
     pub late: u64,
-    /// The table says that it is down.
+    /// The table reports that it is unavailable; applies to reads as well.
     pub down: u64,
 }
 
-/// A table in memory. Clones share it.
+/// An in-memory table. Clones share it.
 #[derive(Debug, Clone)]
 pub struct FakeTable {
     inner: Arc<Mutex<TableInner>>,
@@ -52,30 +52,30 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, TableInner> {
-        self.inner.lock().expect("no test panics inside")
+        self.inner.lock().expect("lock is not poisoned")
     }
 
-    /// Changes the faults from now on.
+    /// Sets the probabilities for all later calls.
     pub fn set_rates(&self, rates: FaultRates) {
         self.inner().rates = rates;
     }
 
-    /// Commits that reached the table, with or without effect.
+    /// Number of commits that reached the table, with or without effect.
     pub fn commits(&self) -> usize {
         self.inner().commits
     }
 
-    /// A row as it stands.
+    /// A row as currently stored.
     pub fn row(&self, key: &str) -> Option<TableRow> {
         self.inner().rows.row(key)
     }
 
-    /// All rows below a prefix.
+    /// All rows with the given prefix.
     pub fn rows(&self, prefix: &str) -> Vec<TableRow> {
         self.inner().rows.scan(prefix)
     }
 
-    /// Lets every write that is under way take effect or fail.
+    /// Applies every delayed write, as far as its expectations hold.
     pub fn apply_all_late(&self) {
         let mut inner = self.inner();
         while let Some(batch) = inner.late.pop() {
@@ -96,7 +96,7 @@
 }
 
 fn lost() -> StoreError {
-    StoreError::AnswerLost("the test lost it".to_owned())
+    StoreError::AnswerLost("injected response loss".to_owned())
 }
 
 impl TableStore for FakeTable {
@@ -106,7 +106,7 @@
         inner.apply_late_commits();
         let down = inner.rates.down;
         if inner.rng.chance(down) {
-            return Err(StoreError::Unavailable("the test's outage".to_owned()));
+            return Err(StoreError::Unavailable("injected outage".to_owned()));
         }
         Ok(inner.rows.read(key, known))
     }
@@ -123,7 +123,7 @@
         inner.apply_late_commits();
         let rates = inner.rates;
         if inner.rng.chance(rates.down) {
-            return Err(StoreError::Unavailable("the test's outage".to_owned()));
+            return Err(StoreError::Unavailable("injected outage".to_owned()));
         }
         if inner.rng.chance(rates.lost_before) {
             return Err(lost());
--- a/crates/control/tests/rules/table_budget.rs
+++ b/crates/control/tests/rules/table_budget.rs
@@ -1,4 +1,4 @@
-//! A node within its share of the table's limits.
+//! A node's share of the table's rate limits.
 
 use std::time::{Duration, Instant};
 
@@ -15,12 +15,12 @@
 }
 
 async fn write(table: &BudgetedTable<FakeTable>) -> Result<(), StoreError> {
-    let token = "t".parse().expect("an id");
+    let token = "t".parse().expect("valid id");
     table.commit(&WriteBatch::new(token)).await.map(|_| ())
 }
 
-/// One of 410 nodes goes wild and writes in a loop. The table sees only its share, and the
-/// payments of the other nodes pass.
+/// One of 410 nodes writes in a loop. It must be throttled to its share, so that the writes of
+/// other nodes still pass.
 #[tokio::test]
 async fn runaway_node_throttled() {
     let fake = FakeTable::new(1, FaultRates::default());
@@ -33,12 +33,12 @@
         refused += u32::from(matches!(result, Err(StoreError::Throttled { .. })));
     }
     let allowed = 3 + 3 * (started.elapsed().as_secs() + 1);
-    assert!(u64::try_from(fake.commits()).expect("small") <= allowed);
+    assert!(u64::try_from(fake.commits()).expect("fits the type") <= allowed);
     assert!(refused > 400);
 }
 
-/// The table is down. After a few failures a claim is refused without a try, so that nobody waits
-/// for a timeout; when the table answers again, calls pass.
+/// The table is down. After a few failures writes must be refused without a try, so that callers do
+/// not wait for timeouts; when the table is back, writes pass again.
 #[tokio::test]
 async fn circuit_opens_and_closes() {
     let down = FaultRates {
