--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -35,8 +35,8 @@
 /// Spreads models over fabric domains in proportion to their shares.
 ///
 /// Models stay where hosts have them in memory. Further replicas go to the model with the lowest
-/// coverage, and to a fabric domain without a replica of it, or else to the domain with the most
-/// free hosts. Once a domain has a replica of a model, a further one must leave a spare host for
+/// coverage, preferably into a fabric domain without a replica of it, and among those into the one
+/// with the most free hosts. Once a domain has a replica of a model, a further one must leave a spare host for
 /// each model, so that a lost host is replaced within a second instead of after a load of many
 /// seconds.
 ///
--- a/crates/serving/src/plan/spares.rs
+++ b/crates/serving/src/plan/spares.rs
@@ -44,10 +44,10 @@
         .models
         .iter()
         .map(|model| {
-            let held = free
+            let holders = free
                 .iter()
                 .filter(|host| host.has_weights(&model.name) || is_loading(host, &model.name));
-            held.count()
+            holders.count()
         })
         .collect();
     for host in free {
--- a/crates/serving/src/plan/staging.rs
+++ b/crates/serving/src/plan/staging.rs
@@ -19,9 +19,9 @@
     }
     let mut holders: FastMap<&ModelName, usize> = FastMap::default();
     for model in fabric.models {
-        let having = fabric.hosts.iter();
-        let having = having.filter(|host| host.has_weights(&model.name));
-        holders.insert(&model.name, having.count());
+        let holding = fabric.hosts.iter();
+        let holding = holding.filter(|host| host.has_weights(&model.name));
+        holders.insert(&model.name, holding.count());
     }
     let busy: FastSet<HostId> = steps.iter().flat_map(PlanStep::hosts).cloned().collect();
     for host in fabric.hosts {
--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -40,7 +40,7 @@
 }
 
 /// In domains of eight hosts each model gets one replica and two hosts stay spare. Without spares,
-/// each lost host would cost a replica for the time of a whole load.
+/// each lost host would cost a replica until a host has loaded its model.
 #[test]
 fn even_domains() {
     let models = [model("large", 4, 0.67), model("small", 2, 0.33)];
@@ -57,12 +57,12 @@
 fn large_domains() {
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
     let layout = compute_layout(&domains(&[19; 9]), &models);
-    for (fabric, wanted) in &layout {
-        let used: usize = wanted
+    for (fabric, desired) in &layout {
+        let used: usize = desired
             .iter()
             .map(|(name, count)| count * if name.as_str() == "large" { 8 } else { 4 })
             .sum();
-        assert!((12..=17).contains(&used), "{fabric}: {wanted:?}");
+        assert!((12..=17).contains(&used), "{fabric}: {desired:?}");
     }
 }
 
@@ -154,10 +154,10 @@
         ];
         let hosts = domains(&sizes);
         let layout = compute_layout(&hosts, &models);
-        layout.iter().all(|(fabric, wanted)| {
+        layout.iter().all(|(fabric, desired)| {
             let used: usize = models
                 .iter()
-                .map(|model| wanted.get(&model.name).copied().unwrap_or(0) * model.size)
+                .map(|model| desired.get(&model.name).copied().unwrap_or(0) * model.size)
                 .sum();
             used <= hosts[fabric].hosts
         })
--- a/crates/serving/tests/plan/fabric_plan.rs
+++ b/crates/serving/tests/plan/fabric_plan.rs
@@ -10,7 +10,7 @@
 use crate::fixtures::{Domain, LONG_AGO, formed, host, large_replica, member, warm};
 
 /// Returns the mode in which the first replica is closed, if any is.
-fn close_mode(steps: &[PlanStep]) -> Option<CloseMode> {
+fn closed_with(steps: &[PlanStep]) -> Option<CloseMode> {
     steps.iter().find_map(|step| match step {
         PlanStep::Close { mode, .. } => Some(*mode),
         _ => None,
@@ -69,7 +69,7 @@
     let mut hosts = large_replica(MemberState::Open);
     hosts[1].silent_for = Some(Duration::ZERO);
     let steps = Domain::new(hosts).plan();
-    assert_eq!(close_mode(&steps), Some(CloseMode::Cancel));
+    assert_eq!(closed_with(&steps), Some(CloseMode::Cancel));
     assert!(formed(&steps).is_empty());
 }
 
@@ -91,7 +91,7 @@
     let mut hosts = large_replica(MemberState::Open);
     hosts[3].lifecycle = HostLifecycle::Draining;
     let steps = Domain::new(hosts).plan();
-    assert_eq!(close_mode(&steps), Some(CloseMode::Wait));
+    assert_eq!(closed_with(&steps), Some(CloseMode::Wait));
 }
 
 /// A member that is cut off from the registry still works, so its replica keeps serving; to close
@@ -118,7 +118,7 @@
     hosts[0].lifecycle = HostLifecycle::Unlisted;
     hosts.push(warm("e", "large"));
     let steps = Domain::new(hosts.clone()).plan();
-    assert_eq!(close_mode(&steps), Some(CloseMode::Wait));
+    assert_eq!(closed_with(&steps), Some(CloseMode::Wait));
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
     // Once the head is gone, the spare replaces it.
     hosts.remove(0);
@@ -134,7 +134,7 @@
     hosts[0].lifecycle = HostLifecycle::Retired;
     hosts.push(warm("e", "large"));
     let steps = Domain::new(hosts).plan();
-    assert_eq!(close_mode(&steps), None);
+    assert_eq!(closed_with(&steps), None);
     assert_eq!(formed(&steps), Vec::<Vec<&str>>::new());
 }
 
--- a/crates/serving/tests/plan/rebalancing.rs
+++ b/crates/serving/tests/plan/rebalancing.rs
@@ -77,7 +77,7 @@
 }
 
 /// Hosts that join a replica report no model meanwhile but count as available. When they were not
-/// counted, a failed formation made four serving replicas be given up for hosts that were there.
+/// counted, four serving replicas were given up after a failed formation although there were hosts.
 #[test]
 fn joining_hosts_counted() {
     let mut hosts = degraded_domain();
--- a/crates/serving/tests/poison_requests.rs
+++ b/crates/serving/tests/poison_requests.rs
@@ -130,8 +130,9 @@
             .into_iter()
             .map(|requests| {
                 let others = requests.into_iter();
-                let others =
-                    others.map(|(mark, ran)| request(u128::from(mark) + 2, u64::from(ran) + 200));
+                let others = others.map(|(fingerprint, age)| {
+                    request(u128::from(fingerprint) + 2, u64::from(age) + 200)
+                });
                 others.chain([request(1, 100)]).collect()
             })
             .collect();
