--- a/crates/peers/src/peer_view.rs
+++ b/crates/peers/src/peer_view.rs
@@ -40,6 +40,7 @@
     pub revision: ConfigRevision,
     sent_rows: Vec<NodeId>,
     received_rows: Vec<NodeId>,
+    /// Index of each member's row, in the encoding that [`PeerBeat`] describes.
     row_indices: FastMap<NodeId, u32>,
     heartbeats: FastMap<NodeId, u64>,
     departed: FastSet<NodeId>,
--- a/crates/peers/src/select.rs
+++ b/crates/peers/src/select.rs
@@ -27,13 +27,13 @@
     let key = format!("link.{}", own.node);
     ranked.sort_by_cached_key(|member| std::cmp::Reverse(rendezvous_weight(&key, &member.node)));
     let mut chosen: Vec<Member> = Vec::new();
-    let mut take = |wanted: &dyn Fn(&Member) -> bool, limit: usize| {
+    let mut add = |wanted: &dyn Fn(&Member) -> bool, limit: usize| {
         for member in &ranked {
             if chosen.len() >= limit {
                 return;
             }
-            let taken = chosen.iter().any(|other| other.node == member.node);
-            if taken || !wanted(member) {
+            let already_chosen = chosen.iter().any(|other| other.node == member.node);
+            if already_chosen || !wanted(member) {
                 continue;
             }
             chosen.push((*member).clone());
@@ -42,9 +42,9 @@
     let other_region = |member: &Member| member.region != own.region;
     let other_domain = |member: &Member| member.region == own.region && member.domain != own.domain;
     let same_domain = |member: &Member| member.domain == own.domain && member.region == own.region;
-    take(&other_region, degree.min(1));
-    take(&other_domain, degree.min(2));
-    take(&same_domain, degree);
-    take(&|_| true, degree);
+    add(&other_region, degree.min(1));
+    add(&other_domain, degree.min(2));
+    add(&same_domain, degree);
+    add(&|_| true, degree);
     chosen
 }
--- a/crates/peers/tests/peer_links.rs
+++ b/crates/peers/tests/peer_links.rs
@@ -63,14 +63,14 @@
 async fn wrong_key_refused() {
     let config = MeshConfig::fast();
     let first = config.start("e1", KEY, &[]).await;
-    let stranger = config
+    let outsider = config
         .start("e2", "another key of the right length", &[first.address])
         .await;
-    stranger.apply_change(1).await;
+    outsider.apply_change(1).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(first.revision(), 0);
     assert_eq!(first.member_count(), 1);
-    assert_eq!(stranger.member_count(), 1);
+    assert_eq!(outsider.member_count(), 1);
 }
 
 /// Nodes that can't reach the store but hear each other conclude that the store is down and keep
