--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -18,7 +18,7 @@
 use super::state::{ApplyOutcome, ConfigSnapshot, ConfigState};
 
 /// Capacity of the mailbox; senders wait while it is full.
-const MAILBOX: usize = 256;
+const MAILBOX_CAPACITY: usize = 256;
 
 /// Interval at which readiness is re-evaluated.
 const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
@@ -114,7 +114,7 @@
             status_sender,
             recorder,
         };
-        let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX));
+        let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(evaluate_forever(address.clone()));
         ConfigHandle { address, status }
     }
--- a/crates/control/src/evidence_store.rs
+++ b/crates/control/src/evidence_store.rs
@@ -40,20 +40,20 @@
 
 #[derive(Debug, Default)]
 struct StoreInner {
-    rows: Mutex<StoreRows>,
+    state: Mutex<StoreState>,
     changes: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
-struct StoreRows {
+struct StoreState {
     entries: FastMap<ReplicaId, EvidenceEntry>,
     changed: FastSet<ReplicaId>,
 }
 
 impl EvidenceStore {
-    fn rows(&self) -> MutexGuard<'_, StoreRows> {
+    fn state(&self) -> MutexGuard<'_, StoreState> {
         self.inner
-            .rows
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -76,21 +76,21 @@
     fn merge(&self, evidence: HealthEvidence, load: Option<EngineLoad>, own: bool) {
         let now = Instant::now();
         let as_of = now.checked_sub(evidence.age).filter(|_| !own);
-        let mut rows = self.rows();
+        let mut state = self.state();
         let mut last_from_peer = as_of;
-        if let Some(known) = rows.entries.get_mut(&evidence.replica) {
-            let stale = evidence.incarnation < known.evidence.incarnation;
+        if let Some(known) = state.entries.get_mut(&evidence.replica) {
+            let outdated = evidence.incarnation < known.evidence.incarnation;
             let same = evidence.incarnation == known.evidence.incarnation;
-            if !stale {
+            if !outdated {
                 known.last_from_peer = known.last_from_peer.max(as_of);
                 last_from_peer = known.last_from_peer;
             }
-            if stale || (same && evidence.age >= known.age(now)) {
+            if outdated || (same && evidence.age >= known.age(now)) {
                 return;
             }
         }
         let replica = evidence.replica.clone();
-        let known_load = rows
+        let known_load = state
             .entries
             .get(&replica)
             .and_then(|entry| entry.load)
@@ -101,16 +101,16 @@
             load: load.map(|load| (load, now)).or(known_load),
             last_from_peer,
         };
-        rows.entries.insert(replica.clone(), entry);
-        rows.changed.insert(replica);
-        drop(rows);
+        state.entries.insert(replica.clone(), entry);
+        state.changed.insert(replica);
+        drop(state);
         self.inner.changes.send_modify(|count| *count += 1);
     }
 
     /// The newest evidence for a replica; none before the first.
     #[must_use]
     pub fn newest_for(&self, replica: &ReplicaId) -> Option<EvidenceEntry> {
-        self.rows().entries.get(replica).cloned()
+        self.state().entries.get(replica).cloned()
     }
 
     /// Up to `max` pieces of evidence, newest first, with their current ages.
@@ -118,7 +118,7 @@
     pub fn export(&self, max: usize) -> Vec<HealthEvidence> {
         let now = Instant::now();
         let mut evidence: Vec<HealthEvidence> = self
-            .rows()
+            .state()
             .entries
             .values()
             .map(|entry| HealthEvidence {
@@ -126,7 +126,7 @@
                 ..entry.evidence.clone()
             })
             .collect();
-        evidence.sort_unstable_by_key(|piece| piece.age);
+        evidence.sort_unstable_by_key(|observation| observation.age);
         evidence.truncate(max);
         evidence
     }
@@ -141,11 +141,11 @@
     /// it, the publisher of the target view.
     #[must_use]
     pub fn take_changed(&self) -> FastSet<ReplicaId> {
-        std::mem::take(&mut self.rows().changed)
+        std::mem::take(&mut self.state().changed)
     }
 
     /// Removes the replicas that are not in `keep`.
     pub fn retain(&self, keep: &FastSet<ReplicaId>) {
-        self.rows().entries.retain(|id, _| keep.contains(id));
+        self.state().entries.retain(|id, _| keep.contains(id));
     }
 }
--- a/crates/control/src/lease/actor.rs
+++ b/crates/control/src/lease/actor.rs
@@ -21,7 +21,7 @@
 /// Fraction of the renewal interval by which each delay is shortened at random.
 const JITTER_FRACTION: f64 = 0.2;
 
-const MAILBOX: usize = 8;
+const MAILBOX_CAPACITY: usize = 8;
 
 /// Reads the lease and acts on it.
 struct LeaseTick;
@@ -79,7 +79,7 @@
         recorder,
         stopping: false,
     };
-    let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX));
+    let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX_CAPACITY));
     let weak = address.downgrade();
     tokio::spawn(async move {
         while let Ok(next_poll) = weak.send(LeaseTick).await {
--- a/crates/control/src/ledger/lookup.rs
+++ b/crates/control/src/ledger/lookup.rs
@@ -26,7 +26,7 @@
     pub async fn settle_from_lookup(
         &self,
         key: &ClaimKey,
-        seen: &CallClaim,
+        observed: &CallClaim,
         answer: ClaimState,
     ) -> Result<(), StoreError> {
         let row = match self.table.read(&key.row(), None).await? {
@@ -34,7 +34,7 @@
             RowRead::Absent | RowRead::Unchanged => return Ok(()),
         };
         let (current, version) = read_claim(row)?;
-        if current != *seen || current.state != ClaimState::Claimed {
+        if current != *observed || current.state != ClaimState::Claimed {
             return Ok(());
         }
         let settled = CallClaim {
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -171,7 +171,7 @@
         // The claim continues in its own task if the caller disconnects meanwhile: a claim that is
         // stored without anyone to send the call would leave its key unknown forever. If nobody
         // receives the ticket, the task withdraws the claim.
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let ledger = self.clone();
         tokio::spawn(async move {
             let outcome = ledger.claim_row(&key, attempt, body_hash).await;
@@ -179,7 +179,7 @@
                 withdraw_claim(ledger.table.clone(), ticket.row, ticket.claim).await;
             }
         });
-        answer.await.unwrap_or_else(|_| {
+        response.await.unwrap_or_else(|_| {
             Err(StoreError::Unavailable(
                 "the ledger writer stopped".to_owned(),
             ))
@@ -269,14 +269,14 @@
     }
 
     async fn write(&self, write: RowWrite, limit: Duration) -> Result<RowOutcome, StoreError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let stopped = || StoreError::Unavailable("the ledger writer stopped".to_owned());
         let waiting = async {
             self.writer
                 .send(EnqueueWrite { write, reply })
                 .await
                 .map_err(|_| stopped())?;
-            answer.await.unwrap_or_else(|_| Err(stopped()))
+            response.await.unwrap_or_else(|_| Err(stopped()))
         };
         match tokio::time::timeout(limit, waiting).await {
             Ok(result) => result,
--- a/crates/control/src/ledger/writer.rs
+++ b/crates/control/src/ledger/writer.rs
@@ -85,16 +85,16 @@
     /// twice.
     fn take_rows(&mut self) -> Vec<EnqueueWrite> {
         let mut taken: Vec<EnqueueWrite> = Vec::new();
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for row in self.waiting.drain(..) {
             let duplicate = taken.iter().any(|other| other.write.key == row.write.key);
             if duplicate || taken.len() >= self.settings.batch_rows {
-                left.push(row);
+                remaining.push(row);
                 continue;
             }
             taken.push(row);
         }
-        self.waiting = left;
+        self.waiting = remaining;
         taken
     }
 
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -97,8 +97,8 @@
         evidence.hosts.push(host.clone());
         evidence.leaving |= state.leaving;
     }
-    let whole = evidence.hosts.len() == plan.hosts.len();
-    if !whole && !contradicted && !evidence.leaving {
+    let complete = evidence.hosts.len() == plan.hosts.len();
+    if !complete && !contradicted && !evidence.leaving {
         return ProbeOutcome::Inconclusive;
     }
     let load = reports.first().and_then(HostReport::state);
--- a/crates/control/src/prober.rs
+++ b/crates/control/src/prober.rs
@@ -203,12 +203,12 @@
     let max_silence = Duration::from_millis(settings.silence_ms);
     // Only evidence from peers counts here. This node's own evidence does not stop its probes,
     // since nobody else may provide any; once peers send evidence again, the probes stop.
-    let heard = evidence_store.newest_for(&plan.id).is_some_and(|entry| {
+    let peers_report = evidence_store.newest_for(&plan.id).is_some_and(|entry| {
         let current = entry.evidence.incarnation >= plan.incarnation;
         let fresh = |at: Instant| now.saturating_duration_since(at) < max_silence;
         current && entry.last_from_peer.is_some_and(fresh)
     });
-    !heard
+    !peers_report
 }
 
 fn reschedule(
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -38,7 +38,7 @@
 impl ReviewReport {
     fn add(&mut self, severity: FindingSeverity, path: String, problem: String, advice: &str) {
         let finding = RecordFinding {
-            path: path,
+            path,
             problem,
             advice: advice.to_owned(),
         };
