--- a/crates/control/tests/rules/at_most_once.rs
+++ b/crates/control/tests/rules/at_most_once.rs
@@ -38,12 +38,12 @@
 async fn call_once(
     ledger: CallLedger<FakeTable>,
     number: usize,
-    name: usize,
+    key_index: usize,
     mut rng: SeededRng,
     runs: RunCounts,
 ) {
     tokio::time::sleep(Duration::from_millis(rng.below(400))).await;
-    let claim = ledger.claim(key(name), attempt(number), "body".to_owned());
+    let claim = ledger.claim(key(key_index), attempt(number), "body".to_owned());
     // Some callers disconnect before the claim is answered.
     let patience = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
     let Ok(outcome) = tokio::time::timeout(patience, claim).await else {
@@ -60,7 +60,7 @@
     *runs
         .lock()
         .expect("lock is not poisoned")
-        .entry(name)
+        .entry(key_index)
         .or_default() += 1;
     if rng.chance(20) {
         // The response is lost or the node dies after it sent the call.
@@ -69,7 +69,7 @@
     let answered = ClaimState::Answered {
         status: 200,
         content_type: "application/json".to_owned(),
-        body: format!("receipt {name}"),
+        body: format!("receipt {key_index}"),
     };
     let _ = ledger.settle(ticket, answered).await;
 }
@@ -98,10 +98,10 @@
         let mut callers = Vec::new();
         for number in 0..CALLERS {
             let ledger = ledgers[rng.index(2)].clone();
-            let name = rng.index(KEYS);
+            let key_index = rng.index(KEYS);
             let own = SeededRng::new(rng.below(u64::MAX));
             // Attempt numbers repeat too.
-            let caller = call_once(ledger, number % 5, name, own, Arc::clone(&runs));
+            let caller = call_once(ledger, number % 5, key_index, own, Arc::clone(&runs));
             callers.push(tokio::spawn(caller));
         }
         for caller in callers {
@@ -113,14 +113,14 @@
         table.apply_all_late();
         tokio::time::sleep(Duration::from_mins(2)).await;
         let counts = runs.lock().expect("lock is not poisoned").clone();
-        for name in 0..KEYS {
-            let run = counts.get(&name).copied().unwrap_or(0);
+        for key_index in 0..KEYS {
+            let run = counts.get(&key_index).copied().unwrap_or(0);
             if run > 1 {
                 return false;
             }
             // A key whose call never ran must not stay unknown.
             let again = ledgers[0]
-                .claim(key(name), attempt(99), "body".to_owned())
+                .claim(key(key_index), attempt(99), "body".to_owned())
                 .await
                 .expect("table is available");
             let free = matches!(again, ClaimOutcome::Granted(_));
@@ -152,10 +152,11 @@
     let first = ledger.claim(key(7), attempt(0), "one".to_owned()).await;
     assert!(matches!(first, Ok(ClaimOutcome::Granted(_))));
     let before = table.commits();
-    let claims = (0..16).map(|name| ledger.claim(key(name), attempt(name), "two".to_owned()));
+    let claims =
+        (0..16).map(|key_index| ledger.claim(key(key_index), attempt(key_index), "two".to_owned()));
     let outcomes = futures::future::join_all(claims).await;
-    for (name, outcome) in outcomes.iter().enumerate() {
-        if name == 7 {
+    for (key_index, outcome) in outcomes.iter().enumerate() {
+        if key_index == 7 {
             assert!(matches!(outcome, Ok(ClaimOutcome::Reused)), "{outcome:?}");
             continue;
         }
--- a/crates/control/tests/rules/config_load.rs
+++ b/crates/control/tests/rules/config_load.rs
@@ -34,7 +34,7 @@
     assert!(matches!(outcome, AmendOutcome::Accepted(_)));
 }
 
-async fn follow(table: &FakeTable, objects: &FakeObjects, state: &mut ConfigState) {
+async fn catch_up(table: &FakeTable, objects: &FakeObjects, state: &mut ConfigState) {
     let head = config_head(table).await.expect("head is readable");
     let update = load_update(table, objects, state.revision(), head)
         .await
@@ -54,7 +54,7 @@
         amend(&table, number).await;
     }
     let mut state = ConfigState::default();
-    follow(&table, &FakeObjects::default(), &mut state).await;
+    catch_up(&table, &FakeObjects::default(), &mut state).await;
     (table, state.snapshot())
 }
 
@@ -63,12 +63,12 @@
     let (table, _) = filled_table(20).await;
     let objects = FakeObjects::default();
     let mut state = ConfigState::default();
-    follow(&table, &objects, &mut state).await;
+    catch_up(&table, &objects, &mut state).await;
     let scans = table.scans();
     amend(&table, 21).await;
     amend(&table, 22).await;
     let reads = table.reads();
-    follow(&table, &objects, &mut state).await;
+    catch_up(&table, &objects, &mut state).await;
     assert_eq!(table.reads() - reads, 3, "the head and two changes");
     assert_eq!(table.scans(), scans);
 }
@@ -80,12 +80,12 @@
     let (table, _) = filled_table(5).await;
     let objects = FakeObjects::default();
     let mut stale = ConfigState::default();
-    follow(&table, &objects, &mut stale).await;
+    catch_up(&table, &objects, &mut stale).await;
     for number in 6..=300 {
         amend(&table, number).await;
     }
     let mut fresh = ConfigState::default();
-    follow(&table, &objects, &mut fresh).await;
+    catch_up(&table, &objects, &mut fresh).await;
     publish_snapshot(&table, &objects, &fresh.snapshot(), 20, "e1")
         .await
         .expect("snapshot published");
@@ -93,9 +93,9 @@
     for number in 301..=310 {
         amend(&table, number).await;
     }
-    follow(&table, &objects, &mut fresh).await;
+    catch_up(&table, &objects, &mut fresh).await;
     let scans = table.scans();
-    follow(&table, &objects, &mut stale).await;
+    catch_up(&table, &objects, &mut stale).await;
     assert_eq!(table.scans(), scans, "the snapshot made a scan unnecessary");
     assert_eq!(stale.snapshot(), fresh.snapshot());
 }
@@ -111,7 +111,7 @@
         .expect("snapshot published");
     objects.clear();
     let mut state = ConfigState::default();
-    follow(&table, &objects, &mut state).await;
+    catch_up(&table, &objects, &mut state).await;
     assert_eq!(state.snapshot(), expected);
 }
 
@@ -126,7 +126,7 @@
     assert!(first.is_ok() && second.is_ok());
     assert!(table.keys(keys::CONFIG_LOG).len() >= 30);
     let mut state = ConfigState::default();
-    follow(&table, &objects, &mut state).await;
+    catch_up(&table, &objects, &mut state).await;
     assert_eq!(state.snapshot(), expected);
     assert_eq!(state.revision(), ConfigRevision(150));
 }
