--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -163,7 +163,7 @@
 /// and running streams pause, mainly because of prompts that wait for prefill; so the head with the
 /// shortest prefill wait is chosen. The number of requests alone says little: when each node chose
 /// the head with the fewest, all of them chose the same replica until its next report, especially
-/// one that had just begun to serve. Each request at a head adds [`WAIT_PER_REQUEST`].
+/// one that had just begun to serve. Each request at a head adds `WAIT_PER_REQUEST`.
 ///
 /// If as many requests wait at each target as can begin in time, one more would be late and delay
 /// those behind it. It is refused at once, while its caller still has time to retry.
