--- a/crates/peers/tests/peer_view.rs
+++ b/crates/peers/tests/peer_view.rs
@@ -130,10 +130,10 @@
         let responded_at = requested_at + Duration::from_millis(7);
         let mut digest = PeerDigest::default();
         sender.add_evidence(&mut digest, vec![current.clone()], responded_at);
-        let received = receiver.apply_evidence(&digest, requested_at);
-        assert_eq!(received.len(), 1);
-        assert!(received[0].as_of <= seen, "the evidence got younger");
-        current = received[0].clone();
+        let applied = receiver.apply_evidence(&digest, requested_at);
+        assert_eq!(applied.len(), 1);
+        assert!(applied[0].as_of <= seen, "the evidence got younger");
+        current = applied[0].clone();
     }
 }
 
@@ -144,16 +144,16 @@
     let mut receiver = PeerView::default();
     let mut digest = PeerDigest::default();
     sender.add_evidence(&mut digest, vec![evidence(1, now)], now);
-    let received = receiver.apply_evidence(&digest, now);
+    let applied = receiver.apply_evidence(&digest, now);
     let mut back = PeerDigest::default();
-    receiver.add_evidence(&mut back, received, now);
+    receiver.add_evidence(&mut back, applied, now);
     assert_eq!(back, PeerDigest::default());
     let later = now + Duration::from_secs(1);
     let mut again = PeerDigest::default();
     sender.add_evidence(&mut again, vec![evidence(1, later)], later);
     assert_eq!((again.evidence.len(), again.looks.len()), (0, 1));
-    let received = receiver.apply_evidence(&again, later);
-    assert_eq!(received, vec![evidence(1, later)]);
+    let applied = receiver.apply_evidence(&again, later);
+    assert_eq!(applied, vec![evidence(1, later)]);
 }
 
 // A connection may last for months while hosts fail and return. Its view of the peer must not grow
