--- a/crates/policy/src/admission/shares.rs
+++ b/crates/policy/src/admission/shares.rs
@@ -63,7 +63,7 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Returns whether a customer uses more than [`ALLOWED_SHARES`] even shares among the active
+    /// Returns whether a customer uses more than `ALLOWED_SHARES` even shares among the active
     /// customers, or more than half of all running requests. A customer that is alone may use
     /// everything.
     #[must_use]
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -14,7 +14,7 @@
 /// milliseconds between regions.
 const NEAR_MARGIN: Duration = Duration::from_millis(5);
 
-/// Settings of a [`TargetPool`].
+/// Settings of a [`TargetPool`](super::TargetPool).
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct PlacementSettings {
     /// Number of candidates sampled per choice, fewer if all of them are full.
@@ -62,7 +62,8 @@
 pub struct PlacementChoice {
     /// Key of the target in the pool.
     pub target: TargetKey,
-    /// Predicted time to first token. Pass the choice back to [`TargetPool::record_first_token`].
+    /// Predicted time to first token. Pass the choice back to
+    /// [`TargetPool::record_first_token`](super::TargetPool::record_first_token).
     pub predicted: Duration,
     /// Prediction without the target's measured slowness, which observations are compared with.
     pub nominal: Duration,
