--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: takes callers' requests on a platform that has a registry of targets and a store,
-//! and cares for the replicas that serve them.
+//! Gateway process for a platform that has its own target registry and store: proxies client
+//! requests to targets and reconciles the model replicas that serve them.
 //!
-//! One thread runs everything. What the gateway knows lives in [`node::GatewayNode`], and nothing
-//! of it outlasts the process: configuration, targets and replicas are read from the store again.
+//! Everything runs on one thread. [`node::GatewayNode`] holds the state, none of which is
+//! persisted: configuration, targets and replicas are read from the store again after a restart.
 
 mod admit;
 mod answer;
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -261,7 +261,7 @@
         use_it: impl FnOnce(&mut RetryBudget) -> R,
     ) -> R {
         let mut budgets = self.budgets.borrow_mut();
-        let limits = self.settings.bounds.repeats();
+        let limits = self.settings.bounds.retry_limits();
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(limits));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway, in JSON.
+//! Gateway settings file, in JSON.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,60 +10,61 @@
 use serde_json::Value;
 use serving::retry_budget::RetryLimits;
 
-/// What a gateway needs to know before it starts.
+/// Settings that a gateway reads once at startup.
 #[derive(Debug, Clone, Deserialize)]
 pub struct GatewaySettings {
-    /// Name of the entry host.
+    /// Name of this gateway node, unique among all nodes.
     pub node: NodeId,
-    /// Failure domain of the entry host.
+    /// Failure domain of the host that the gateway runs on.
     pub failure_domain: DomainId,
-    /// Addresses to listen on.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// Where the platform's store listens.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time. Until the first request, replicas may
+    /// then be formed without the limits that protect traffic.
     pub first_start: bool,
-    /// Bounds that the platform sets.
+    /// Limits set by the platform.
     pub bounds: BoundSettings,
 }
 
-/// Addresses to listen on.
+/// Listen addresses; port 0 lets the system choose a port.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Client requests.
     pub requests: SocketAddr,
-    /// The balancer's questions.
+    /// Readiness checks of the load balancer.
     pub readiness: SocketAddr,
-    /// Metrics as text.
+    /// Metrics in text format.
     pub metrics: SocketAddr,
-    /// Hints of other nodes, as datagrams; without it none are sent or heard.
+    /// Load hints from other nodes, as UDP datagrams. If absent, none are sent or received.
     #[serde(default)]
     pub hints: Option<SocketAddr>,
 }
 
-/// Bounds that the platform sets.
+/// Limits set by the platform.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct BoundSettings {
     /// Time between SIGTERM and SIGKILL, in seconds.
     pub stop_grace_s: f64,
-    /// Repeats allowed for each request.
+    /// Retries allowed per request, as a ratio.
     pub repeat_ratio: f64,
-    /// Window over which repeats are counted, in seconds.
+    /// Window over which retries are counted, in seconds.
     pub repeat_window_s: f64,
-    /// Repeats allowed besides in a window, over all nodes.
+    /// Additional retries allowed per window, shared by all nodes.
     pub repeat_extra: f64,
-    /// Window over which weight loads are counted, in seconds.
+    /// Window over which loads of model weights are counted, in seconds.
     pub load_window_s: f64,
     /// Whether engines check fencing tokens.
     pub fencing: bool,
 }
 
 impl BoundSettings {
-    /// Limits of repeats.
+    /// Limits of the retry budget.
     #[must_use]
-    pub fn repeats(&self) -> RetryLimits {
+    pub fn retry_limits(&self) -> RetryLimits {
         RetryLimits {
-            window: seconds(self.repeat_window_s),
+            window: duration_from_secs(self.repeat_window_s),
             ratio: self.repeat_ratio,
             extra: self.repeat_extra,
         }
@@ -72,25 +73,25 @@
     /// Time between SIGTERM and SIGKILL.
     #[must_use]
     pub fn stop_grace(&self) -> Duration {
-        seconds(self.stop_grace_s)
+        duration_from_secs(self.stop_grace_s)
     }
 }
 
-fn seconds(value: f64) -> Duration {
+fn duration_from_secs(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or_default()
 }
 
-/// What a setting must be.
+/// Type that a setting's value must have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SettingKind {
     Name,
     Address,
     OptionalAddress,
-    Positive,
+    NonNegative,
     Flag,
 }
 
-/// Every setting, for the check and for docs/SETTINGS.md.
+/// All settings with their types, for validation and for docs/SETTINGS.md.
 const FIELDS: [(&str, SettingKind); 14] = [
     ("node", SettingKind::Name),
     ("failure_domain", SettingKind::Name),
@@ -100,16 +101,16 @@
     ("listen.hints", SettingKind::OptionalAddress),
     ("store", SettingKind::Address),
     ("first_start", SettingKind::Flag),
-    ("bounds.stop_grace_s", SettingKind::Positive),
-    ("bounds.repeat_ratio", SettingKind::Positive),
-    ("bounds.repeat_window_s", SettingKind::Positive),
-    ("bounds.repeat_extra", SettingKind::Positive),
-    ("bounds.load_window_s", SettingKind::Positive),
+    ("bounds.stop_grace_s", SettingKind::NonNegative),
+    ("bounds.repeat_ratio", SettingKind::NonNegative),
+    ("bounds.repeat_window_s", SettingKind::NonNegative),
+    ("bounds.repeat_extra", SettingKind::NonNegative),
+    ("bounds.load_window_s", SettingKind::NonNegative),
     ("bounds.fencing", SettingKind::Flag),
 ];
 
 impl SettingKind {
-    fn fits(self, value: &Value) -> bool {
+    fn accepts(self, value: &Value) -> bool {
         match self {
             Self::Name => value
                 .as_str()
@@ -117,39 +118,39 @@
             Self::Address | Self::OptionalAddress => value
                 .as_str()
                 .is_some_and(|address| address.parse::<SocketAddr>().is_ok()),
-            Self::Positive => value.as_f64().is_some_and(|number| number >= 0.0),
+            Self::NonNegative => value.as_f64().is_some_and(|number| number >= 0.0),
             Self::Flag => value.is_boolean(),
         }
     }
 
-    fn advice(self) -> &'static str {
+    fn expected(self) -> &'static str {
         match self {
-            Self::Name => "a text of letters, digits, '.', '_', ':' and '-'",
+            Self::Name => "a string of letters, digits, '.', '_', ':' and '-'",
             Self::Address | Self::OptionalAddress => {
                 "an address with its port, such as \"10.1.0.40:8227\""
             }
-            Self::Positive => "a number that is not negative",
+            Self::NonNegative => "a number that is not negative",
             Self::Flag => "true or false",
         }
     }
 }
 
-/// Whether a settings file is a gateway's.
+/// Whether the text of a settings file belongs to a gateway rather than to another kind of node.
 #[must_use]
 pub fn is_gateway_file(text: &str) -> bool {
     let value: Result<Value, _> = serde_json::from_str(text);
     value.is_ok_and(|value| value.get("first_start").is_some() || value.get("bounds").is_some())
 }
 
-fn check(value: &Value) -> Result<(), FindingList> {
+fn validate(value: &Value) -> Result<(), FindingList> {
     let mut findings = FindingList::default();
     for (path, kind) in FIELDS {
         let pointer = format!("/{}", path.replace('.', "/"));
         match value.pointer(&pointer) {
             None if kind == SettingKind::OptionalAddress => {}
-            None => findings.add(path, "missing", kind.advice()),
-            Some(given) if !kind.fits(given) => {
-                findings.add(path, format!("can't be {given}"), kind.advice());
+            None => findings.add(path, "missing", kind.expected()),
+            Some(actual) if !kind.accepts(actual) => {
+                findings.add(path, format!("can't be {actual}"), kind.expected());
             }
             Some(_) => {}
         }
@@ -158,25 +159,25 @@
 }
 
 impl GatewaySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// A report with the file and the place in it.
+    /// A report naming the file and each invalid setting.
     pub fn load(path: &Path) -> eyre::Result<Self> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("the settings file {} can't be read", path.display()))?;
         Self::parse(&text).wrap_err_with(|| format!("in the settings file {}", path.display()))
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// A report with every finding and its place.
+    /// A report with the path of each invalid setting and the expected value.
     pub fn parse(text: &str) -> eyre::Result<Self> {
         let value: Value = web::parse_json(text.as_bytes())?;
-        check(&value)?;
+        validate(&value)?;
         Ok(serde_json::from_value(value)?)
     }
 }
