--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -25,7 +25,7 @@
     #[must_use]
     pub fn new(node: &Rc<GatewayNode>, usage: &Rc<ConnectionUsage>) -> Self {
         node.begin_request();
-        usage.begin();
+        usage.request_started();
         Self {
             node: Rc::clone(node),
             usage: Rc::clone(usage),
@@ -35,7 +35,7 @@
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        self.usage.end(self.node.now());
+        self.usage.request_ended(self.node.now());
         self.node.end_request();
     }
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,42 +1,42 @@
-//! How long a caller's connection has been idle.
+//! Idle tracking for client connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Use of one caller's connection.
+/// Number of requests in flight on one client connection, and when the last response ended.
 #[derive(Debug)]
 pub struct ConnectionUsage {
-    running: Cell<usize>,
+    in_flight: Cell<usize>,
     last_used: Cell<Duration>,
 }
 
 impl ConnectionUsage {
-    /// A connection that was opened at a time since the start of the process.
+    /// Creates the state of a connection opened at `now`, measured from process start.
     #[must_use]
     pub fn new(now: Duration) -> Rc<Self> {
         Rc::new(Self {
-            running: Cell::new(0),
+            in_flight: Cell::new(0),
             last_used: Cell::new(now),
         })
     }
 
-    /// Notes the beginning of a request.
-    pub fn begin(&self) {
-        self.running.set(self.running.get() + 1);
+    /// Records the start of a request.
+    pub fn request_started(&self) {
+        self.in_flight.set(self.in_flight.get() + 1);
     }
 
-    /// Notes the end of an answer. Callers count from here: a connection whose last answer took
-    /// long would else be closed under the next request.
-    pub fn end(&self, now: Duration) {
-        self.running.set(self.running.get().saturating_sub(1));
+    /// Records the end of a response. Clients measure idle time from here; measured from the start
+    /// of the request, a connection with a long response would be closed under the next request.
+    pub fn request_ended(&self, now: Duration) {
+        self.in_flight.set(self.in_flight.get().saturating_sub(1));
         self.last_used.set(now);
     }
 
-    /// How long it has had no request.
+    /// Time since the last response ended; zero while a request is in flight.
     #[must_use]
     pub fn idle_time(&self, now: Duration) -> Duration {
-        if self.running.get() > 0 {
+        if self.in_flight.get() > 0 {
             return Duration::ZERO;
         }
         now.saturating_sub(self.last_used.get())
