--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -24,7 +24,7 @@
 use crate::crash::BrokenRuns;
 use crate::hints::{HintLine, HostHash};
 use crate::metrics::GatewayMetrics;
-use crate::pool::LinkPool;
+use crate::pool::ConnectionPool;
 use crate::settings::GatewaySettings;
 
 use health::LossSuspicion;
@@ -41,7 +41,7 @@
     /// Metrics.
     pub metrics: GatewayMetrics,
     /// Connections to targets.
-    pub pool: LinkPool,
+    pub pool: ConnectionPool,
     /// Hints to other nodes.
     pub hints: HintLine,
     /// Wakes the care for replicas.
@@ -120,7 +120,7 @@
             hints,
             sink,
             metrics,
-            pool: LinkPool::default(),
+            pool: ConnectionPool::default(),
             changed: Notify::new(),
             ended: Notify::new(),
             ends_written: Notify::new(),
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -47,7 +47,7 @@
             self.suspects.borrow_mut().remove(&id);
             self.retired.borrow_mut().remove(&id);
             self.loads.borrow_mut().remove(&id);
-            self.pool.forget(&id);
+            self.pool.close_idle(&id);
         }
         let membership_before = before
             .as_ref()
@@ -142,7 +142,7 @@
         self.unread.borrow_mut().remove(id);
         self.served_others.borrow_mut().remove(id);
         self.marks.borrow_mut().remove(&id.into());
-        self.pool.forget(id);
+        self.pool.close_idle(id);
         self.log(&target_line(EventCode::TargetGone, &entry));
         self.after_change();
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets.
+//! Pool of idle connections to targets.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -8,95 +8,96 @@
 use tokio::time::Instant;
 use web::{HttpLink, LinkError};
 
-/// Longest wait for a connection. Targets stand within a millisecond; one that is gone answers
-/// nothing at all, and the request should go elsewhere while its caller still waits.
-const CONNECT_LIMIT: Duration = Duration::from_millis(350);
+/// Timeout for connecting to a target. Targets are less than a millisecond away; one that is gone
+/// does not answer at all, and the request should be tried elsewhere while its client still waits.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a connection is kept whose target did not say how long it may be idle.
-const DEFAULT_IDLE: Duration = Duration::from_secs(3);
+/// Idle time for connections to targets that did not announce one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Taken off what a target allows, so that it does not close a connection under a request.
+/// Subtracted from the idle time that a target allows, so that it does not close the connection
+/// under a request.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Idle connections kept for one target: a node's part of a full replica. The requests in progress
-/// and these, of all nodes, stay within what a target takes.
-const MAX_IDLE: usize = 6;
+/// Maximum number of idle connections per target, based on a node's share of a full replica.
+/// Together with the requests in flight, the connections of all nodes stay within a target's limit.
+const MAX_IDLE_PER_TARGET: usize = 6;
 
 #[derive(Debug)]
-struct IdleLink {
+struct IdleConnection {
     link: HttpLink,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Idle connections by target.
+/// Idle connections by target, most recently used last.
 #[derive(Debug, Default)]
-pub struct LinkPool {
-    idle: RefCell<FastMap<HostId, Vec<IdleLink>>>,
+pub struct ConnectionPool {
+    idle: RefCell<FastMap<HostId, Vec<IdleConnection>>>,
 }
 
-impl LinkPool {
-    /// An idle connection that is still good, or a new one.
+impl ConnectionPool {
+    /// Returns a usable idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] of the new connection; nothing was sent.
-    pub async fn take(&self, target: &TargetEntry) -> Result<HttpLink, LinkError> {
+    /// [`LinkError`] from opening the connection; nothing was sent.
+    pub async fn acquire(&self, target: &TargetEntry) -> Result<HttpLink, LinkError> {
         if let Some(link) = self.take_idle(&target.id) {
             return Ok(link);
         }
         self.connect(target).await
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
     /// [`LinkError`]; nothing was sent.
     pub async fn connect(&self, target: &TargetEntry) -> Result<HttpLink, LinkError> {
-        HttpLink::connect(target.address, CONNECT_LIMIT).await
+        HttpLink::connect(target.address, CONNECT_TIMEOUT).await
     }
 
-    /// The connection that was used last: the others may then grow old and close.
+    /// Returns the most recently used connection, so that the others can expire.
     fn take_idle(&self, id: &HostId) -> Option<HttpLink> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(id)?;
         let now = Instant::now();
         while let Some(last) = links.pop() {
-            if last.until > now && last.link.is_open() {
+            if last.expires_at > now && last.link.is_open() {
                 return Some(last.link);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, id: &HostId, link: HttpLink, allowed: Option<Duration>) {
-        let allowed = allowed.unwrap_or(DEFAULT_IDLE);
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn release(&self, id: &HostId, link: HttpLink, allowed: Option<Duration>) {
+        let allowed = allowed.unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let Some(time) = allowed.checked_sub(IDLE_MARGIN) else {
             return;
         };
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(id.clone()).or_default();
-        if links.len() >= MAX_IDLE {
+        if links.len() >= MAX_IDLE_PER_TARGET {
             links.remove(0);
         }
-        links.push(IdleLink {
+        links.push(IdleConnection {
             link,
-            until: Instant::now() + time,
+            expires_at: Instant::now() + time,
         });
     }
 
-    /// Closes the connections to a target.
-    pub fn forget(&self, id: &HostId) {
+    /// Closes all idle connections to a target.
+    pub fn close_idle(&self, id: &HostId) {
         self.idle.borrow_mut().remove(id);
     }
 
-    /// Closes connections that were idle for too long.
-    pub fn sweep(&self) {
+    /// Closes expired connections.
+    pub fn evict_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|idle| idle.until > now);
+            links.retain(|idle| idle.expires_at > now);
         }
         idle.retain(|_, links| !links.is_empty());
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -109,7 +109,7 @@
     loop {
         let began = node.now();
         tokio::time::sleep(SWEEP_PAUSE).await;
-        node.pool.sweep();
+        node.pool.evict_expired();
         let passed = node.now().saturating_sub(began);
         let figures = node.figures();
         if figures.dropped_lines > said {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -227,7 +227,7 @@
 /// connection may still come: asked only after it has failed, a dead head would keep its streams
 /// waiting for a third of a second longer.
 async fn take_link(node: &Rc<GatewayNode>, target: &TargetEntry) -> Result<HttpLink, LinkError> {
-    let taking = node.pool.take(target);
+    let taking = node.pool.acquire(target);
     tokio::pin!(taking);
     if let Ok(taken) = tokio::time::timeout(SLOW_CONNECT, taking.as_mut()).await {
         return taken;
@@ -351,7 +351,7 @@
     pub fn finish(self, node: &GatewayNode) {
         if !self.facts.connection_close {
             node.pool
-                .keep(&self.host, self.link, self.facts.keep_alive_timeout);
+                .release(&self.host, self.link, self.facts.keep_alive_timeout);
         }
     }
 }
