--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -126,7 +126,7 @@
             .text("route", &forward.route)
             .text("service", forward.service.as_str())
             .millis("held_ms", held);
-        node.metrics.end(forward.labels(), status, held);
+        node.metrics.record_request(forward.labels(), status, held);
     }
     node.log(&line);
     answer.response(facts.id.as_ref())
@@ -138,7 +138,8 @@
 
 fn log_answered(node: &GatewayNode, forward: &ForwardRequest, response: &Response<Full<Bytes>>) {
     let held = node.now().saturating_sub(forward.arrived);
-    node.metrics.end(forward.labels(), response.status(), held);
+    node.metrics
+        .record_request(forward.labels(), response.status(), held);
     let line = EventLine::new(EventCode::GatewayAnswered)
         .text("request", forward.id.as_ref().map_or("", RequestId::as_str))
         .text("route", &forward.route)
@@ -229,7 +230,7 @@
         }
         if tally.tried.is_empty() {
             let held = now.saturating_sub(forward.arrived);
-            node.metrics.first_send(forward.labels(), held);
+            node.metrics.record_first_send(forward.labels(), held);
         }
         tally.tried.insert(target.id.clone());
         let limit = attempt_limit(forward, &tally, now);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,8 @@
-//! Counters, histograms and gauges of a gateway, served as text.
+//! Counters, histograms and gauges of a gateway, exported as text.
 //!
-//! Labels are kinds, services and outcomes, of which there are few. Routes, customers and targets
-//! are no labels: a configuration may bring hundreds of them, and each would be a series for ever.
+//! Labels are limited to kinds, services and outcomes, which have few values. Routes, customers and
+//! targets are not used as labels: a configuration may define hundreds of them, and each would
+//! create a permanent time series.
 
 use std::time::Duration;
 
@@ -13,22 +14,23 @@
 use prometheus::Registry;
 use serving::RouteKind;
 
-/// Bounds of the histograms of times, in seconds: from an order's answer to the longest request.
-const TIME_BOUNDS: [f64; 14] = [
+/// Histogram buckets for durations, in seconds: from the answer to an order up to the longest
+/// request.
+const DURATION_BUCKETS: [f64; 14] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// What a request's metrics are filed under.
+/// Metric labels of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLabels<'a> {
-    /// Kind of its route.
+    /// Kind of the matched route.
     pub kind: RouteKind,
-    /// Its service.
+    /// Name of the service that the request is sent to.
     pub service: &'a str,
 }
 
 impl RequestLabels<'_> {
-    fn pairs(self) -> [KeyValue; 2] {
+    fn key_values(self) -> [KeyValue; 2] {
         let kind = match self.kind {
             RouteKind::Idempotent => "idempotent",
             RouteKind::NonIdempotent => "non_idempotent",
@@ -41,40 +43,40 @@
     }
 }
 
-/// A moment of the whole node.
+/// Snapshot of the values that the gauges report.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct NodeFigures {
-    /// Revision of the configuration in force.
+pub struct NodeStats {
+    /// Revision of the active configuration; 0 if there is none.
     pub config_revision: u64,
-    /// Time since the store last confirmed the registry.
+    /// Time since the store last confirmed the registry data.
     pub registry_age: Duration,
-    /// Replicas that serve.
+    /// Replicas that are open and have no suspected member.
     pub serving_replicas: usize,
-    /// Replicas that are known and don't serve.
+    /// Replicas that are known but not serving.
     pub idle_replicas: usize,
-    /// Of these: some members still load, or the head was not opened yet.
+    /// Idle replicas with members that are still loading, or whose head has not been opened.
     pub forming_replicas: usize,
-    /// Of these: the head ends its requests.
+    /// Idle replicas whose head is finishing its requests.
     pub closing_replicas: usize,
-    /// Of these: a member is lost.
+    /// Idle replicas with a lost member or in a broken state.
     pub broken_replicas: usize,
-    /// Repeats that may be made now, at the service that has the fewest left.
-    pub repeats_left: f64,
-    /// Hosts of model services that serve nothing.
+    /// Retries left at the service that has the fewest.
+    pub retries_left: f64,
+    /// Hosts with a fabric domain that are in no serving replica.
     pub stranded_hosts: usize,
-    /// Targets that don't answer.
-    pub suspects: usize,
-    /// Nodes counted.
-    pub nodes: usize,
-    /// Requests in progress.
-    pub running: usize,
-    /// Callers' connections.
-    pub connections: usize,
-    /// Log lines that were not written.
+    /// Targets suspected to be down.
+    pub suspected_targets: usize,
+    /// Live gateway nodes according to heartbeats.
+    pub live_nodes: usize,
+    /// Client requests in flight.
+    pub running_requests: usize,
+    /// Open client connections.
+    pub open_connections: usize,
+    /// Log lines dropped since process start.
     pub dropped_lines: u64,
 }
 
-/// Metrics of a gateway.
+/// Metric instruments of a gateway.
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
@@ -83,18 +85,18 @@
     attempts: Counter<u64>,
     duration: Histogram<f64>,
     first_event: Histogram<f64>,
-    held: Histogram<f64>,
-    orders: Histogram<f64>,
-    store_calls: Histogram<f64>,
+    time_to_first_send: Histogram<f64>,
+    order_duration: Histogram<f64>,
+    store_call_duration: Histogram<f64>,
     stranded_time: Counter<f64>,
     downtime: Counter<f64>,
-    gauges: [(Gauge<f64>, NodeFigure); 14],
+    gauges: [(Gauge<f64>, ReadStat); 14],
 }
 
-type NodeFigure = fn(&NodeFigures) -> f64;
+type ReadStat = fn(&NodeStats) -> f64;
 
 impl GatewayMetrics {
-    /// A set of instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
@@ -102,46 +104,50 @@
     pub fn new() -> Result<Self, MetricsError> {
         let (registry, provider) = open_exporter()?;
         let meter = provider.meter("bramleyspring");
-        let count = |name| meter.u64_counter(name).build();
-        let seconds = |name| meter.f64_counter(name).with_unit("s").build();
+        let counter = |name| meter.u64_counter(name).build();
+        let seconds_counter = |name| meter.f64_counter(name).with_unit("s").build();
         Ok(Self {
-            requests: count("bramleyspring.gateway.request.count"),
-            attempts: count("bramleyspring.gateway.attempt.count"),
-            duration: times(&meter, "bramleyspring.gateway.request.duration"),
-            first_event: times(&meter, "bramleyspring.gateway.request.first_event"),
-            held: times(&meter, "bramleyspring.gateway.request.held"),
-            orders: times(&meter, "bramleyspring.gateway.order.duration"),
-            store_calls: times(&meter, "bramleyspring.gateway.store_call.duration"),
-            stranded_time: seconds("bramleyspring.gateway.host.stranded_time"),
-            downtime: seconds("bramleyspring.gateway.replica.downtime"),
+            requests: counter("bramleyspring.gateway.request.count"),
+            attempts: counter("bramleyspring.gateway.attempt.count"),
+            duration: duration_histogram(&meter, "bramleyspring.gateway.request.duration"),
+            first_event: duration_histogram(&meter, "bramleyspring.gateway.request.first_event"),
+            time_to_first_send: duration_histogram(&meter, "bramleyspring.gateway.request.held"),
+            order_duration: duration_histogram(&meter, "bramleyspring.gateway.order.duration"),
+            store_call_duration: duration_histogram(
+                &meter,
+                "bramleyspring.gateway.store_call.duration",
+            ),
+            stranded_time: seconds_counter("bramleyspring.gateway.host.stranded_time"),
+            downtime: seconds_counter("bramleyspring.gateway.replica.downtime"),
             gauges: gauges(&meter),
             registry,
             _provider: provider,
         })
     }
 
-    /// A request ended, with the status that its caller got.
-    pub fn end(&self, labels: RequestLabels<'_>, status: StatusCode, took: Duration) {
-        let pairs = labels.pairs();
-        self.duration.record(took.as_secs_f64(), &pairs);
-        let [kind, service] = pairs;
+    /// Records the end of a request, with the status sent to the client.
+    pub fn record_request(&self, labels: RequestLabels<'_>, status: StatusCode, took: Duration) {
+        let key_values = labels.key_values();
+        self.duration.record(took.as_secs_f64(), &key_values);
+        let [kind, service] = key_values;
         let status = KeyValue::new("status", i64::from(status.as_u16()));
         self.requests.add(1, &[kind, service, status]);
     }
 
-    /// The first event of a stream was passed on.
-    pub fn first_event(&self, labels: RequestLabels<'_>, after: Duration) {
+    /// Records the time until the first event of a stream was passed on.
+    pub fn record_first_event(&self, labels: RequestLabels<'_>, after: Duration) {
         self.first_event
-            .record(after.as_secs_f64(), &labels.pairs());
+            .record(after.as_secs_f64(), &labels.key_values());
     }
 
-    /// A request was sent to its first target.
-    pub fn first_send(&self, labels: RequestLabels<'_>, held: Duration) {
-        self.held.record(held.as_secs_f64(), &labels.pairs());
+    /// Records the time until a request was first sent to a target.
+    pub fn record_first_send(&self, labels: RequestLabels<'_>, held: Duration) {
+        self.time_to_first_send
+            .record(held.as_secs_f64(), &labels.key_values());
     }
 
-    /// An attempt ended.
-    pub fn attempt(&self, service: &str, outcome: &'static str) {
+    /// Records the outcome of an attempt.
+    pub fn record_attempt(&self, service: &str, outcome: &'static str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("outcome", outcome),
@@ -149,103 +155,104 @@
         self.attempts.add(1, &labels);
     }
 
-    /// An order was settled, or given up.
-    pub fn order(&self, order: &'static str, outcome: &'static str, took: Duration) {
+    /// Records an order that was settled or given up.
+    pub fn record_order(&self, order: &'static str, outcome: &'static str, took: Duration) {
         let labels = [
             KeyValue::new("order", order),
             KeyValue::new("outcome", outcome),
         ];
-        self.orders.record(took.as_secs_f64(), &labels);
+        self.order_duration.record(took.as_secs_f64(), &labels);
     }
 
-    /// A call of the store ended; one that waits for changes takes its wait.
-    pub fn store_call(&self, table: &'static str, outcome: &'static str, took: Duration) {
+    /// Records a call to the store; for a long poll, `took` includes the wait.
+    pub fn record_store_call(&self, table: &'static str, outcome: &'static str, took: Duration) {
         let labels = [
             KeyValue::new("table", table),
             KeyValue::new("outcome", outcome),
         ];
-        self.store_calls.record(took.as_secs_f64(), &labels);
+        self.store_call_duration.record(took.as_secs_f64(), &labels);
     }
 
-    /// Hosts served nothing, and wanted replicas did not serve, for a while.
-    pub fn lost_time(&self, stranded: Duration, downtime: Duration) {
+    /// Adds the time that hosts were stranded and replicas not serving, summed over hosts and
+    /// replicas.
+    pub fn add_lost_time(&self, stranded: Duration, downtime: Duration) {
         self.stranded_time.add(stranded.as_secs_f64(), &[]);
         self.downtime.add(downtime.as_secs_f64(), &[]);
     }
 
-    /// The metrics as text, with the figures of this moment.
+    /// Returns all metrics as text, with gauges set from `stats`.
     ///
     /// # Errors
     ///
     /// [`MetricsError::Encoder`].
-    pub fn text(&self, figures: &NodeFigures) -> Result<String, MetricsError> {
-        for (gauge, read) in &self.gauges {
-            gauge.record(read(figures), &[]);
+    pub fn encode(&self, stats: &NodeStats) -> Result<String, MetricsError> {
+        for (gauge, read_stat) in &self.gauges {
+            gauge.record(read_stat(stats), &[]);
         }
         registry_text(&self.registry)
     }
 }
 
-fn gauges(meter: &Meter) -> [(Gauge<f64>, NodeFigure); 14] {
+fn gauges(meter: &Meter) -> [(Gauge<f64>, ReadStat); 14] {
     let gauge = |name| meter.f64_gauge(name).build();
     [
-        (gauge("bramleyspring.gateway.config.revision"), |figures| {
-            number(figures.config_revision)
+        (gauge("bramleyspring.gateway.config.revision"), |stats| {
+            u64_to_f64(stats.config_revision)
         }),
-        (gauge("bramleyspring.gateway.registry.age"), |figures| {
-            figures.registry_age.as_secs_f64()
+        (gauge("bramleyspring.gateway.registry.age"), |stats| {
+            stats.registry_age.as_secs_f64()
         }),
-        (gauge("bramleyspring.gateway.replica.serving"), |figures| {
-            count(figures.serving_replicas)
+        (gauge("bramleyspring.gateway.replica.serving"), |stats| {
+            usize_to_f64(stats.serving_replicas)
         }),
-        (gauge("bramleyspring.gateway.replica.idle"), |figures| {
-            count(figures.idle_replicas)
+        (gauge("bramleyspring.gateway.replica.idle"), |stats| {
+            usize_to_f64(stats.idle_replicas)
         }),
-        (gauge("bramleyspring.gateway.replica.forming"), |figures| {
-            count(figures.forming_replicas)
+        (gauge("bramleyspring.gateway.replica.forming"), |stats| {
+            usize_to_f64(stats.forming_replicas)
         }),
-        (gauge("bramleyspring.gateway.replica.closing"), |figures| {
-            count(figures.closing_replicas)
+        (gauge("bramleyspring.gateway.replica.closing"), |stats| {
+            usize_to_f64(stats.closing_replicas)
         }),
-        (gauge("bramleyspring.gateway.replica.broken"), |figures| {
-            count(figures.broken_replicas)
+        (gauge("bramleyspring.gateway.replica.broken"), |stats| {
+            usize_to_f64(stats.broken_replicas)
         }),
-        (gauge("bramleyspring.gateway.repeat.left"), |figures| {
-            figures.repeats_left
+        (gauge("bramleyspring.gateway.repeat.left"), |stats| {
+            stats.retries_left
         }),
-        (gauge("bramleyspring.gateway.host.stranded"), |figures| {
-            count(figures.stranded_hosts)
+        (gauge("bramleyspring.gateway.host.stranded"), |stats| {
+            usize_to_f64(stats.stranded_hosts)
         }),
-        (gauge("bramleyspring.gateway.target.suspected"), |figures| {
-            count(figures.suspects)
+        (gauge("bramleyspring.gateway.target.suspected"), |stats| {
+            usize_to_f64(stats.suspected_targets)
         }),
-        (gauge("bramleyspring.gateway.node.counted"), |figures| {
-            count(figures.nodes)
+        (gauge("bramleyspring.gateway.node.counted"), |stats| {
+            usize_to_f64(stats.live_nodes)
         }),
-        (gauge("bramleyspring.gateway.request.running"), |figures| {
-            count(figures.running)
+        (gauge("bramleyspring.gateway.request.running"), |stats| {
+            usize_to_f64(stats.running_requests)
         }),
-        (gauge("bramleyspring.gateway.connection.open"), |figures| {
-            count(figures.connections)
+        (gauge("bramleyspring.gateway.connection.open"), |stats| {
+            usize_to_f64(stats.open_connections)
         }),
-        (gauge("bramleyspring.gateway.log.dropped"), |figures| {
-            number(figures.dropped_lines)
+        (gauge("bramleyspring.gateway.log.dropped"), |stats| {
+            u64_to_f64(stats.dropped_lines)
         }),
     ]
 }
 
-fn count(value: usize) -> f64 {
+fn usize_to_f64(value: usize) -> f64 {
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
 
-fn number(value: u64) -> f64 {
+fn u64_to_f64(value: u64) -> f64 {
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
 
-fn times(meter: &Meter, name: &'static str) -> Histogram<f64> {
+fn duration_histogram(meter: &Meter, name: &'static str) -> Histogram<f64> {
     meter
         .f64_histogram(name)
         .with_unit("s")
-        .with_boundaries(TIME_BOUNDS.to_vec())
+        .with_boundaries(DURATION_BUCKETS.to_vec())
         .build()
 }
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -9,7 +9,7 @@
 
 use super::GatewayNode;
 use crate::forward::ForwardRequest;
-use crate::metrics::NodeFigures;
+use crate::metrics::NodeStats;
 use crate::usage::ConnectionUsage;
 
 /// Counts a request in its process and on its connection until it is dropped, with its answer's last
@@ -66,45 +66,45 @@
     ///
     /// [`MetricsError::Encoder`].
     pub fn metrics_text(&self) -> Result<String, MetricsError> {
-        self.metrics.text(&self.figures())
+        self.metrics.encode(&self.stats())
     }
 
     /// The figures of this moment.
     #[must_use]
-    pub fn figures(&self) -> NodeFigures {
+    pub fn stats(&self) -> NodeStats {
         let registry = self.registry.borrow();
-        let mut figures = NodeFigures {
+        let mut stats = NodeStats {
             config_revision: self.config().map_or(0, |config| config.revision.0),
             registry_age: self.registry_age(),
-            suspects: self.suspects.borrow().len(),
-            nodes: self.nodes.borrow().len(),
-            running: self.running(),
-            connections: self.connections(),
+            suspected_targets: self.suspects.borrow().len(),
+            live_nodes: self.nodes.borrow().len(),
+            running_requests: self.running(),
+            open_connections: self.connections(),
             dropped_lines: self.sink.dropped(),
-            repeats_left: self.repeats_left(),
-            ..NodeFigures::default()
+            retries_left: self.retries_left(),
+            ..NodeStats::default()
         };
         let mut serving_hosts = 0;
         for replica in registry.replicas() {
             let lost = self.has_suspect(replica);
             if replica.head_state == Some(MemberState::Open) && !lost {
-                figures.serving_replicas += 1;
+                stats.serving_replicas += 1;
                 serving_hosts += replica.members.len();
                 continue;
             }
-            figures.idle_replicas += 1;
+            stats.idle_replicas += 1;
             match replica.head_state {
-                _ if lost => figures.broken_replicas += 1,
-                Some(MemberState::Joining | MemberState::Ready) => figures.forming_replicas += 1,
-                Some(MemberState::Closing) => figures.closing_replicas += 1,
+                _ if lost => stats.broken_replicas += 1,
+                Some(MemberState::Joining | MemberState::Ready) => stats.forming_replicas += 1,
+                Some(MemberState::Closing) => stats.closing_replicas += 1,
                 Some(MemberState::Broken | MemberState::Open) | None => {
-                    figures.broken_replicas += 1;
+                    stats.broken_replicas += 1;
                 }
             }
         }
         let hosts = registry.targets().filter(|entry| entry.fabric.is_some());
-        figures.stranded_hosts = hosts.count().saturating_sub(serving_hosts);
-        figures
+        stats.stranded_hosts = hosts.count().saturating_sub(serving_hosts);
+        stats
     }
 
     /// Notes that a request arrived, whatever becomes of it.
@@ -142,7 +142,7 @@
 
     /// Repeats that may be made now, at the service that has the fewest left; 0 before the first
     /// request.
-    fn repeats_left(&self) -> f64 {
+    fn retries_left(&self) -> f64 {
         let (now, nodes) = (self.now(), self.node_count());
         let mut budgets = self.budgets.borrow_mut();
         let left = budgets
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -163,7 +163,8 @@
         .millis("took_ms", node.now().saturating_sub(began));
     node.log(&line);
     let took = node.now().saturating_sub(began);
-    node.metrics.order(planned.order.name(), end.name(), took);
+    node.metrics
+        .record_order(planned.order.name(), end.name(), took);
     if end == OrderEnd::Done {
         foresee(node, planned);
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -312,9 +312,13 @@
         let first = self
             .first_event
             .map(|at| at.saturating_sub(self.forward.arrived));
-        self.node.metrics.end(self.forward.labels(), status, took);
+        self.node
+            .metrics
+            .record_request(self.forward.labels(), status, took);
         if let Some(first) = first {
-            self.node.metrics.first_event(self.forward.labels(), first);
+            self.node
+                .metrics
+                .record_first_event(self.forward.labels(), first);
         }
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -111,16 +111,16 @@
         tokio::time::sleep(SWEEP_PAUSE).await;
         node.pool.evict_expired();
         let passed = node.now().saturating_sub(began);
-        let figures = node.figures();
-        if figures.dropped_lines > said {
-            let line = EventLine::new(EventCode::LinesDropped)
-                .number("lines", figures.dropped_lines - said);
-            said = figures.dropped_lines;
+        let stats = node.stats();
+        if stats.dropped_lines > said {
+            let line =
+                EventLine::new(EventCode::LinesDropped).number("lines", stats.dropped_lines - said);
+            said = stats.dropped_lines;
             node.log(&line);
         }
         let times = |count: usize| passed * u32::try_from(count).unwrap_or(u32::MAX);
         node.metrics
-            .lost_time(times(figures.stranded_hosts), times(figures.idle_replicas));
+            .add_lost_time(times(stats.stranded_hosts), times(stats.idle_replicas));
     }
 }
 
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -164,7 +164,8 @@
     };
     ticket.moved();
     let end = judge(node, request, exchanged, ticket, target);
-    node.metrics.attempt(request.service.as_str(), end.name());
+    node.metrics
+        .record_attempt(request.service.as_str(), end.name());
     end
 }
 
@@ -265,7 +266,8 @@
         let now = node.now();
         node.with_load(id, |load| load.record_failure(now));
     }
-    node.metrics.attempt(request.service.as_str(), end.name());
+    node.metrics
+        .record_attempt(request.service.as_str(), end.name());
     end
 }
 
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -90,7 +90,8 @@
         let result = follow_once(&mut client, &mut follower, known).await;
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         let took = node.now().saturating_sub(began);
-        node.metrics.store_call(follower.table(), outcome, took);
+        node.metrics
+            .record_store_call(follower.table(), outcome, took);
         match result {
             Ok((version, changed)) => {
                 if failures > 0 {
