--- a/crates/gateway/src/ends.rs
+++ b/crates/gateway/src/ends.rs
@@ -145,7 +145,7 @@
 async fn tell_everyone(node: &GatewayNode) {
     for pause in TELL_PAUSES {
         tokio::time::sleep(pause).await;
-        node.hints.tell_everyone(LoadHint::EndsWritten);
+        node.hints.broadcast(LoadHint::CrashRecordsWritten);
     }
 }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -218,7 +218,7 @@
             .map(|entry| TargetCandidate {
                 load: node.load(&entry.id),
                 slots: slots(entry),
-                prefill_wait: compares_waits.then(|| node.unread_wait(&entry.id, read_rate)),
+                prefill_wait: compares_waits.then(|| node.prefill_wait(&entry.id, read_rate)),
                 in_flight_limit: connection_part(service, node.node_count()),
             })
             .collect();
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -1,15 +1,16 @@
-//! Telling other nodes what was just sent to a head, and how loaded it says it is.
+//! Load hints: tells other nodes about prompts sent to replica heads and the load that heads
+//! report.
 //!
-//! Several nodes send to the same replicas, and each hears of a head's load only with its own
-//! answers. Without hints two nodes send long prompts to the same head within one pass, and each
-//! stream there misses its pauses; callers see text that stops for a third of a second. And a node
-//! that last heard of a head a third of a second ago lets requests in that will be late.
+//! Several nodes send to the same replicas, and each learns a head's load only from its own
+//! responses. Without hints, two nodes can send long prompts to the same head within one batch
+//! step, which stalls every stream there for about a third of a second. A node whose load data is a
+//! third of a second old also admits requests that will be late.
 //!
-//! A hint is one datagram to each other node: worth something for about a hundred milliseconds,
-//! never sent again, and never waited for. A stream between the nodes would deliver it late behind a
-//! lost packet, when it is wrong. Only the choice of a target rests on it, and whether a node that can't
-//! reach a head leaves its replica alone because it answers others. A lost or forged one makes these
-//! worse and breaks no promise.
+//! A hint is a single datagram to each other node. It is useful for about a hundred milliseconds,
+//! so it is never resent or waited for; a stream would deliver it late after a lost packet, when it
+//! is out of date. Hints affect only target selection and whether a node that can't reach a head
+//! leaves its replica alone because it serves other nodes. Lost or forged hints degrade these
+//! decisions without affecting correctness.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,20 +23,22 @@
 
 use crate::node::GatewayNode;
 
-/// Nodes to which hints are sent at most. A node of today sends about twenty requests a second, so
-/// that is 600 datagrams of some 10 bytes; in a larger fleet each node's part of a replica's
-/// requests is too small for its hints to matter, and their number would grow with the fleet.
-const MOST_LISTENERS: usize = 15;
+/// Maximum number of nodes that hints are sent to. A node sends about twenty requests per second,
+/// so this is 600 datagrams of some 10 bytes. In a larger deployment each node's share of a
+/// replica's requests is too small for its hints to matter, and their number would grow with the
+/// deployment.
+const MAX_HINT_PEERS: usize = 15;
 
-/// Largest datagram that is read, in bytes; a hint takes about 10.
+/// Maximum size of a datagram that is read, in bytes; a hint takes about 10.
 const MAX_HINT_BYTES: usize = 64;
 
-/// Most prompt tokens that one hint may tell of: above the context of any model, so that a forged
-/// one can't keep a head from being chosen for long.
-const MOST_TOKENS: u32 = 200_000;
+/// Maximum number of prompt tokens accepted from one hint. It exceeds the context of any model and
+/// keeps a forged hint from excluding a head for long.
+const MAX_TOKENS: u32 = 200_000;
 
-/// Stands for a host's id in hints, where each byte is sent to every node. Two hosts with the same
-/// mark would be taken for each other; among 1,500 that is one pair in four thousand fleets.
+/// Hash of a host id, sent in hints in place of the id to save bytes. Hosts with the same hash
+/// would be mistaken for each other; with 1,500 hosts there is one such pair in four thousand
+/// deployments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HostHash(u32);
 
@@ -45,123 +48,125 @@
     }
 }
 
-/// What a node tells the others.
+/// A hint sent to other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadHint {
-    /// A request is on its way to a head.
+    /// A request was sent to a head.
     Sent {
-        /// The head.
+        /// Head that the request was sent to.
         head: HostHash,
-        /// Tokens of its prompt.
+        /// Number of prompt tokens of the request.
         tokens: u32,
     },
-    /// A head said how much runs and waits there.
+    /// A head reported its load.
     Reported {
-        /// The head.
+        /// Head that reported the load.
         head: HostHash,
-        /// Requests running and waiting.
+        /// Number of requests running and queued there.
         requests: u32,
-        /// Whether it said so with the beginning of an answer, so that its replica moves.
+        /// Whether the report came with a successful response, which shows that the replica makes
+        /// progress.
         served: bool,
     },
-    /// The store tells of ended targets what other nodes should read now. What is said against a
-    /// request stands in the store alone, where no stranger writes.
-    EndsWritten,
+    /// The store has new crash records that other nodes should read now. The evidence itself is
+    /// only in the store, where outsiders can't write.
+    #[serde(rename = "EndsWritten")]
+    CrashRecordsWritten,
 }
 
 impl LoadHint {
-    /// The datagram that tells it; nothing where it can't be written.
+    /// Encodes the hint as a datagram; `None` if encoding fails.
     #[must_use]
     pub fn encode(self) -> Option<Vec<u8>> {
         bincode::serde::encode_to_vec(self, bincode::config::standard()).ok()
     }
 }
 
-/// Where hints are sent from and to.
+/// UDP socket for hints and the addresses they are sent to.
 #[derive(Debug, Default)]
-pub struct HintLine {
+pub struct HintChannel {
     socket: Option<Rc<UdpSocket>>,
-    listeners: RefCell<Vec<SocketAddr>>,
-    /// All other nodes, also where they are too many to be told of loads.
-    everyone: RefCell<Vec<SocketAddr>>,
+    peers: RefCell<Vec<SocketAddr>>,
+    /// All other nodes, including when there are too many for load hints.
+    all_peers: RefCell<Vec<SocketAddr>>,
 }
 
-impl HintLine {
-    /// A line that sends from `socket`; without one, nobody is told.
+impl HintChannel {
+    /// Creates a channel that sends from `socket`; without a socket nothing is sent.
     #[must_use]
     pub fn new(socket: Option<UdpSocket>) -> Self {
         Self {
             socket: socket.map(Rc::new),
-            listeners: RefCell::default(),
-            everyone: RefCell::default(),
+            peers: RefCell::default(),
+            all_peers: RefCell::default(),
         }
     }
 
-    /// Address at which this node hears hints.
+    /// Address at which this node receives hints.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.as_ref()?.local_addr().ok()
     }
 
-    /// How many nodes are told.
+    /// Number of nodes that receive load hints.
     #[must_use]
-    pub fn listeners(&self) -> usize {
-        self.listeners.borrow().len()
+    pub fn peer_count(&self) -> usize {
+        self.peers.borrow().len()
     }
 
-    /// Takes the addresses of the other nodes.
-    pub fn set_listeners(&self, listeners: Vec<SocketAddr>) {
-        let few = listeners.len() <= MOST_LISTENERS;
-        self.everyone.borrow_mut().clone_from(&listeners);
-        *self.listeners.borrow_mut() = if few { listeners } else { Vec::new() };
+    /// Sets the addresses of the other nodes.
+    pub fn set_peers(&self, peers: Vec<SocketAddr>) {
+        let is_small = peers.len() <= MAX_HINT_PEERS;
+        self.all_peers.borrow_mut().clone_from(&peers);
+        *self.peers.borrow_mut() = if is_small { peers } else { Vec::new() };
     }
 
-    /// Tells the other nodes, where they are few.
-    pub fn tell(&self, hint: LoadHint) {
-        self.send(hint, &self.listeners.borrow());
+    /// Sends a hint to the other nodes, unless there are too many of them.
+    pub fn send(&self, hint: LoadHint) {
+        self.send_to(hint, &self.peers.borrow());
     }
 
-    /// Tells all other nodes; for what is seldom.
-    pub fn tell_everyone(&self, hint: LoadHint) {
-        self.send(hint, &self.everyone.borrow());
+    /// Sends a hint to all other nodes, however many; only for rare hints.
+    pub fn broadcast(&self, hint: LoadHint) {
+        self.send_to(hint, &self.all_peers.borrow());
     }
 
-    fn send(&self, hint: LoadHint, listeners: &[SocketAddr]) {
+    fn send_to(&self, hint: LoadHint, peers: &[SocketAddr]) {
         let Some(socket) = &self.socket else { return };
         let Some(bytes) = hint.encode() else { return };
-        for listener in listeners {
-            // A hint that the system can't take now is out of date when it could be sent again.
-            drop(socket.try_send_to(&bytes, *listener));
+        for peer in peers {
+            // A hint that can't be sent now would be out of date later.
+            drop(socket.try_send_to(&bytes, *peer));
         }
     }
 }
 
-/// Hears the hints of other nodes, for ever.
-pub async fn hear_hints(node: Rc<GatewayNode>) {
+/// Receives hints from other nodes; never returns.
+pub async fn receive_hints(node: Rc<GatewayNode>) {
     let Some(socket) = node.hints.socket.clone() else {
         return;
     };
     let mut buffer = [0; MAX_HINT_BYTES];
     loop {
-        // An error tells of an earlier datagram to a node that is gone; there is nothing to mend.
+        // Errors refer to an earlier datagram sent to a node that is gone; there is nothing to do.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             tokio::task::yield_now().await;
             continue;
         };
         match decode_hint(&buffer[..length]) {
-            Some(LoadHint::Sent { head, tokens }) => node.hear_sent(head, tokens.min(MOST_TOKENS)),
+            Some(LoadHint::Sent { head, tokens }) => node.apply_sent(head, tokens.min(MAX_TOKENS)),
             Some(LoadHint::Reported {
                 head,
                 requests,
                 served,
-            }) => node.hear_report(head, requests, served),
-            Some(LoadHint::EndsWritten) => node.ends_written.notify_one(),
+            }) => node.apply_report(head, requests, served),
+            Some(LoadHint::CrashRecordsWritten) => node.ends_written.notify_one(),
             None => {}
         }
     }
 }
 
-/// A hint; nothing for bytes that are none, such as those of another version of the program.
+/// Decodes a hint; `None` for invalid bytes, such as a hint from another version of the program.
 fn decode_hint(bytes: &[u8]) -> Option<LoadHint> {
     let config = bincode::config::standard().with_limit::<MAX_HINT_BYTES>();
     let decoded = bincode::serde::decode_from_slice(bytes, config);
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -92,7 +92,7 @@
     let page = client.read_table(NODES_TABLE, CALL_LIMIT).await?;
     let oldest = heartbeat_pause(page.rows.len()).mul_f64(MAX_PAUSES);
     let mut live = Vec::new();
-    let mut listeners = Vec::new();
+    let mut peers = Vec::new();
     let mut others_suspect = false;
     for row in &page.rows {
         let parsed = row
@@ -108,14 +108,14 @@
         }
         live.push(row.key.clone());
         let is_other = row.key != node.settings.node.as_str();
-        listeners.extend(parsed.hints.filter(|_| is_other));
+        peers.extend(parsed.hints.filter(|_| is_other));
         others_suspect |= is_other && parsed.suspects;
     }
     // The datagrams that told it were lost.
     if others_suspect && node.blames_nobody() {
         node.ends_written.notify_one();
     }
-    node.hints.set_listeners(listeners);
+    node.hints.set_peers(peers);
     live.sort();
     node.set_nodes(live);
     Ok(page.clock)
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -1,4 +1,4 @@
-//! How loaded targets are, from this node's own sends, their reports and other nodes' hints.
+//! Target loads, from this node's own requests, reports of targets and hints from other nodes.
 
 use std::time::Duration;
 
@@ -9,27 +9,26 @@
 use crate::hints::HostHash;
 
 impl GatewayNode {
-    /// A target's load.
+    /// Load of a target; zero if unknown.
     #[must_use]
     pub fn load(&self, id: &HostId) -> TargetLoad {
         self.loads.borrow().get(id).copied().unwrap_or_default()
     }
 
-    /// Changes a target's load.
+    /// Updates the load of a target.
     pub fn with_load(&self, id: &HostId, change: impl FnOnce(&mut TargetLoad)) {
         change(self.loads.borrow_mut().entry(id.clone()).or_default());
     }
 
-    /// Time until a head has read the prompts that were sent to it; `rate` is what it reads, in
-    /// tokens a second.
+    /// Time until a head has processed the prompts sent to it; `rate` is in tokens per second.
     #[must_use]
-    pub fn unread_wait(&self, head: &HostId, rate: f64) -> Duration {
+    pub fn prefill_wait(&self, head: &HostId, rate: f64) -> Duration {
         let unread = self.unread.borrow().get(head).copied();
         unread.unwrap_or_default().wait(self.now(), rate)
     }
 
-    /// Notes a prompt that was sent to a head, by this node or another one.
-    pub fn note_prompt(&self, head: &HostId, tokens: u32, rate: f64) {
+    /// Records a prompt sent to a head by this node or another one.
+    pub fn record_prompt(&self, head: &HostId, tokens: u32, rate: f64) {
         let now = self.now();
         let mut unread = self.unread.borrow_mut();
         unread
@@ -38,16 +37,16 @@
             .add(tokens, now, rate);
     }
 
-    /// Whether this node hears of all prompts that are sent. One that knows its own alone would go by
-    /// a small part of them, and is better off with chance.
+    /// Whether this node is told of all prompts that are sent. Knowing only its own would be a
+    /// small part of them, and random selection is better then.
     #[must_use]
     pub fn hints_reach_all(&self) -> bool {
-        self.hints.listeners() + 1 >= self.nodes.borrow().len().max(1)
+        self.hints.peer_count() + 1 >= self.nodes.borrow().len().max(1)
     }
 
-    /// Notes a request that another node sent to a head.
-    pub fn hear_sent(&self, head: HostHash, tokens: u32) {
-        let Some(head) = self.marked_host(head) else {
+    /// Records a request that another node sent to a head.
+    pub fn apply_sent(&self, head: HostHash, tokens: u32) {
+        let Some(head) = self.host_by_hash(head) else {
             return;
         };
         self.with_load(&head, TargetLoad::record_sent_elsewhere);
@@ -63,12 +62,12 @@
             let model = service.model(&model)?;
             Some(service.replica_timing(model).prefill_rate)
         });
-        self.note_prompt(&head, tokens, rate.unwrap_or(0.0));
+        self.record_prompt(&head, tokens, rate.unwrap_or(0.0));
     }
 
-    /// Notes what a head reported to another node.
-    pub fn hear_report(&self, head: HostHash, requests: u32, served: bool) {
-        let Some(head) = self.marked_host(head) else {
+    /// Records a load that a head reported to another node.
+    pub fn apply_report(&self, head: HostHash, requests: u32, served: bool) {
+        let Some(head) = self.host_by_hash(head) else {
             return;
         };
         let now = self.now();
@@ -78,7 +77,7 @@
         self.with_load(&head, |load| load.record_report(requests, now));
     }
 
-    fn marked_host(&self, mark: HostHash) -> Option<HostId> {
-        self.marks.borrow().get(&mark).cloned()
+    fn host_by_hash(&self, hash: HostHash) -> Option<HostId> {
+        self.hosts_by_hash.borrow().get(&hash).cloned()
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 use crate::crash::BrokenRuns;
-use crate::hints::{HintLine, HostHash};
+use crate::hints::{HintChannel, HostHash};
 use crate::metrics::GatewayMetrics;
 use crate::pool::ConnectionPool;
 use crate::settings::GatewaySettings;
@@ -43,7 +43,7 @@
     /// Connections to targets.
     pub pool: ConnectionPool,
     /// Hints to other nodes.
-    pub hints: HintLine,
+    pub hints: HintChannel,
     /// Wakes the care for replicas.
     pub changed: Notify,
     /// Wakes who waits for the end of a request or connection.
@@ -65,7 +65,7 @@
     heads: RefCell<FastMap<(ReplicaId, u64), HostId>>,
     loads: RefCell<FastMap<HostId, TargetLoad>>,
     /// Hosts by the marks that stand for them in hints.
-    marks: RefCell<FastMap<HostHash, HostId>>,
+    hosts_by_hash: RefCell<FastMap<HostHash, HostId>>,
     /// Prompts that wait at the heads of replicas, of this node and of those that told it.
     unread: RefCell<FastMap<HostId, PromptBacklog>>,
     pulses: RefCell<FastMap<HostId, StallDetector>>,
@@ -113,7 +113,7 @@
         settings: GatewaySettings,
         sink: LineSink,
         metrics: GatewayMetrics,
-        hints: HintLine,
+        hints: HintChannel,
     ) -> Self {
         Self {
             settings,
@@ -137,7 +137,7 @@
             spent: RefCell::default(),
             heads: RefCell::default(),
             loads: RefCell::default(),
-            marks: RefCell::default(),
+            hosts_by_hash: RefCell::default(),
             unread: RefCell::default(),
             pulses: RefCell::default(),
             signals: RefCell::default(),
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -42,7 +42,9 @@
             .as_ref()
             .is_none_or(|before| before.boot != entry.boot || before.address != entry.address);
         if is_new {
-            self.marks.borrow_mut().insert((&id).into(), id.clone());
+            self.hosts_by_hash
+                .borrow_mut()
+                .insert((&id).into(), id.clone());
             self.hosts_changed.set(now);
             self.suspects.borrow_mut().remove(&id);
             self.retired.borrow_mut().remove(&id);
@@ -141,7 +143,7 @@
         self.loads.borrow_mut().remove(id);
         self.unread.borrow_mut().remove(id);
         self.served_others.borrow_mut().remove(id);
-        self.marks.borrow_mut().remove(&id.into());
+        self.hosts_by_hash.borrow_mut().remove(&id.into());
         self.pool.close_idle(id);
         self.log(&target_line(EventCode::TargetGone, &entry));
         self.after_change();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -10,7 +10,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::hints::{HintLine, hear_hints};
+use crate::hints::{HintChannel, receive_hints};
 use crate::metrics::GatewayMetrics;
 use crate::node::GatewayNode;
 use crate::settings::GatewaySettings;
@@ -51,7 +51,7 @@
         Some(address) => Some(listen::bind_datagrams(address).await?),
         None => None,
     };
-    let hints = HintLine::new(hints);
+    let hints = HintChannel::new(hints);
     let node = GatewayNode::new(settings, sink, GatewayMetrics::new()?, hints);
     let node = Rc::new(node);
     let told = node.hints.address().map(|address| address.to_string());
@@ -67,7 +67,7 @@
     spawn_questions(&node, readiness, metrics);
     spawn_local(watch::follow_config(Rc::clone(&node)));
     spawn_local(watch::follow_registry(Rc::clone(&node)));
-    spawn_local(hear_hints(Rc::clone(&node)));
+    spawn_local(receive_hints(Rc::clone(&node)));
     spawn_local(members::count_nodes(Rc::clone(&node)));
     spawn_local(ends::follow_ends(Rc::clone(&node)));
     spawn_local(care::care_for_replicas(Rc::clone(&node)));
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -83,8 +83,8 @@
         let service = config.services.get(&request.service)?;
         Some(request.read_rate(service))
     });
-    node.note_prompt(head, request.prompt_tokens, rate.unwrap_or(0.0));
-    node.hints.tell(LoadHint::Sent {
+    node.record_prompt(head, request.prompt_tokens, rate.unwrap_or(0.0));
+    node.hints.send(LoadHint::Sent {
         head: head.into(),
         tokens: request.prompt_tokens,
     });
@@ -290,7 +290,7 @@
         let now = node.now();
         node.with_load(id, |known| known.record_report(load, now));
         if target.membership.is_some() {
-            node.hints.tell(LoadHint::Reported {
+            node.hints.send(LoadHint::Reported {
                 head: id.into(),
                 requests: load,
                 served: head.status.is_success(),
