--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening: callers, the balancer's questions, metrics.
+//! Listeners for client requests, readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,85 +18,86 @@
 use crate::node::{GatewayNode, RunningRequest};
 use crate::usage::ConnectionUsage;
 
-/// Longest wait for a whole head, idle time included: well above what any configuration allows a
-/// connection to be idle. A caller that sends a head byte by byte would hold it for ever.
-const HEAD_LIMIT: Duration = Duration::from_mins(2);
+/// Time limit for receiving a complete request head, including idle time. It is well above any
+/// configurable idle timeout; without it, a client that sends its head byte by byte would hold the
+/// connection indefinitely.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Pause after a failed accept; without it a process out of file descriptors spins.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept; without it a process out of file descriptors would busy-loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Idle time of connections to the readiness and metrics addresses.
-const SMALL_IDLE: Duration = Duration::from_secs(10);
+/// Idle timeout of connections to the readiness and metrics addresses.
+const STATUS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two looks at whether a connection should close.
-const CLOSE_PAUSE: Duration = Duration::from_millis(400);
+/// Interval for checking whether a connection should close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Binds an address.
+/// Binds a TCP listener.
 ///
 /// # Errors
 ///
-/// The address and what is wrong with it.
-pub async fn bind(address: SocketAddr) -> eyre::Result<TcpListener> {
+/// The address and the cause.
+pub async fn bind_tcp(address: SocketAddr) -> eyre::Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|error| eyre::eyre!("can't listen on {address}: {error}"))
 }
 
-/// Binds an address for datagrams.
+/// Binds a UDP socket.
 ///
 /// # Errors
 ///
-/// The address and what is wrong with it.
-pub async fn bind_datagrams(address: SocketAddr) -> eyre::Result<UdpSocket> {
+/// The address and the cause.
+pub async fn bind_udp(address: SocketAddr) -> eyre::Result<UdpSocket> {
     let bound = UdpSocket::bind(address).await;
-    bound.map_err(|error| eyre::eyre!("can't take datagrams on {address}: {error}"))
+    bound.map_err(|error| eyre::eyre!("can't bind UDP socket on {address}: {error}"))
 }
 
-/// Serves callers until the node stops accepting; connections that were taken go on.
-pub async fn serve_callers(node: Rc<GatewayNode>, listener: TcpListener) {
+/// Accepts client connections until the node stops accepting; accepted connections stay open.
+pub async fn serve_clients(node: Rc<GatewayNode>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             () = node.accepting_stopped() => return,
             accepted = accept(&listener) => accepted,
         };
         let Some(stream) = accepted else { continue };
-        let open = OpenConnection::new(&node);
-        tokio::task::spawn_local(serve_caller(Rc::clone(&node), stream, open));
+        let guard = ConnectionGuard::new(&node);
+        tokio::task::spawn_local(serve_client(Rc::clone(&node), stream, guard));
     }
 }
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => {
-            // Only a delay is lost where the option can't be set.
+            // Without the option the connection still works, only with more latency.
             drop(stream.set_nodelay(true));
             Some(stream)
         }
         Err(error) => {
             if error.kind() != io::ErrorKind::ConnectionAborted {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             None
         }
     }
 }
 
-/// Counts a connection until it is dropped.
-struct OpenConnection(Rc<GatewayNode>);
+/// Counts a client connection until it is dropped.
+struct ConnectionGuard(Rc<GatewayNode>);
 
-impl OpenConnection {
+impl ConnectionGuard {
     fn new(node: &Rc<GatewayNode>) -> Self {
         node.begin_connection();
         Self(Rc::clone(node))
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.end_connection();
     }
 }
 
-async fn serve_caller(node: Rc<GatewayNode>, stream: TcpStream, _open: OpenConnection) {
+async fn serve_client(node: Rc<GatewayNode>, stream: TcpStream, _guard: ConnectionGuard) {
     let usage = ConnectionUsage::new(node.now());
     let handler = {
         let node = Rc::clone(&node);
@@ -110,15 +111,16 @@
     let mut builder = Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT);
+        .header_read_timeout(HEADER_READ_TIMEOUT);
     let connection = builder.serve_connection(TokioIo::new(stream), handler);
     tokio::pin!(connection);
     let mut closing = false;
     loop {
         tokio::select! {
-            // Its failure concerns one caller, who sees it; the request's own line tells of it.
+            // Connection errors affect one client, which sees them; the request has its own log
+            // line.
             _ = connection.as_mut() => return,
-            () = wait_for_close(&node, &usage), if !closing => {
+            () = wait_until_closable(&node, &usage), if !closing => {
                 closing = true;
                 connection.as_mut().graceful_shutdown();
             }
@@ -126,13 +128,13 @@
     }
 }
 
-/// Completes when a connection should close after the request in progress: it was idle for as
-/// long as the configuration in force allows, or the process stops.
-async fn wait_for_close(node: &GatewayNode, usage: &ConnectionUsage) {
+/// Completes when a connection should close after the request in flight: it exceeded the configured
+/// idle timeout, or the process is shutting down.
+async fn wait_until_closable(node: &GatewayNode, usage: &ConnectionUsage) {
     loop {
-        // A connection that was opened just now gets the time to bring its request: closed unread,
-        // its caller would not learn when to come back.
-        tokio::time::sleep(CLOSE_PAUSE).await;
+        // A newly opened connection gets time to send its request; if it were closed before the
+        // request is read, the client would get no `Retry-After`.
+        tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
         let stop = node.stop_plan();
         if stop.is_some_and(|stop| stop.closes_connections(node.now())) {
             return;
@@ -143,8 +145,8 @@
     }
 }
 
-/// Answers questions with a status and a text, for ever.
-pub async fn serve_questions<F>(listener: TcpListener, answer: F)
+/// Answers every request with a status and a text; never returns.
+pub async fn serve_status<F>(listener: TcpListener, respond: F)
 where
     F: Fn() -> (StatusCode, String) + Clone + 'static,
 {
@@ -152,9 +154,9 @@
         let Some(stream) = accept(&listener).await else {
             continue;
         };
-        let answer = answer.clone();
+        let respond = respond.clone();
         let handler = service_fn(move |_| {
-            let (status, text) = answer();
+            let (status, text) = respond();
             let mut response = Response::new(Full::new(Bytes::from(text)));
             *response.status_mut() = status;
             async move { Ok::<_, Infallible>(response) }
@@ -163,8 +165,8 @@
             let mut builder = Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(SMALL_IDLE);
-            // Whoever asked sees the failure and asks again.
+                .header_read_timeout(STATUS_IDLE_TIMEOUT);
+            // The requester sees the error and retries.
             drop(
                 builder
                     .serve_connection(TokioIo::new(stream), handler)
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -42,13 +42,13 @@
 async fn serve(settings: GatewaySettings, path: &Path) -> eyre::Result<()> {
     let listen = settings.listen;
     let sink = LineSink::to_stdout(settings.node.as_str(), EventLevel::Info);
-    let callers = listen::bind(listen.requests).await?;
-    let readiness = listen::bind(listen.readiness).await?;
-    let metrics = listen::bind(listen.metrics).await?;
+    let callers = listen::bind_tcp(listen.requests).await?;
+    let readiness = listen::bind_tcp(listen.readiness).await?;
+    let metrics = listen::bind_tcp(listen.metrics).await?;
     let mut terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
     let hints = match listen.hints {
-        Some(address) => Some(listen::bind_datagrams(address).await?),
+        Some(address) => Some(listen::bind_udp(address).await?),
         None => None,
     };
     let hints = HintChannel::new(hints);
@@ -63,8 +63,8 @@
             .text("metrics", &metrics.local_addr()?.to_string())
             .text("hints", told.as_deref().unwrap_or("none")),
     );
-    spawn_local(listen::serve_callers(Rc::clone(&node), callers));
-    spawn_questions(&node, readiness, metrics);
+    spawn_local(listen::serve_clients(Rc::clone(&node), callers));
+    spawn_status_listeners(&node, readiness, metrics);
     spawn_local(watch::follow_config(Rc::clone(&node)));
     spawn_local(watch::follow_registry(Rc::clone(&node)));
     spawn_local(receive_hints(Rc::clone(&node)));
@@ -81,13 +81,13 @@
     Ok(())
 }
 
-fn spawn_questions(
+fn spawn_status_listeners(
     node: &Rc<GatewayNode>,
     readiness: tokio::net::TcpListener,
     metrics: tokio::net::TcpListener,
 ) {
     let asked = Rc::clone(node);
-    spawn_local(listen::serve_questions(readiness, move || {
+    spawn_local(listen::serve_status(readiness, move || {
         if asked.is_ready() {
             (StatusCode::OK, String::new())
         } else {
@@ -95,7 +95,7 @@
         }
     }));
     let measured = Rc::clone(node);
-    spawn_local(listen::serve_questions(metrics, move || {
+    spawn_local(listen::serve_status(metrics, move || {
         match measured.metrics_text() {
             Ok(text) => (StatusCode::OK, text),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
