--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -11,15 +11,15 @@
 use serving::hashing::stable_hash;
 use serving::{GatewayConfig, Route};
 
-use crate::answer::OwnAnswer;
 use crate::forward::ForwardRequest;
+use crate::local_reply::LocalReply;
 use crate::node::GatewayNode;
 
 /// Longest wait for a caller's body.
 const BODY_LIMIT: Duration = Duration::from_secs(10);
 
 /// The final answer to a request that is not admitted, and why.
-pub type Refusal = (OwnAnswer, &'static str);
+pub type Refusal = (LocalReply, &'static str);
 
 /// Admits a request, once its body is there whole.
 ///
@@ -47,11 +47,11 @@
         .to_ascii_lowercase();
     let route = config
         .route(&host, head.uri.path())
-        .ok_or((OwnAnswer::NoRoute, "no route"))?;
+        .ok_or((LocalReply::NoRoute, "no route"))?;
     let key = find_key(config, route, facts)?;
     let service = route
         .service_for(stable_hash(&facts.id))
-        .ok_or((OwnAnswer::NoRoute, "the route has no service"))?
+        .ok_or((LocalReply::NoRoute, "the route has no service"))?
         .clone();
     let body = read_body(body, config.limits.body_bytes).await?;
     let wait = facts
@@ -92,7 +92,7 @@
     match key {
         Some(key) => Ok(Some((key.customer.clone(), key.priority))),
         None if route.public => Ok(None),
-        None => Err((OwnAnswer::UnknownKey, "unknown key")),
+        None => Err((LocalReply::Unauthorized, "unknown key")),
     }
 }
 
@@ -101,9 +101,9 @@
     match tokio::time::timeout(BODY_LIMIT, reading).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err((OwnAnswer::TooLarge, "the body is too large"))
+            Err((LocalReply::BodyTooLarge, "the body is too large"))
         }
-        Ok(Err(_)) | Err(_) => Err((OwnAnswer::BadBody, "the body did not arrive whole")),
+        Ok(Err(_)) | Err(_) => Err((LocalReply::IncompleteBody, "the body did not arrive whole")),
     }
 }
 
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -14,8 +14,8 @@
 use serving::{GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::admit::admit;
-use crate::answer::OwnAnswer;
 use crate::forward::ForwardRequest;
+use crate::local_reply::LocalReply;
 use crate::node::{GatewayNode, RunningRequest};
 use crate::relay::{StreamEnd, StreamRelay, StreamSource};
 use crate::send::{AttemptEnd, TargetAnswer, send_attempt};
@@ -61,7 +61,7 @@
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd> + use<>>> {
     let facts = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
-        let answer = OwnAnswer::NotRun(ABSENT_WAIT);
+        let answer = LocalReply::NotExecuted(ABSENT_WAIT);
         return own(node, &facts, None, answer, "no configuration yet").map(Either::Left);
     };
     let forward = match admit(node, &config, request, &facts).await {
@@ -74,14 +74,14 @@
         PoisonVerdict::Clear => Rc::new(forward),
         PoisonVerdict::Suspect => Rc::new(forward.with_one_target()),
         PoisonVerdict::Barred => {
-            let answer = OwnAnswer::EndsTargets;
+            let answer = LocalReply::Blocked;
             let reason = "targets end under it";
             return own(node, &facts, Some(&forward), answer, reason).map(Either::Left);
         }
     };
     let stop = node.stop_plan();
     if stop.is_some_and(|stop| !stop.accepts(forward.arrived, forward.deadline)) {
-        let answer = OwnAnswer::NotRun(STOPPING_WAIT);
+        let answer = LocalReply::NotExecuted(STOPPING_WAIT);
         return own(node, &facts, Some(&forward), answer, "the node stops").map(Either::Left);
     }
     node.note_arrival(&forward);
@@ -104,10 +104,10 @@
     node: &GatewayNode,
     facts: &RequestHeaders,
     forward: Option<&ForwardRequest>,
-    answer: OwnAnswer,
+    answer: LocalReply,
     reason: &str,
 ) -> Response<Full<Bytes>> {
-    let not_run = matches!(answer, OwnAnswer::NotRun(_));
+    let not_run = matches!(answer, LocalReply::NotExecuted(_));
     let code = if not_run {
         EventCode::GatewayRefused
     } else {
@@ -149,7 +149,7 @@
 }
 
 enum Outcome {
-    Own(OwnAnswer, String),
+    Own(LocalReply, String),
     Whole(Response<Full<Bytes>>),
     Stream(Box<StreamSource>),
 }
@@ -180,9 +180,9 @@
             return Outcome::Whole(failure);
         }
         let answer = match (self.may_have_run, timed_out) {
-            (false, _) => OwnAnswer::NotRun(wait),
-            (true, true) => OwnAnswer::TimedOut,
-            (true, false) => OwnAnswer::Lost,
+            (false, _) => LocalReply::NotExecuted(wait),
+            (true, true) => LocalReply::TimedOut,
+            (true, false) => LocalReply::ResponseLost,
         };
         Outcome::Own(answer, self.last)
     }
@@ -247,7 +247,7 @@
                 tally.unsent += 1;
                 tally.last = reason;
             }
-            AttemptEnd::NotRun(status) => {
+            AttemptEnd::NotExecuted(status) => {
                 tally.sent += 1;
                 tally.last = format!("the target is full: {status}");
             }
@@ -331,9 +331,9 @@
             }
             let over = forward.time_left(node.now()).is_zero();
             let answer = if over {
-                OwnAnswer::TimedOut
+                LocalReply::TimedOut
             } else {
-                OwnAnswer::Lost
+                LocalReply::ResponseLost
             };
             Some(Outcome::Own(answer, tally.last.clone()))
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,6 @@
 //! persisted: configuration, targets and replicas are read from the store again after a restart.
 
 mod admit;
-mod answer;
 mod care;
 mod crash;
 mod ends;
@@ -14,6 +13,7 @@
 mod heartbeat;
 mod hints;
 mod listen;
+mod local_reply;
 mod metrics;
 mod node;
 mod orders;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -275,7 +275,9 @@
                     reason = format!("the other target answered {}", answer.status);
                 }
                 AttemptEnd::Unsent(why) => reason = why,
-                AttemptEnd::NotRun(status) => reason = format!("the other target said {status}"),
+                AttemptEnd::NotExecuted(status) => {
+                    reason = format!("the other target said {status}")
+                }
                 AttemptEnd::Lost(why) => {
                     self.attempts += 1;
                     reason = why;
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -121,7 +121,7 @@
     /// No byte of the request reached the target.
     Unsent(String),
     /// The target says that it did not run the request.
-    NotRun(StatusCode),
+    NotExecuted(StatusCode),
     /// The request may have run.
     Lost(String),
     /// The request may have run; no answer came within the attempt's time.
@@ -133,7 +133,7 @@
         match self {
             Self::Answered(_) => "answered",
             Self::Unsent(_) => "unsent",
-            Self::NotRun(_) => "not_run",
+            Self::NotExecuted(_) => "not_run",
             Self::Lost(_) => "lost",
             Self::TimedOut => "timed_out",
         }
@@ -315,7 +315,7 @@
             }
             _ => {}
         }
-        return AttemptEnd::NotRun(head.status);
+        return AttemptEnd::NotExecuted(head.status);
     }
     let success = head.status.is_success();
     if success && !facts.signed {
