--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admitting a request: its route, its key, its body.
+//! Request admission: route lookup, API key check and reading the body.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use serving::hashing::stable_hash;
 use serving::{GatewayConfig, Route};
 
-use crate::forward::ForwardRequest;
+use crate::admitted::AdmittedRequest;
 use crate::local_reply::LocalReply;
 use crate::node::GatewayNode;
 
-/// Longest wait for a caller's body.
-const BODY_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for reading a client's request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The final answer to a request that is not admitted, and why.
-pub type Refusal = (LocalReply, &'static str);
+/// Response to a request that is not admitted, and the reason for the log.
+pub type Rejection = (LocalReply, &'static str);
 
-/// Admits a request, once its body is there whole.
+/// Admits a request after its body has been read completely.
 ///
 /// # Errors
 ///
-/// [`Refusal`].
+/// [`Rejection`] if no route matches, the key is missing or unknown, or the body can't be read.
 pub async fn admit(
     node: &Rc<GatewayNode>,
     config: &GatewayConfig,
     request: Request<Incoming>,
-    facts: &RequestHeaders,
-) -> Result<ForwardRequest, Refusal> {
+    headers: &RequestHeaders,
+) -> Result<AdmittedRequest, Rejection> {
     let arrived = node.now();
     let (head, body) = request.into_parts();
     let host = head
@@ -47,68 +47,68 @@
         .to_ascii_lowercase();
     let route = config
         .route(&host, head.uri.path())
-        .ok_or((LocalReply::NoRoute, "no route"))?;
-    let key = find_key(config, route, facts)?;
+        .ok_or((LocalReply::NoRoute, "no route matches the host and path"))?;
+    let key = authenticate(config, route, headers)?;
     let service = route
-        .service_for(stable_hash(&facts.id))
-        .ok_or((LocalReply::NoRoute, "the route has no service"))?
+        .service_for(stable_hash(&headers.id))
+        .ok_or((LocalReply::NoRoute, "route has no service"))?
         .clone();
     let body = read_body(body, config.limits.body_bytes).await?;
-    let wait = facts
+    let timeout = headers
         .time_left
         .map_or(route.timeout, |left| left.min(route.timeout));
-    Ok(ForwardRequest {
-        id: facts.id.clone(),
+    Ok(AdmittedRequest {
+        id: headers.id.clone(),
         method: head.method,
-        uri: path_only(head.uri),
+        uri: to_origin_form(head.uri),
         headers: head.headers,
         body,
         route: route.name.clone(),
         kind: route.kind,
         service,
-        model: facts.model.clone(),
-        prompt_tokens: facts.prompt_tokens,
+        model: headers.model.clone(),
+        prompt_tokens: headers.prompt_tokens,
         customer: key.as_ref().map(|(customer, _)| customer.clone()),
         priority: key.and_then(|(_, rank)| rank).unwrap_or(route.priority),
         max_attempts: route.max_attempts,
         target_latency: route.target_latency,
         arrived,
-        deadline: arrived + wait,
-        last_event: facts.last_event,
+        deadline: arrived + timeout,
+        last_event: headers.last_event,
     })
 }
 
-type KnownCaller = (domain::CustomerId, Option<u8>);
+type AuthenticatedClient = (domain::CustomerId, Option<u8>);
 
-fn find_key(
+fn authenticate(
     config: &GatewayConfig,
     route: &Route,
-    facts: &RequestHeaders,
-) -> Result<Option<KnownCaller>, Refusal> {
+    headers: &RequestHeaders,
+) -> Result<Option<AuthenticatedClient>, Rejection> {
     let Some(keys) = &config.keys else {
         return Ok(None);
     };
-    let key = facts.key.as_ref().and_then(|key| keys.get(key));
+    let key = headers.key.as_ref().and_then(|key| keys.get(key));
     match key {
         Some(key) => Ok(Some((key.customer.clone(), key.priority))),
         None if route.public => Ok(None),
-        None => Err((LocalReply::Unauthorized, "unknown key")),
+        None => Err((LocalReply::Unauthorized, "unknown API key")),
     }
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    let reading = Limited::new(body, most).collect();
-    match tokio::time::timeout(BODY_LIMIT, reading).await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Rejection> {
+    let read = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout(BODY_READ_TIMEOUT, read).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err((LocalReply::BodyTooLarge, "the body is too large"))
+            Err((LocalReply::BodyTooLarge, "request body too large"))
         }
-        Ok(Err(_)) | Err(_) => Err((LocalReply::IncompleteBody, "the body did not arrive whole")),
+        Ok(Err(_)) | Err(_) => Err((LocalReply::IncompleteBody, "incomplete request body")),
     }
 }
 
-/// The path and query alone, for callers that write a whole URI in the request line.
-fn path_only(uri: http::Uri) -> http::Uri {
+/// Reduces an absolute-form request target to origin form (path and query).
+fn to_origin_form(uri: http::Uri) -> http::Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or(uri)
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/admitted.rs
@@ -20,7 +20,7 @@
 
 /// A request that was admitted, with all that its attempts need.
 #[derive(Debug)]
-pub struct ForwardRequest {
+pub struct AdmittedRequest {
     /// Caller's id of it.
     pub id: Option<RequestId>,
     /// Method.
@@ -129,7 +129,7 @@
     part.max(2)
 }
 
-impl ForwardRequest {
+impl AdmittedRequest {
     /// Requests that may wait at a target where this one still goes, with a caller who waits for
     /// `patience`.
     fn queue_limit(
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -13,8 +13,8 @@
 use serving::{CrashedRequest, TargetCrash};
 use web::{HttpLink, LinkError};
 
+use crate::admitted::AdmittedRequest;
 use crate::ends::share_end;
-use crate::forward::ForwardRequest;
 use crate::node::GatewayNode;
 
 /// Time in which the connections to a target that ended break one after the other.
@@ -50,7 +50,7 @@
 /// answer had been under way.
 pub fn note_broken_run(
     node: &Rc<GatewayNode>,
-    request: &ForwardRequest,
+    request: &AdmittedRequest,
     (host, boot): (&HostId, BootNumber),
     ran: Option<Duration>,
 ) {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -14,7 +14,7 @@
 use serving::{GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::admit::admit;
-use crate::forward::ForwardRequest;
+use crate::admitted::AdmittedRequest;
 use crate::local_reply::LocalReply;
 use crate::node::{GatewayNode, RunningRequest};
 use crate::relay::{StreamEnd, StreamRelay, StreamSource};
@@ -103,7 +103,7 @@
 fn own(
     node: &GatewayNode,
     facts: &RequestHeaders,
-    forward: Option<&ForwardRequest>,
+    forward: Option<&AdmittedRequest>,
     answer: LocalReply,
     reason: &str,
 ) -> Response<Full<Bytes>> {
@@ -136,7 +136,7 @@
     node.config().map_or(0, |config| config.revision.0)
 }
 
-fn log_answered(node: &GatewayNode, forward: &ForwardRequest, response: &Response<Full<Bytes>>) {
+fn log_answered(node: &GatewayNode, forward: &AdmittedRequest, response: &Response<Full<Bytes>>) {
     let held = node.now().saturating_sub(forward.arrived);
     node.metrics
         .record_request(forward.labels(), response.status(), held);
@@ -191,7 +191,7 @@
 async fn run_attempts(
     node: &Rc<GatewayNode>,
     config: &GatewayConfig,
-    forward: &Rc<ForwardRequest>,
+    forward: &Rc<AdmittedRequest>,
 ) -> Outcome {
     let mut tally = AttemptTally::default();
     loop {
@@ -270,7 +270,7 @@
     }
 }
 
-fn log_failed(node: &GatewayNode, forward: &ForwardRequest, host: &HostId, reason: &str) {
+fn log_failed(node: &GatewayNode, forward: &AdmittedRequest, host: &HostId, reason: &str) {
     let line = EventLine::new(EventCode::GatewayAttemptFailed)
         .text("request", forward.id.as_ref().map_or("", RequestId::as_str))
         .text("route", &forward.route)
@@ -282,7 +282,7 @@
 
 /// How long one attempt may take to its answer's head. Only a request that may be repeated, and
 /// still can be, is taken back early from a target that hangs.
-fn attempt_limit(forward: &ForwardRequest, tally: &AttemptTally, now: Duration) -> Duration {
+fn attempt_limit(forward: &AdmittedRequest, tally: &AttemptTally, now: Duration) -> Duration {
     let left = forward.time_left(now);
     let repeatable = forward.kind == RouteKind::Idempotent && tally.sent + 1 < forward.max_attempts;
     if !repeatable {
@@ -295,7 +295,7 @@
 /// Reads an answer, or hands a stream on; `None` if another attempt should follow.
 async fn take_answer(
     node: &Rc<GatewayNode>,
-    forward: &Rc<ForwardRequest>,
+    forward: &Rc<AdmittedRequest>,
     answer: TargetAnswer,
     tally: &mut AttemptTally,
 ) -> Option<Outcome> {
@@ -342,7 +342,7 @@
 
 async fn read_whole(
     node: &Rc<GatewayNode>,
-    forward: &ForwardRequest,
+    forward: &AdmittedRequest,
     mut answer: TargetAnswer,
 ) -> Result<Response<Full<Bytes>>, String> {
     let left = forward.time_left(node.now());
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,10 +5,10 @@
 //! persisted: configuration, targets and replicas are read from the store again after a restart.
 
 mod admit;
+mod admitted;
 mod care;
 mod crash;
 mod ends;
-mod forward;
 mod handle;
 mod heartbeat;
 mod hints;
--- a/crates/gateway/src/node/blame.rs
+++ b/crates/gateway/src/node/blame.rs
@@ -6,8 +6,8 @@
 use serving::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint};
 
 use super::GatewayNode;
+use crate::admitted::AdmittedRequest;
 use crate::crash::BrokenRuns;
-use crate::forward::ForwardRequest;
 
 impl GatewayNode {
     /// Uses the runs that broke off.
@@ -17,7 +17,7 @@
 
     /// What is held against a request.
     #[must_use]
-    pub fn blame_standing(&self, request: &ForwardRequest) -> PoisonVerdict {
+    pub fn blame_standing(&self, request: &AdmittedRequest) -> PoisonVerdict {
         let blame = self.blame.borrow();
         // Bodies are hashed only while some request is suspected.
         if blame.is_clear() {
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -8,7 +8,7 @@
 use serving::{MemberState, ShutdownPlan};
 
 use super::GatewayNode;
-use crate::forward::ForwardRequest;
+use crate::admitted::AdmittedRequest;
 use crate::metrics::NodeStats;
 use crate::usage::ConnectionUsage;
 
@@ -108,7 +108,7 @@
     }
 
     /// Notes that a request arrived, whatever becomes of it.
-    pub fn note_arrival(&self, request: &ForwardRequest) {
+    pub fn note_arrival(&self, request: &AdmittedRequest) {
         let now = self.now();
         let service = &request.service;
         self.with_budget(service, |budget| budget.record_request(now));
@@ -120,7 +120,7 @@
 
     /// Whether a request's customer uses more than its share of the service.
     #[must_use]
-    pub fn is_over_share(&self, request: &ForwardRequest) -> bool {
+    pub fn is_over_share(&self, request: &AdmittedRequest) -> bool {
         let now = self.now();
         let Some(customer) = &request.customer else {
             return false;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use hyper::body::{Body, Frame};
 use serving::{EventSplitter, GatewayConfig, PoisonVerdict, RouteKind};
 
-use crate::forward::ForwardRequest;
+use crate::admitted::AdmittedRequest;
 use crate::node::{GatewayNode, LossSignal, RunningRequest};
 use crate::send::{AttemptEnd, TargetAnswer, send_attempt};
 
@@ -54,7 +54,7 @@
 pub struct StreamRelay {
     node: Rc<GatewayNode>,
     config: Rc<GatewayConfig>,
-    forward: Rc<ForwardRequest>,
+    forward: Rc<AdmittedRequest>,
     source: Option<TargetAnswer>,
     signal: Rc<LossSignal>,
     last_host: Option<HostId>,
@@ -85,7 +85,7 @@
     pub fn new(
         node: &Rc<GatewayNode>,
         config: Rc<GatewayConfig>,
-        forward: Rc<ForwardRequest>,
+        forward: Rc<AdmittedRequest>,
         source: StreamSource,
         running: RunningRequest,
     ) -> Self {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -11,8 +11,8 @@
 use serving::TargetEntry;
 use web::{HttpLink, LinkError};
 
+use crate::admitted::AdmittedRequest;
 use crate::crash::note_broken_run;
-use crate::forward::ForwardRequest;
 use crate::hints::LoadHint;
 use crate::node::{GatewayNode, LossSign};
 use crate::probe::{ask, ask_refusing};
@@ -33,7 +33,7 @@
 }
 
 impl RunningTicket {
-    fn new(node: &Rc<GatewayNode>, request: &ForwardRequest, target: &TargetEntry) -> Self {
+    fn new(node: &Rc<GatewayNode>, request: &AdmittedRequest, target: &TargetEntry) -> Self {
         let now = node.now();
         if let Some(customer) = &request.customer {
             node.with_shares(&request.service, |shares| shares.record_sent(customer));
@@ -78,7 +78,7 @@
     }
 }
 
-fn note_sent_prompt(node: &GatewayNode, request: &ForwardRequest, head: &HostId) {
+fn note_sent_prompt(node: &GatewayNode, request: &AdmittedRequest, head: &HostId) {
     let rate = node.config().and_then(|config| {
         let service = config.services.get(&request.service)?;
         Some(request.read_rate(service))
@@ -143,7 +143,7 @@
 /// Sends a request to a target and waits for the head of its answer, at most for `limit`.
 pub async fn send_attempt(
     node: &Rc<GatewayNode>,
-    request: &ForwardRequest,
+    request: &AdmittedRequest,
     target: &TargetEntry,
     last_event: Option<u64>,
     limit: Duration,
@@ -176,7 +176,7 @@
 
 async fn exchange(
     node: &Rc<GatewayNode>,
-    request: &ForwardRequest,
+    request: &AdmittedRequest,
     target: &TargetEntry,
     last_event: Option<u64>,
 ) -> Result<Exchanged, AttemptEnd> {
@@ -258,7 +258,7 @@
 
 fn failed(
     node: &GatewayNode,
-    request: &ForwardRequest,
+    request: &AdmittedRequest,
     id: &HostId,
     end: AttemptEnd,
 ) -> AttemptEnd {
@@ -273,7 +273,7 @@
 
 fn judge(
     node: &Rc<GatewayNode>,
-    request: &ForwardRequest,
+    request: &AdmittedRequest,
     exchanged: Exchanged,
     ticket: RunningTicket,
     target: &TargetEntry,
@@ -344,7 +344,7 @@
 
 impl TargetAnswer {
     /// Notes that its connection broke off before its end.
-    pub fn note_broken(&self, node: &Rc<GatewayNode>, request: &ForwardRequest) {
+    pub fn note_broken(&self, node: &Rc<GatewayNode>, request: &AdmittedRequest) {
         let ran = node.now().saturating_sub(self.began);
         note_broken_run(node, request, (&self.host, self.boot), Some(ran));
     }
