--- a/crates/gateway/src/admitted.rs
+++ b/crates/gateway/src/admitted.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way to targets, and the choice of one.
+//! An admitted request and the selection of its target.
 
 use std::fmt;
 use std::time::Duration;
@@ -18,148 +18,150 @@
 use crate::metrics::RequestLabels;
 use crate::node::GatewayNode;
 
-/// A request that was admitted, with all that its attempts need.
+/// An admitted request, with everything its attempts need.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// Caller's id of it.
+    /// Request id set by the client, if any.
     pub id: Option<RequestId>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Request target in origin form (path and query).
     pub uri: Uri,
-    /// Caller's headers.
+    /// Request headers as received from the client.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete request body.
     pub body: Bytes,
-    /// Name of its route.
+    /// Name of the matched route.
     pub route: String,
-    /// What may be repeated.
+    /// Kind of the route, which decides whether the request is retryable.
     pub kind: RouteKind,
-    /// Service.
+    /// Service chosen by the route.
     pub service: ServiceName,
-    /// Model, where the service has replicas.
+    /// Requested model; used only if the service has models.
     pub model: Option<ModelName>,
-    /// Tokens of its prompt; 0 for a call of a plain service.
+    /// Number of prompt tokens; 0 for a call to a plain service.
     pub prompt_tokens: u32,
-    /// Customer.
+    /// Customer that the API key belongs to; `None` without a key.
     pub customer: Option<CustomerId>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Targets that it may be sent to.
+    /// Maximum number of targets that it is sent to.
     pub max_attempts: u32,
-    /// Time within which its answer is worth most.
+    /// Target latency of the route: responses that begin within it have full value.
     pub target_latency: Duration,
-    /// When it arrived.
+    /// Arrival time, measured from process start.
     pub arrived: Duration,
-    /// When its time is over.
+    /// Deadline, measured from process start.
     pub deadline: Duration,
-    /// Last event that its caller has.
+    /// Id of the last stream event that the client has already received.
     pub last_event: Option<u64>,
 }
 
-/// Why no target takes a request, with the loads that decided it.
+/// Why no target was selected, with the loads behind the decision.
 #[derive(Debug, Clone, Copy)]
-pub struct ChoiceFailure {
-    /// Reason.
+pub struct SelectionError {
+    /// Whether there are no targets or all are full.
     pub reason: NoTarget,
-    /// Targets that were looked at.
+    /// Number of targets considered.
     pub candidates: usize,
-    /// Requests probably at the least loaded of them.
-    pub least_load: f64,
-    /// Requests that each may have.
-    pub most_load: f64,
+    /// Estimated number of requests at the least loaded target.
+    pub min_load: f64,
+    /// Maximum number of requests per target, running and queued.
+    pub max_load: f64,
 }
 
-impl ChoiceFailure {
+impl SelectionError {
     fn absent() -> Self {
         Self {
             reason: NoTarget::Absent,
             candidates: 0,
-            least_load: 0.0,
-            most_load: 0.0,
+            min_load: 0.0,
+            max_load: 0.0,
         }
     }
 
     fn new(
         reason: NoTarget,
-        choices: &[TargetCandidate],
+        candidates: &[TargetCandidate],
         limits: ChoiceLimits,
         now: Duration,
     ) -> Self {
-        let loads = choices
+        let loads = candidates
             .iter()
-            .map(|choice| choice.load.estimate(now, limits.nodes));
-        let slots = choices.first().map_or(0, |choice| choice.slots);
+            .map(|candidate| candidate.load.estimate(now, limits.nodes));
+        let slots = candidates.first().map_or(0, |candidate| candidate.slots);
         Self {
             reason,
-            candidates: choices.len(),
-            least_load: loads.reduce(f64::min).unwrap_or(0.0),
-            most_load: f64::from(slots) + limits.queue_limit,
+            candidates: candidates.len(),
+            min_load: loads.reduce(f64::min).unwrap_or(0.0),
+            max_load: f64::from(slots) + limits.queue_limit,
         }
     }
 }
 
-impl fmt::Display for ChoiceFailure {
+impl fmt::Display for SelectionError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.reason {
-            NoTarget::Absent => formatter.write_str("no target serves it"),
+            NoTarget::Absent => formatter.write_str("no target available"),
             NoTarget::Full => write!(
                 formatter,
-                "all {} targets are full: {:.0} of {:.0} requests at the emptiest",
-                self.candidates, self.least_load, self.most_load
+                "all {} targets are full: {:.0} of {:.0} requests at the least loaded",
+                self.candidates, self.min_load, self.max_load
             ),
         }
     }
 }
 
-/// Requests that may wait at one target of a plain service for each that it runs. Its calls take
-/// milliseconds, so a short queue empties within their target latency.
-const PLAIN_QUEUE: f64 = 1.0;
+/// Requests that may queue at a target of a plain service per request that it runs. Calls take
+/// milliseconds, so a short queue empties within the target latency.
+const PLAIN_QUEUE_PER_SLOT: f64 = 1.0;
 
-/// Part of a target's connections that is used for requests; idle ones take up the rest.
-const CONNECTION_PART: f64 = 0.75;
+/// Fraction of a target's connections used for requests in flight; the rest is left for idle ones.
+const ACTIVE_CONNECTION_FRACTION: f64 = 0.75;
 
-/// This node's part of the connections that one target of a service takes, at least two.
-fn connection_part(service: &ServiceConfig, nodes: usize) -> u32 {
+/// This node's share of the connections that one target accepts, at least two.
+fn connection_quota(service: &ServiceConfig, nodes: usize) -> u32 {
     let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
-    let part = f64::from(service.max_connections) * CONNECTION_PART / nodes;
-    // In range: the whole is a u32 and the factor below 1.
+    let quota = f64::from(service.max_connections) * ACTIVE_CONNECTION_FRACTION / nodes;
+    // In range: a u32 multiplied by a factor below 1.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let part = part as u32;
-    part.max(2)
+    let quota = quota as u32;
+    quota.max(2)
 }
 
 impl AdmittedRequest {
-    /// Requests that may wait at a target where this one still goes, with a caller who waits for
-    /// `patience`.
+    /// Maximum queue length at a target for this request to be sent there, given that its client
+    /// waits for `max_wait`.
     fn queue_limit(
         &self,
         service: &ServiceConfig,
         slots: u32,
         class: AdmissionClass,
-        patience: Duration,
+        max_wait: Duration,
     ) -> f64 {
-        let pace = self.replica_pace(service);
-        let places = pace.and_then(|pace| pace.queue_capacity(patience));
-        // Without a step model, and at a plain service, a short queue empties in time.
-        places.unwrap_or(f64::from(slots) * PLAIN_QUEUE) * class.queue_fraction()
+        let timing = self.replica_timing(service);
+        let capacity = timing.and_then(|timing| timing.queue_capacity(max_wait));
+        // Without timing data, as for plain services, a short queue empties in time.
+        capacity.unwrap_or(f64::from(slots) * PLAIN_QUEUE_PER_SLOT) * class.queue_fraction()
     }
 
-    /// Times of a replica of its model; nothing for a plain service.
-    fn replica_pace(&self, service: &ServiceConfig) -> Option<ReplicaTiming> {
+    /// Timing of a replica of the requested model; `None` for a plain service.
+    fn replica_timing(&self, service: &ServiceConfig) -> Option<ReplicaTiming> {
         let model = service.model(self.model.as_ref()?)?;
         Some(service.replica_timing(model))
     }
 
-    /// Prompt tokens that a replica of its model reads a second; 0 for a plain service.
+    /// Prompt tokens that a replica of the requested model processes per second; 0 for a plain
+    /// service.
     #[must_use]
-    pub fn read_rate(&self, service: &ServiceConfig) -> f64 {
-        self.replica_pace(service)
-            .map_or(0.0, |pace| pace.prefill_rate)
+    pub fn prefill_rate(&self, service: &ServiceConfig) -> f64 {
+        self.replica_timing(service)
+            .map_or(0.0, |timing| timing.prefill_rate)
     }
 
-    /// What it is among those that compete with it. One that goes on elsewhere was let in before,
-    /// and what it has cost would be lost.
+    /// Priority of this request among competing ones. A request that already had an attempt was
+    /// admitted before and gets full standing, because the work spent on it would be lost
+    /// otherwise.
     fn admission_class(
         &self,
         node: &GatewayNode,
@@ -175,27 +177,27 @@
         }
     }
 
-    /// Chooses a target that is not among `tried` and begins within `patience`.
+    /// Selects a target that is not in `tried` and can start the request within `max_wait`.
     ///
     /// # Errors
     ///
-    /// Why there is none, and what that was decided on.
-    pub fn choose(
+    /// [`SelectionError`] with the reason and the loads it is based on.
+    pub fn select_target(
         &self,
         node: &GatewayNode,
         config: &GatewayConfig,
         tried: &FastSet<HostId>,
-        patience: Duration,
-    ) -> Result<TargetEntry, ChoiceFailure> {
+        max_wait: Duration,
+    ) -> Result<TargetEntry, SelectionError> {
         let Some(service) = config.services.get(&self.service) else {
-            return Err(ChoiceFailure::absent());
+            return Err(SelectionError::absent());
         };
         let mut entries: Vec<TargetEntry> = match &self.model {
             Some(model) if !service.models.is_empty() => node.serving_heads(service, model),
             _ => node.plain_targets(&self.service),
         };
         entries.retain(|entry| !tried.contains(&entry.id));
-        // A draw that a later reader of the log can repeat.
+        // Pseudorandom order that can be reproduced from the log.
         entries.sort_by_cached_key(|entry| {
             stable_hash(&(
                 node.settings.node.as_str(),
@@ -204,46 +206,47 @@
             ))
         });
         let now = node.now();
-        let slots = |entry: &TargetEntry| {
+        let slots_of = |entry: &TargetEntry| {
             if service.models.is_empty() {
                 entry.slots
             } else {
                 service.slots
             }
         };
-        let read_rate = self.read_rate(service);
-        let compares_waits = read_rate > 0.0 && node.hints_reach_all();
-        let choices: Vec<TargetCandidate> = entries
+        let prefill_rate = self.prefill_rate(service);
+        let uses_prefill_wait = prefill_rate > 0.0 && node.hints_reach_all();
+        let candidates: Vec<TargetCandidate> = entries
             .iter()
             .map(|entry| TargetCandidate {
                 load: node.load(&entry.id),
-                slots: slots(entry),
-                prefill_wait: compares_waits.then(|| node.prefill_wait(&entry.id, read_rate)),
-                in_flight_limit: connection_part(service, node.node_count()),
+                slots: slots_of(entry),
+                prefill_wait: uses_prefill_wait.then(|| node.prefill_wait(&entry.id, prefill_rate)),
+                in_flight_limit: connection_quota(service, node.node_count()),
             })
             .collect();
-        let most = entries.first().map_or(0, slots);
+        let max_slots = entries.first().map_or(0, slots_of);
         let class = self.admission_class(node, service, tried);
         let limits = ChoiceLimits {
-            queue_limit: self.queue_limit(service, most, class, patience),
+            queue_limit: self.queue_limit(service, max_slots, class, max_wait),
             nodes: node.node_count(),
         };
-        let index = choose_target(&choices, limits, now)
-            .map_err(|reason| ChoiceFailure::new(reason, &choices, limits, now))?;
+        let index = choose_target(&candidates, limits, now)
+            .map_err(|reason| SelectionError::new(reason, &candidates, limits, now))?;
         let entry = entries.swap_remove(index);
         Ok(entry)
     }
 
-    /// The same, to be sent to one target only.
+    /// Limits the request to one attempt.
     #[must_use]
-    pub fn with_one_target(mut self) -> Self {
+    pub fn without_retries(mut self) -> Self {
         self.max_attempts = self.max_attempts.min(1);
         self
     }
 
-    /// What stands for it when it comes again.
+    /// Fingerprint of customer, path and body, by which the same request is recognized when it is
+    /// sent again.
     #[must_use]
-    pub fn mark(&self) -> RequestFingerprint {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let customer = self.customer.as_ref().map_or("", CustomerId::as_str);
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
         let mut hash = Sha256::new();
@@ -251,18 +254,18 @@
             hash.update(u64::try_from(part.len()).unwrap_or(u64::MAX).to_be_bytes());
             hash.update(part);
         }
-        let mut half = [0; 16];
-        half.copy_from_slice(&hash.finalize()[..16]);
-        RequestFingerprint(u128::from_be_bytes(half))
+        let mut prefix = [0; 16];
+        prefix.copy_from_slice(&hash.finalize()[..16]);
+        RequestFingerprint(u128::from_be_bytes(prefix))
     }
 
-    /// Whether it may be sent again after it may have run.
+    /// Whether it may be retried after an attempt that may have executed it.
     #[must_use]
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.kind.allows_retry()
     }
 
-    /// What its metrics are filed under.
+    /// Metric labels of the request.
     #[must_use]
     pub fn labels(&self) -> RequestLabels<'_> {
         RequestLabels {
@@ -271,7 +274,7 @@
         }
     }
 
-    /// Time that is left.
+    /// Time remaining until the deadline.
     #[must_use]
     pub fn time_left(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -54,7 +54,7 @@
     (host, boot): (&HostId, BootNumber),
     ran: Option<Duration>,
 ) {
-    let mark = request.mark();
+    let mark = request.fingerprint();
     let run = CrashedRequest {
         fingerprint: mark,
         answer_age: ran,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -72,7 +72,7 @@
     };
     let forward = match node.blame_standing(&forward) {
         PoisonVerdict::Clear => Rc::new(forward),
-        PoisonVerdict::Suspect => Rc::new(forward.with_one_target()),
+        PoisonVerdict::Suspect => Rc::new(forward.without_retries()),
         PoisonVerdict::Barred => {
             let answer = LocalReply::Blocked;
             let reason = "targets end under it";
@@ -203,7 +203,8 @@
         if !repeat_left {
             return tally.give_up(FULL_WAIT, false);
         }
-        let target = match forward.choose(node, config, &tally.tried, forward.target_latency) {
+        let target = match forward.select_target(node, config, &tally.tried, forward.target_latency)
+        {
             Ok(target) => target,
             Err(failure) => {
                 if tally.last.is_empty() {
@@ -254,7 +255,7 @@
             AttemptEnd::Lost(reason) => {
                 tally.may_have_run(reason);
                 log_failed(node, forward, &target.id, &tally.last);
-                if !forward.may_repeat() {
+                if !forward.is_retryable() {
                     return tally.give_up(FULL_WAIT, false);
                 }
             }
@@ -262,7 +263,7 @@
                 tally.may_have_run("no answer in time".to_owned());
                 log_failed(node, forward, &target.id, &tally.last);
                 // Only a request that may be repeated gets less than all of its time.
-                if !forward.may_repeat() {
+                if !forward.is_retryable() {
                     return tally.give_up(FULL_WAIT, true);
                 }
             }
@@ -313,7 +314,7 @@
     match read_whole(node, forward, answer).await {
         Ok(response) => {
             let failed = response.status().is_server_error();
-            if failed && forward.may_repeat() && tally.sent < forward.max_attempts {
+            if failed && forward.is_retryable() && tally.sent < forward.max_attempts {
                 tally.last = format!("the target failed with {}", response.status());
                 log_failed(node, forward, &host, &tally.last);
                 tally.may_have_run = true;
@@ -326,7 +327,7 @@
             log_failed(node, forward, &host, &reason);
             tally.may_have_run = true;
             tally.last = reason;
-            if forward.may_repeat() {
+            if forward.is_retryable() {
                 return None;
             }
             let over = forward.time_left(node.now()).is_zero();
--- a/crates/gateway/src/node/blame.rs
+++ b/crates/gateway/src/node/blame.rs
@@ -23,7 +23,7 @@
         if blame.is_clear() {
             return PoisonVerdict::Clear;
         }
-        blame.verdict(request.mark())
+        blame.verdict(request.fingerprint())
     }
 
     /// Whether a request among those at an ended target is barred or suspected.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -236,9 +236,9 @@
                 return Err("targets may end under it".to_owned());
             }
             let patience = self.patience();
-            let chosen = self
-                .forward
-                .choose(&self.node, &self.config, &self.tried, patience);
+            let chosen =
+                self.forward
+                    .select_target(&self.node, &self.config, &self.tried, patience);
             let target = match chosen {
                 Ok(target) => target,
                 Err(none) => {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -81,7 +81,7 @@
 fn note_sent_prompt(node: &GatewayNode, request: &AdmittedRequest, head: &HostId) {
     let rate = node.config().and_then(|config| {
         let service = config.services.get(&request.service)?;
-        Some(request.read_rate(service))
+        Some(request.prefill_rate(service))
     });
     node.record_prompt(head, request.prompt_tokens, rate.unwrap_or(0.0));
     node.hints.send(LoadHint::Sent {
