--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! What becomes of a caller's request, from its head to its final answer.
+//! Handles a client request from admission to its final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,33 +20,33 @@
 use crate::relay::{StreamEnd, StreamRelay, StreamSource};
 use crate::send::{AttemptEnd, TargetAnswer, send_attempt};
 
-/// Wait before a request comes back that found no configuration or no replica: about the time in
-/// which one is read or a replica is repaired.
-const ABSENT_WAIT: Duration = Duration::from_millis(700);
+/// `Retry-After` if there is no configuration or no replica: about the time it takes to read the
+/// configuration or to repair a replica.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// Wait before a request comes back that found all targets full: some places become free in it.
-const FULL_WAIT: Duration = Duration::from_millis(250);
+/// `Retry-After` if all targets are full; some slots become free within it.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Wait before a request comes back that met a stopping node. Another one can serve it at once.
-const STOPPING_WAIT: Duration = Duration::from_millis(50);
+/// `Retry-After` while the node shuts down; another node can serve the request at once.
+const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Connections that may fail for one request before it is given up; each costs its caller time.
-const MAX_UNSENT: usize = 4;
+/// Maximum number of failed connections per request; each one delays the client.
+const MAX_CONNECT_FAILURES: usize = 4;
 
-/// Largest answer that is held whole, in bytes. Only answers of plain services are.
-const MAX_ANSWER_BYTES: usize = 32 << 20;
+/// Maximum size of a buffered response, in bytes. Only responses of plain services are buffered.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
-/// Times the target latency that an idempotent request waits for a first answer before it is
-/// sent to another target. An answer takes a tenth of it in the usual case.
-const REPEAT_AFTER: f64 = 1.2;
+/// Multiple of the target latency after which an idempotent request is retried at another target. A
+/// response usually takes a tenth of the target latency.
+const ATTEMPT_TIMEOUT_FACTOR: f64 = 1.2;
 
-/// Answers a request.
+/// Handles a request and returns the response for the client.
 pub async fn handle_request(
     node: Rc<GatewayNode>,
     request: Request<Incoming>,
     running: RunningRequest,
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd>>> {
-    let mut response = answer_request(&node, request, running).await;
+    let mut response = process_request(&node, request, running).await;
     if node.is_stopping() {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -54,311 +54,328 @@
     response
 }
 
-async fn answer_request(
+async fn process_request(
     node: &Rc<GatewayNode>,
     request: Request<Incoming>,
     running: RunningRequest,
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd> + use<>>> {
-    let facts = RequestHeaders::from(request.headers());
+    let headers = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
-        let answer = LocalReply::NotExecuted(ABSENT_WAIT);
-        return own(node, &facts, None, answer, "no configuration yet").map(Either::Left);
+        let reply = LocalReply::NotExecuted(NO_TARGET_RETRY_AFTER);
+        return local_reply(node, &headers, None, reply, "no configuration loaded yet")
+            .map(Either::Left);
     };
-    let forward = match admit(node, &config, request, &facts).await {
-        Ok(forward) => forward,
-        Err((answer, reason)) => {
-            return own(node, &facts, None, answer, reason).map(Either::Left);
+    let admitted = match admit(node, &config, request, &headers).await {
+        Ok(admitted) => admitted,
+        Err((reply, reason)) => {
+            return local_reply(node, &headers, None, reply, reason).map(Either::Left);
         }
     };
-    let forward = match node.blame_standing(&forward) {
-        PoisonVerdict::Clear => Rc::new(forward),
-        PoisonVerdict::Suspect => Rc::new(forward.without_retries()),
+    let admitted = match node.blame_standing(&admitted) {
+        PoisonVerdict::Clear => Rc::new(admitted),
+        PoisonVerdict::Suspect => Rc::new(admitted.without_retries()),
         PoisonVerdict::Barred => {
-            let answer = LocalReply::Blocked;
-            let reason = "targets end under it";
-            return own(node, &facts, Some(&forward), answer, reason).map(Either::Left);
+            let reply = LocalReply::Blocked;
+            let reason = "targets crashed while running it";
+            return local_reply(node, &headers, Some(&admitted), reply, reason).map(Either::Left);
         }
     };
-    let stop = node.stop_plan();
-    if stop.is_some_and(|stop| !stop.accepts(forward.arrived, forward.deadline)) {
-        let answer = LocalReply::NotExecuted(STOPPING_WAIT);
-        return own(node, &facts, Some(&forward), answer, "the node stops").map(Either::Left);
+    let plan = node.stop_plan();
+    if plan.is_some_and(|plan| !plan.accepts(admitted.arrived, admitted.deadline)) {
+        let reply = LocalReply::NotExecuted(SHUTDOWN_RETRY_AFTER);
+        return local_reply(
+            node,
+            &headers,
+            Some(&admitted),
+            reply,
+            "node is shutting down",
+        )
+        .map(Either::Left);
     }
-    node.note_arrival(&forward);
-    match run_attempts(node, &config, &forward).await {
-        Outcome::Own(answer, reason) => {
-            own(node, &facts, Some(&forward), answer, &reason).map(Either::Left)
+    node.note_arrival(&admitted);
+    match run_attempts(node, &config, &admitted).await {
+        Outcome::Local(reply, reason) => {
+            local_reply(node, &headers, Some(&admitted), reply, &reason).map(Either::Left)
         }
-        Outcome::Whole(response) => {
-            log_answered(node, &forward, &response);
+        Outcome::Buffered(response) => {
+            log_response(node, &admitted, &response);
             response.map(Either::Left)
         }
         Outcome::Stream(source) => {
-            let relay = StreamRelay::new(node, config, forward, *source, running);
+            let relay = StreamRelay::new(node, config, admitted, *source, running);
             relay.into_response().map(Either::Right)
         }
     }
 }
 
-fn own(
+fn local_reply(
     node: &GatewayNode,
-    facts: &RequestHeaders,
-    forward: Option<&AdmittedRequest>,
-    answer: LocalReply,
+    headers: &RequestHeaders,
+    admitted: Option<&AdmittedRequest>,
+    reply: LocalReply,
     reason: &str,
 ) -> Response<Full<Bytes>> {
-    let not_run = matches!(answer, LocalReply::NotExecuted(_));
-    let code = if not_run {
+    let is_not_executed = matches!(reply, LocalReply::NotExecuted(_));
+    let code = if is_not_executed {
         EventCode::GatewayRefused
     } else {
         EventCode::RequestFailed
     };
-    let status = answer.status();
+    let status = reply.status();
     let mut line = EventLine::new(code)
-        .text("request", facts.id.as_ref().map_or("", RequestId::as_str))
+        .text("request", headers.id.as_ref().map_or("", RequestId::as_str))
         .number("status", u64::from(status.as_u16()))
         .text("reason", reason)
         .number("revision", revision(node))
         .millis("registry_age_ms", node.registry_age());
-    if let Some(forward) = forward {
-        let held = node.now().saturating_sub(forward.arrived);
+    if let Some(admitted) = admitted {
+        let elapsed = node.now().saturating_sub(admitted.arrived);
         line = line
-            .text("route", &forward.route)
-            .text("service", forward.service.as_str())
-            .millis("held_ms", held);
-        node.metrics.record_request(forward.labels(), status, held);
+            .text("route", &admitted.route)
+            .text("service", admitted.service.as_str())
+            .millis("held_ms", elapsed);
+        node.metrics
+            .record_request(admitted.labels(), status, elapsed);
     }
     node.log(&line);
-    answer.response(facts.id.as_ref())
+    reply.response(headers.id.as_ref())
 }
 
 fn revision(node: &GatewayNode) -> u64 {
     node.config().map_or(0, |config| config.revision.0)
 }
 
-fn log_answered(node: &GatewayNode, forward: &AdmittedRequest, response: &Response<Full<Bytes>>) {
-    let held = node.now().saturating_sub(forward.arrived);
+fn log_response(node: &GatewayNode, admitted: &AdmittedRequest, response: &Response<Full<Bytes>>) {
+    let elapsed = node.now().saturating_sub(admitted.arrived);
     node.metrics
-        .record_request(forward.labels(), response.status(), held);
+        .record_request(admitted.labels(), response.status(), elapsed);
     let line = EventLine::new(EventCode::GatewayAnswered)
-        .text("request", forward.id.as_ref().map_or("", RequestId::as_str))
-        .text("route", &forward.route)
+        .text(
+            "request",
+            admitted.id.as_ref().map_or("", RequestId::as_str),
+        )
+        .text("route", &admitted.route)
         .number("status", u64::from(response.status().as_u16()))
-        .millis("took_ms", held);
+        .millis("took_ms", elapsed);
     node.log(&line);
 }
 
 enum Outcome {
-    Own(LocalReply, String),
-    Whole(Response<Full<Bytes>>),
+    Local(LocalReply, String),
+    Buffered(Response<Full<Bytes>>),
     Stream(Box<StreamSource>),
 }
 
-/// What is known after the attempts so far.
+/// Results of the attempts so far.
 #[derive(Default)]
-struct AttemptTally {
+struct AttemptState {
     sent: u32,
-    unsent: usize,
+    connect_failures: usize,
     may_have_run: bool,
     tried: FastSet<HostId>,
-    /// Failure that a target answered, kept while another target is tried.
-    failure: Option<Response<Full<Bytes>>>,
-    last: String,
+    /// Error response of a target, returned if no later attempt succeeds.
+    error_response: Option<Response<Full<Bytes>>>,
+    last_error: String,
 }
 
-impl AttemptTally {
-    /// Notes an attempt after which the request may have run.
-    fn may_have_run(&mut self, reason: String) {
+impl AttemptState {
+    /// Records an attempt that may have executed the request.
+    fn record_ambiguous(&mut self, reason: String) {
         self.sent += 1;
         self.may_have_run = true;
-        self.last = reason;
+        self.last_error = reason;
     }
 
-    /// The final answer once no further attempt is made.
-    fn give_up(self, wait: Duration, timed_out: bool) -> Outcome {
-        if let Some(failure) = self.failure {
-            return Outcome::Whole(failure);
+    /// Final outcome once no further attempt is made.
+    fn into_outcome(self, retry_after: Duration, timed_out: bool) -> Outcome {
+        if let Some(response) = self.error_response {
+            return Outcome::Buffered(response);
         }
-        let answer = match (self.may_have_run, timed_out) {
-            (false, _) => LocalReply::NotExecuted(wait),
+        let reply = match (self.may_have_run, timed_out) {
+            (false, _) => LocalReply::NotExecuted(retry_after),
             (true, true) => LocalReply::TimedOut,
             (true, false) => LocalReply::ResponseLost,
         };
-        Outcome::Own(answer, self.last)
+        Outcome::Local(reply, self.last_error)
     }
 }
 
 async fn run_attempts(
     node: &Rc<GatewayNode>,
     config: &GatewayConfig,
-    forward: &Rc<AdmittedRequest>,
+    admitted: &Rc<AdmittedRequest>,
 ) -> Outcome {
-    let mut tally = AttemptTally::default();
+    let mut state = AttemptState::default();
     loop {
         let now = node.now();
-        if forward.time_left(now).is_zero() {
-            return tally.give_up(FULL_WAIT, true);
+        if admitted.time_left(now).is_zero() {
+            return state.into_outcome(OVERLOAD_RETRY_AFTER, true);
         }
-        let repeat_left = tally.sent < forward.max_attempts && tally.unsent < MAX_UNSENT;
-        if !repeat_left {
-            return tally.give_up(FULL_WAIT, false);
+        let attempts_left =
+            state.sent < admitted.max_attempts && state.connect_failures < MAX_CONNECT_FAILURES;
+        if !attempts_left {
+            return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
         }
-        let target = match forward.select_target(node, config, &tally.tried, forward.target_latency)
-        {
-            Ok(target) => target,
-            Err(failure) => {
-                if tally.last.is_empty() {
-                    tally.last = failure.to_string();
+        let target =
+            match admitted.select_target(node, config, &state.tried, admitted.target_latency) {
+                Ok(target) => target,
+                Err(failure) => {
+                    if state.last_error.is_empty() {
+                        state.last_error = failure.to_string();
+                    }
+                    let retry_after = match failure.reason {
+                        NoTarget::Absent => NO_TARGET_RETRY_AFTER,
+                        NoTarget::Full => OVERLOAD_RETRY_AFTER,
+                    };
+                    return state.into_outcome(retry_after, false);
                 }
-                let wait = match failure.reason {
-                    NoTarget::Absent => ABSENT_WAIT,
-                    NoTarget::Full => FULL_WAIT,
-                };
-                return tally.give_up(wait, false);
-            }
-        };
-        if tally.sent > 0 && node.blame_standing(forward) != PoisonVerdict::Clear {
-            tally.last.push_str("; targets may end under it");
-            return tally.give_up(FULL_WAIT, false);
+            };
+        if state.sent > 0 && node.blame_standing(admitted) != PoisonVerdict::Clear {
+            state.last_error.push_str("; suspected of crashing targets");
+            return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
         }
-        let allowed = tally.sent == 0 || {
+        let within_budget = state.sent == 0 || {
             let nodes = node.node_count();
-            node.with_budget(&forward.service, |budget| budget.take(now, nodes))
+            node.with_budget(&admitted.service, |budget| budget.take(now, nodes))
         };
-        if !allowed {
-            tally.last.push_str("; no repeats left");
-            return tally.give_up(FULL_WAIT, false);
+        if !within_budget {
+            state.last_error.push_str("; retry budget exhausted");
+            return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
         }
-        if tally.tried.is_empty() {
-            let held = now.saturating_sub(forward.arrived);
-            node.metrics.record_first_send(forward.labels(), held);
+        if state.tried.is_empty() {
+            let elapsed = now.saturating_sub(admitted.arrived);
+            node.metrics.record_first_send(admitted.labels(), elapsed);
         }
-        tally.tried.insert(target.id.clone());
-        let limit = attempt_limit(forward, &tally, now);
-        let end = send_attempt(node, forward, &target, None, limit).await;
-        match end {
-            AttemptEnd::Answered(answer) => {
-                tally.sent += 1;
-                let outcome = take_answer(node, forward, *answer, &mut tally).await;
+        state.tried.insert(target.id.clone());
+        let timeout = attempt_timeout(admitted, &state, now);
+        let outcome = send_attempt(node, admitted, &target, None, timeout).await;
+        match outcome {
+            AttemptEnd::Answered(response) => {
+                state.sent += 1;
+                let outcome = handle_response(node, admitted, *response, &mut state).await;
                 if let Some(outcome) = outcome {
                     return outcome;
                 }
             }
             AttemptEnd::Unsent(reason) => {
-                tally.unsent += 1;
-                tally.last = reason;
+                state.connect_failures += 1;
+                state.last_error = reason;
             }
             AttemptEnd::NotExecuted(status) => {
-                tally.sent += 1;
-                tally.last = format!("the target is full: {status}");
+                state.sent += 1;
+                state.last_error = format!("target did not execute the request: {status}");
             }
             AttemptEnd::Lost(reason) => {
-                tally.may_have_run(reason);
-                log_failed(node, forward, &target.id, &tally.last);
-                if !forward.is_retryable() {
-                    return tally.give_up(FULL_WAIT, false);
+                state.record_ambiguous(reason);
+                log_failed_attempt(node, admitted, &target.id, &state.last_error);
+                if !admitted.is_retryable() {
+                    return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
                 }
             }
             AttemptEnd::TimedOut => {
-                tally.may_have_run("no answer in time".to_owned());
-                log_failed(node, forward, &target.id, &tally.last);
-                // Only a request that may be repeated gets less than all of its time.
-                if !forward.is_retryable() {
-                    return tally.give_up(FULL_WAIT, true);
+                state.record_ambiguous("no response before the attempt timeout".to_owned());
+                log_failed_attempt(node, admitted, &target.id, &state.last_error);
+                // Only retryable requests get an attempt timeout shorter than the remaining time.
+                if !admitted.is_retryable() {
+                    return state.into_outcome(OVERLOAD_RETRY_AFTER, true);
                 }
             }
         }
     }
 }
 
-fn log_failed(node: &GatewayNode, forward: &AdmittedRequest, host: &HostId, reason: &str) {
+fn log_failed_attempt(node: &GatewayNode, admitted: &AdmittedRequest, host: &HostId, reason: &str) {
     let line = EventLine::new(EventCode::GatewayAttemptFailed)
-        .text("request", forward.id.as_ref().map_or("", RequestId::as_str))
-        .text("route", &forward.route)
+        .text(
+            "request",
+            admitted.id.as_ref().map_or("", RequestId::as_str),
+        )
+        .text("route", &admitted.route)
         .text("host", host.as_str())
         .text("reason", reason)
-        .millis("after_ms", node.now().saturating_sub(forward.arrived));
+        .millis("after_ms", node.now().saturating_sub(admitted.arrived));
     node.log(&line);
 }
 
-/// How long one attempt may take to its answer's head. Only a request that may be repeated, and
-/// still can be, is taken back early from a target that hangs.
-fn attempt_limit(forward: &AdmittedRequest, tally: &AttemptTally, now: Duration) -> Duration {
-    let left = forward.time_left(now);
-    let repeatable = forward.kind == RouteKind::Idempotent && tally.sent + 1 < forward.max_attempts;
-    if !repeatable {
+/// Time limit for receiving a response head in one attempt. Shorter than the remaining time only if
+/// the request is retryable and has attempts left, so that a hanging target can be replaced.
+fn attempt_timeout(admitted: &AdmittedRequest, state: &AttemptState, now: Duration) -> Duration {
+    let left = admitted.time_left(now);
+    let retryable =
+        admitted.kind == RouteKind::Idempotent && state.sent + 1 < admitted.max_attempts;
+    if !retryable {
         return left;
     }
-    let early = forward.target_latency.mul_f64(REPEAT_AFTER);
-    left.min(early)
+    let shortened = admitted.target_latency.mul_f64(ATTEMPT_TIMEOUT_FACTOR);
+    left.min(shortened)
 }
 
-/// Reads an answer, or hands a stream on; `None` if another attempt should follow.
-async fn take_answer(
+/// Buffers a response or passes a stream on; `None` if another attempt should follow.
+async fn handle_response(
     node: &Rc<GatewayNode>,
-    forward: &Rc<AdmittedRequest>,
-    answer: TargetAnswer,
-    tally: &mut AttemptTally,
+    admitted: &Rc<AdmittedRequest>,
+    response: TargetAnswer,
+    state: &mut AttemptState,
 ) -> Option<Outcome> {
-    let is_stream = matches!(forward.kind, RouteKind::Streaming { .. });
-    if is_stream && answer.status == StatusCode::OK {
-        let tried = std::mem::take(&mut tally.tried);
+    let is_stream = matches!(admitted.kind, RouteKind::Streaming { .. });
+    if is_stream && response.status == StatusCode::OK {
+        let tried = std::mem::take(&mut state.tried);
         let source = StreamSource {
-            answer,
-            attempts: tally.sent,
+            answer: response,
+            attempts: state.sent,
             tried,
         };
         return Some(Outcome::Stream(Box::new(source)));
     }
-    let host = answer.host.clone();
-    match read_whole(node, forward, answer).await {
+    let host = response.host.clone();
+    match buffer_response(node, admitted, response).await {
         Ok(response) => {
             let failed = response.status().is_server_error();
-            if failed && forward.is_retryable() && tally.sent < forward.max_attempts {
-                tally.last = format!("the target failed with {}", response.status());
-                log_failed(node, forward, &host, &tally.last);
-                tally.may_have_run = true;
-                tally.failure = Some(response);
+            if failed && admitted.is_retryable() && state.sent < admitted.max_attempts {
+                state.last_error = format!("target returned {}", response.status());
+                log_failed_attempt(node, admitted, &host, &state.last_error);
+                state.may_have_run = true;
+                state.error_response = Some(response);
                 return None;
             }
-            Some(Outcome::Whole(response))
+            Some(Outcome::Buffered(response))
         }
         Err(reason) => {
-            log_failed(node, forward, &host, &reason);
-            tally.may_have_run = true;
-            tally.last = reason;
-            if forward.is_retryable() {
+            log_failed_attempt(node, admitted, &host, &reason);
+            state.may_have_run = true;
+            state.last_error = reason;
+            if admitted.is_retryable() {
                 return None;
             }
-            let over = forward.time_left(node.now()).is_zero();
-            let answer = if over {
+            let expired = admitted.time_left(node.now()).is_zero();
+            let reply = if expired {
                 LocalReply::TimedOut
             } else {
                 LocalReply::ResponseLost
             };
-            Some(Outcome::Own(answer, tally.last.clone()))
+            Some(Outcome::Local(reply, state.last_error.clone()))
         }
     }
 }
 
-async fn read_whole(
+async fn buffer_response(
     node: &Rc<GatewayNode>,
-    forward: &AdmittedRequest,
-    mut answer: TargetAnswer,
+    admitted: &AdmittedRequest,
+    mut response: TargetAnswer,
 ) -> Result<Response<Full<Bytes>>, String> {
-    let left = forward.time_left(node.now());
-    let reading = Limited::new(&mut answer.body, MAX_ANSWER_BYTES).collect();
-    let bytes = match tokio::time::timeout(left, reading).await {
+    let left = admitted.time_left(node.now());
+    let read = Limited::new(&mut response.body, MAX_RESPONSE_BYTES).collect();
+    let bytes = match tokio::time::timeout(left, read).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => {
-            answer.note_broken(node, forward);
-            return Err(format!("the answer broke off: {error}"));
+            response.note_broken(node, admitted);
+            return Err(format!("response body failed: {error}"));
         }
-        Err(_) => return Err("the answer did not end in time".to_owned()),
+        Err(_) => return Err("response body incomplete at the deadline".to_owned()),
     };
-    let mut response = Response::new(Full::new(bytes));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers.clone();
-    answer.finish(node);
-    Ok(response)
+    let mut buffered = Response::new(Full::new(bytes));
+    *buffered.status_mut() = response.status;
+    *buffered.headers_mut() = response.headers.clone();
+    response.finish(node);
+    Ok(buffered)
 }
--- a/tests/gateway/stop_signal.rs
+++ b/tests/gateway/stop_signal.rs
@@ -82,7 +82,7 @@
     }
     assert_eq!(node.wait_end().await, Some(0));
     assert!(!streams.is_empty(), "the first callers are still served");
-    let sent_on = node.lines(&["gateway_refused", "the node stops"]);
+    let sent_on = node.lines(&["gateway_refused", "node is shutting down"]);
     assert!(!sent_on.is_empty(), "the last ones are sent elsewhere");
     for stream in streams {
         let answer = stream.await.expect("a stream");
