--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -18,7 +18,7 @@
 use crate::local_reply::LocalReply;
 use crate::node::{GatewayNode, RunningRequest};
 use crate::relay::{StreamEnd, StreamRelay, StreamSource};
-use crate::send::{AttemptEnd, TargetAnswer, send_attempt};
+use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
 /// `Retry-After` if there is no configuration or no replica: about the time it takes to read the
 /// configuration or to repair a replica.
@@ -250,29 +250,29 @@
         let timeout = attempt_timeout(admitted, &state, now);
         let outcome = send_attempt(node, admitted, &target, None, timeout).await;
         match outcome {
-            AttemptEnd::Answered(response) => {
+            AttemptOutcome::Responded(response) => {
                 state.sent += 1;
                 let outcome = handle_response(node, admitted, *response, &mut state).await;
                 if let Some(outcome) = outcome {
                     return outcome;
                 }
             }
-            AttemptEnd::Unsent(reason) => {
+            AttemptOutcome::Unsent(reason) => {
                 state.connect_failures += 1;
                 state.last_error = reason;
             }
-            AttemptEnd::NotExecuted(status) => {
+            AttemptOutcome::NotExecuted(status) => {
                 state.sent += 1;
                 state.last_error = format!("target did not execute the request: {status}");
             }
-            AttemptEnd::Lost(reason) => {
+            AttemptOutcome::Ambiguous(reason) => {
                 state.record_ambiguous(reason);
                 log_failed_attempt(node, admitted, &target.id, &state.last_error);
                 if !admitted.is_retryable() {
                     return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
                 }
             }
-            AttemptEnd::TimedOut => {
+            AttemptOutcome::TimedOut => {
                 state.record_ambiguous("no response before the attempt timeout".to_owned());
                 log_failed_attempt(node, admitted, &target.id, &state.last_error);
                 // Only retryable requests get an attempt timeout shorter than the remaining time.
@@ -314,14 +314,14 @@
 async fn handle_response(
     node: &Rc<GatewayNode>,
     admitted: &Rc<AdmittedRequest>,
-    response: TargetAnswer,
+    response: TargetResponse,
     state: &mut AttemptState,
 ) -> Option<Outcome> {
     let is_stream = matches!(admitted.kind, RouteKind::Streaming { .. });
     if is_stream && response.status == StatusCode::OK {
         let tried = std::mem::take(&mut state.tried);
         let source = StreamSource {
-            answer: response,
+            response,
             attempts: state.sent,
             tried,
         };
@@ -361,14 +361,14 @@
 async fn buffer_response(
     node: &Rc<GatewayNode>,
     admitted: &AdmittedRequest,
-    mut response: TargetAnswer,
+    mut response: TargetResponse,
 ) -> Result<Response<Full<Bytes>>, String> {
     let left = admitted.time_left(node.now());
     let read = Limited::new(&mut response.body, MAX_RESPONSE_BYTES).collect();
     let bytes = match tokio::time::timeout(left, read).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => {
-            response.note_broken(node, admitted);
+            response.record_broken(node, admitted);
             return Err(format!("response body failed: {error}"));
         }
         Err(_) => return Err("response body incomplete at the deadline".to_owned()),
@@ -376,6 +376,6 @@
     let mut buffered = Response::new(Full::new(bytes));
     *buffered.status_mut() = response.status;
     *buffered.headers_mut() = response.headers.clone();
-    response.finish(node);
+    response.release_connection(node);
     Ok(buffered)
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,7 +14,7 @@
 
 use crate::admitted::AdmittedRequest;
 use crate::node::{GatewayNode, LossSignal, RunningRequest};
-use crate::send::{AttemptEnd, TargetAnswer, send_attempt};
+use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
 /// Tries to find another target for a stream that lost its own.
 const MOVE_TRIES: u32 = 6;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct StreamSource {
     /// Its answer.
-    pub answer: TargetAnswer,
+    pub response: TargetResponse,
     /// Targets that the request was sent to.
     pub attempts: u32,
     /// The targets.
@@ -55,7 +55,7 @@
     node: Rc<GatewayNode>,
     config: Rc<GatewayConfig>,
     forward: Rc<AdmittedRequest>,
-    source: Option<TargetAnswer>,
+    source: Option<TargetResponse>,
     signal: Rc<LossSignal>,
     last_host: Option<HostId>,
     splitter: EventSplitter,
@@ -93,9 +93,9 @@
             node: Rc::clone(node),
             config,
             splitter: EventSplitter::after(forward.last_event),
-            signal: node.loss_signal(&source.answer.host),
-            last_host: Some(source.answer.host.clone()),
-            source: Some(source.answer),
+            signal: node.loss_signal(&source.response.host),
+            last_host: Some(source.response.host.clone()),
+            source: Some(source.response),
             attempts: source.attempts,
             tried: source.tried,
             first_event: None,
@@ -111,7 +111,7 @@
     /// The answer to the caller. Its head stays that of the first target, whoever goes on.
     pub fn into_response(self) -> Response<impl Body<Data = Bytes, Error = StreamEnd>> {
         let (status, headers) = match &self.source {
-            Some(answer) => (answer.status, answer.headers.clone()),
+            Some(response) => (response.status, response.headers.clone()),
             None => (StatusCode::BAD_GATEWAY, http::HeaderMap::new()),
         };
         let frames = futures::stream::unfold(self, |mut relay| async move {
@@ -146,7 +146,7 @@
                 SourceEvent::End => "the stream ended inside an event".to_owned(),
                 SourceEvent::Broken(reason) => {
                     if let Some(source) = &self.source {
-                        source.note_broken(&self.node, &self.forward);
+                        source.record_broken(&self.node, &self.forward);
                     }
                     reason
                 }
@@ -188,7 +188,7 @@
                 None => SourceEvent::End,
                 Some(Err(error)) => SourceEvent::Broken(error.to_string()),
                 Some(Ok(frame)) => {
-                    source.ticket.moved();
+                    source.in_flight.record_progress();
                     SourceEvent::Bytes(frame.into_data().unwrap_or_default())
                 }
             },
@@ -260,29 +260,29 @@
             let after = self.splitter.last_id();
             let end = send_attempt(&self.node, &self.forward, &target, after, limit).await;
             match end {
-                AttemptEnd::Answered(answer) if answer.status == StatusCode::OK => {
+                AttemptOutcome::Responded(response) if response.status == StatusCode::OK => {
                     self.attempts += 1;
-                    self.signal = self.node.loss_signal(&answer.host);
-                    self.last_host = Some(answer.host.clone());
-                    self.log_move(lost, &answer.host);
+                    self.signal = self.node.loss_signal(&response.host);
+                    self.last_host = Some(response.host.clone());
+                    self.log_move(lost, &response.host);
                     // What the first target left of an event is not joined with the other's.
                     self.splitter.drop_partial();
-                    self.source = Some(*answer);
+                    self.source = Some(*response);
                     return Ok(());
                 }
-                AttemptEnd::Answered(answer) => {
+                AttemptOutcome::Responded(response) => {
                     self.attempts += 1;
-                    reason = format!("the other target answered {}", answer.status);
+                    reason = format!("the other target answered {}", response.status);
                 }
-                AttemptEnd::Unsent(why) => reason = why,
-                AttemptEnd::NotExecuted(status) => {
+                AttemptOutcome::Unsent(why) => reason = why,
+                AttemptOutcome::NotExecuted(status) => {
                     reason = format!("the other target said {status}")
                 }
-                AttemptEnd::Lost(why) => {
+                AttemptOutcome::Ambiguous(why) => {
                     self.attempts += 1;
                     reason = why;
                 }
-                AttemptEnd::TimedOut => {
+                AttemptOutcome::TimedOut => {
                     self.attempts += 1;
                     "the other target did not answer in time".clone_into(&mut reason);
                 }
@@ -294,7 +294,7 @@
     fn finish(&mut self) {
         self.ended = true;
         if let Some(source) = self.source.take() {
-            source.finish(&self.node);
+            source.release_connection(&self.node);
         }
         self.note_end(StatusCode::OK);
         let line = self.line(EventCode::GatewayAnswered);
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target.
+//! Sends a request to one target (one attempt).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,22 +17,22 @@
 use crate::node::{GatewayNode, LossSign};
 use crate::probe::{ask, ask_refusing};
 
-/// Time after which a connection that is not made is doubted. Targets stand within a millisecond.
-const SLOW_CONNECT: Duration = Duration::from_millis(100);
+/// Connection time after which an engine is probed. Targets are less than a millisecond away.
+const SLOW_CONNECT_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// A request that runs at a target, counted there until it is dropped.
+/// Counts a request as in flight at a target until dropped.
 #[derive(Debug)]
-pub struct RunningTicket {
+pub struct InFlightGuard {
     node: Rc<GatewayNode>,
     host: HostId,
-    /// Whether the target is the head of a replica. Only such a one is asked about when nothing
-    /// moves: a call of a plain service may take its time, and says nothing until its end.
+    /// Whether the target is the head of a replica. Only heads are probed for lack of progress: a
+    /// call to a plain service sends nothing until its end, however long it runs.
     is_head: bool,
     service: ServiceName,
     customer: Option<CustomerId>,
 }
 
-impl RunningTicket {
+impl InFlightGuard {
     fn new(node: &Rc<GatewayNode>, request: &AdmittedRequest, target: &TargetEntry) -> Self {
         let now = node.now();
         if let Some(customer) = &request.customer {
@@ -42,7 +42,7 @@
         node.with_load(&target.id, serving::TargetLoad::record_sent);
         if is_head {
             node.with_pulse(&target.id, |pulse| pulse.request_started(now));
-            note_sent_prompt(node, request, &target.id);
+            record_sent_prompt(node, request, &target.id);
         }
         Self {
             node: Rc::clone(node),
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Notes that bytes of the answer came.
-    pub fn moved(&self) {
+    /// Records that response bytes arrived.
+    pub fn record_progress(&self) {
         let now = self.node.now();
         if self.is_head {
             self.node
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drop for RunningTicket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.node
             .with_load(&self.host, serving::TargetLoad::record_end);
@@ -78,7 +78,7 @@
     }
 }
 
-fn note_sent_prompt(node: &GatewayNode, request: &AdmittedRequest, head: &HostId) {
+fn record_sent_prompt(node: &GatewayNode, request: &AdmittedRequest, head: &HostId) {
     let rate = node.config().and_then(|config| {
         let service = config.services.get(&request.service)?;
         Some(request.prefill_rate(service))
@@ -90,108 +90,108 @@
     });
 }
 
-/// A target's answer whose body is still to be read.
+/// A target's response whose body has not been read yet.
 #[derive(Debug)]
-pub struct TargetAnswer {
-    /// Target.
+pub struct TargetResponse {
+    /// Target that sent the response.
     pub host: HostId,
-    /// Start of the target's process.
+    /// Boot number of the target's process.
     pub boot: BootNumber,
-    /// When its head came.
-    pub began: Duration,
-    /// Status.
+    /// Time at which the response head arrived, measured from process start.
+    pub started_at: Duration,
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Its headers, without those of the connection.
+    /// Response headers without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// What they say.
-    pub facts: ResponseHeaders,
-    /// Body.
+    /// Platform-specific headers, parsed.
+    pub parsed_headers: ResponseHeaders,
+    /// Unread response body.
     pub body: Incoming,
-    /// Its connection, to be kept after the body's end.
+    /// Connection of the response, returned to the pool at the end of the body.
     pub link: HttpLink,
-    /// Counts the request at the target.
-    pub ticket: RunningTicket,
+    /// Counts the request as in flight at the target.
+    pub in_flight: InFlightGuard,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug)]
-pub enum AttemptEnd {
-    /// The target answered.
-    Answered(Box<TargetAnswer>),
+pub enum AttemptOutcome {
+    /// The target sent a response head.
+    Responded(Box<TargetResponse>),
     /// No byte of the request reached the target.
     Unsent(String),
-    /// The target says that it did not run the request.
+    /// The target reported that it did not execute the request.
     NotExecuted(StatusCode),
-    /// The request may have run.
-    Lost(String),
-    /// The request may have run; no answer came within the attempt's time.
+    /// The request may have been executed, but there is no usable response.
+    Ambiguous(String),
+    /// The request may have been executed; no response head came before the attempt timeout.
     TimedOut,
 }
 
-impl AttemptEnd {
-    fn name(&self) -> &'static str {
+impl AttemptOutcome {
+    fn label(&self) -> &'static str {
         match self {
-            Self::Answered(_) => "answered",
+            Self::Responded(_) => "answered",
             Self::Unsent(_) => "unsent",
             Self::NotExecuted(_) => "not_run",
-            Self::Lost(_) => "lost",
+            Self::Ambiguous(_) => "lost",
             Self::TimedOut => "timed_out",
         }
     }
 }
 
-/// Sends a request to a target and waits for the head of its answer, at most for `limit`.
+/// Sends a request to a target and waits for the response head, at most for `limit`.
 pub async fn send_attempt(
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
     target: &TargetEntry,
     last_event: Option<u64>,
     limit: Duration,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let id = &target.id;
-    let ticket = RunningTicket::new(node, request, target);
+    let in_flight = InFlightGuard::new(node, request, target);
     let signal = node.loss_signal(id);
     let attempt = async {
         tokio::select! {
-            end = exchange(node, request, target, last_event) => end,
-            () = signal.lost() => Err(AttemptEnd::Lost("the replica stands still".to_owned())),
+            outcome = send_request(node, request, target, last_event) => outcome,
+            () = signal.lost() => Err(AttemptOutcome::Ambiguous("replica stalled".to_owned())),
         }
     };
-    let exchanged = match tokio::time::timeout(limit, attempt).await {
-        Ok(Ok(exchanged)) => exchanged,
-        Ok(Err(end)) => return failed(node, request, id, end),
-        Err(_) => return failed(node, request, id, AttemptEnd::TimedOut),
+    let exchange = match tokio::time::timeout(limit, attempt).await {
+        Ok(Ok(exchange)) => exchange,
+        Ok(Err(outcome)) => return record_failure(node, request, id, outcome),
+        Err(_) => return record_failure(node, request, id, AttemptOutcome::TimedOut),
     };
-    ticket.moved();
-    let end = judge(node, request, exchanged, ticket, target);
+    in_flight.record_progress();
+    let outcome = classify_response(node, request, exchange, in_flight, target);
     node.metrics
-        .record_attempt(request.service.as_str(), end.name());
-    end
+        .record_attempt(request.service.as_str(), outcome.label());
+    outcome
 }
 
-struct Exchanged {
+struct Exchange {
     link: HttpLink,
-    answer: http::Response<Incoming>,
+    response: http::Response<Incoming>,
 }
 
-async fn exchange(
+async fn send_request(
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
     target: &TargetEntry,
     last_event: Option<u64>,
-) -> Result<Exchanged, AttemptEnd> {
-    let mut link = match take_link(node, target).await {
+) -> Result<Exchange, AttemptOutcome> {
+    let mut link = match acquire_connection(node, target).await {
         Ok(link) => link,
-        Err(error) => return Err(unreachable_target(node, target, &error)),
+        Err(error) => return Err(record_unreachable(node, target, &error)),
     };
-    let facts = ForwardHeaders {
+    let forward_headers = ForwardHeaders {
         time_left: request.time_left(node.now()),
         host: &target.id,
         customer: request.customer.as_ref(),
         priority: request.priority,
         last_event,
     };
-    let headers = facts.apply(&request.headers);
+    let headers = forward_headers.apply(&request.headers);
     let outgoing = || {
         let mut outgoing = Request::new(Full::new(request.body.clone()));
         *outgoing.method_mut() = request.method.clone();
@@ -202,91 +202,100 @@
     let sent_at = node.now();
     let mut sent = link.send(outgoing()).await;
     if matches!(sent, Err(LinkError::Unsent)) {
-        // The target had closed the idle connection. Nothing was written, so it is not at fault,
-        // and a new connection serves; counted as a failure, a target that closes early would
-        // lose each request that meets an old connection.
+        // The target had closed the idle connection. Nothing was written, so a new connection is
+        // used. If this counted as a failure, a target that closes connections early would fail
+        // every request that reuses one.
         link = match node.pool.connect(target).await {
             Ok(link) => link,
-            Err(error) => return Err(unreachable_target(node, target, &error)),
+            Err(error) => return Err(record_unreachable(node, target, &error)),
         };
         sent = link.send(outgoing()).await;
     }
     match sent {
-        Ok(answer) => Ok(Exchanged { link, answer }),
-        Err(error) if error.is_unsent() => Err(AttemptEnd::Unsent(error.to_string())),
+        Ok(response) => Ok(Exchange { link, response }),
+        Err(error) if error.is_unsent() => Err(AttemptOutcome::Unsent(error.to_string())),
         Err(error) => {
-            // A call of a plain service runs from its sending on, a stream from its first event.
+            // A call to a plain service runs from the moment it is sent, a stream from its first
+            // event.
             let is_plain = target.membership.is_none();
-            let ran = is_plain.then(|| node.now().saturating_sub(sent_at));
-            note_broken_run(node, request, (&target.id, target.boot), ran);
-            Err(AttemptEnd::Lost(error.to_string()))
+            let answer_age = is_plain.then(|| node.now().saturating_sub(sent_at));
+            note_broken_run(node, request, (&target.id, target.boot), answer_age);
+            Err(AttemptOutcome::Ambiguous(error.to_string()))
         }
     }
 }
 
-/// A connection to a target. An engine that keeps it waiting is asked whether it lives while the
-/// connection may still come: asked only after it has failed, a dead head would keep its streams
-/// waiting for a third of a second longer.
-async fn take_link(node: &Rc<GatewayNode>, target: &TargetEntry) -> Result<HttpLink, LinkError> {
-    let taking = node.pool.acquire(target);
-    tokio::pin!(taking);
-    if let Ok(taken) = tokio::time::timeout(SLOW_CONNECT, taking.as_mut()).await {
-        return taken;
+/// Takes a connection to a target from the pool or opens one. While a connection to an engine is
+/// slow, the engine is probed concurrently; probing only after the connection failed would delay
+/// the streams of a dead head by another third of a second.
+async fn acquire_connection(
+    node: &Rc<GatewayNode>,
+    target: &TargetEntry,
+) -> Result<HttpLink, LinkError> {
+    let acquiring = node.pool.acquire(target);
+    tokio::pin!(acquiring);
+    if let Ok(acquired) = tokio::time::timeout(SLOW_CONNECT_THRESHOLD, acquiring.as_mut()).await {
+        return acquired;
     }
     if target.membership.is_some() {
         tokio::task::spawn_local(ask(Rc::clone(node), target.id.clone()));
     }
-    taking.await
+    acquiring.await
 }
 
-/// Nothing listens there any more, its host is gone, or a link lost the connection on its way.
-fn unreachable_target(
+/// Handles a failed connection: the process is gone, the host is gone, or the network lost the
+/// connection attempt.
+fn record_unreachable(
     node: &Rc<GatewayNode>,
     target: &TargetEntry,
     error: &LinkError,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let sign = LossSign::from(error);
-    // An engine was asked meanwhile, and much hangs on the answer.
+    // The engine is being probed already, and suspecting it affects a whole replica, so the probe
+    // decides.
     if sign == LossSign::Silent && target.membership.is_some() {
         let now = node.now();
         node.with_load(&target.id, |load| load.record_unreachable(now));
     } else {
         node.suspect(&target.id, sign, &error.to_string());
     }
-    AttemptEnd::Unsent(error.to_string())
+    AttemptOutcome::Unsent(error.to_string())
 }
 
-fn failed(
+fn record_failure(
     node: &GatewayNode,
     request: &AdmittedRequest,
     id: &HostId,
-    end: AttemptEnd,
-) -> AttemptEnd {
-    if matches!(end, AttemptEnd::Lost(_) | AttemptEnd::TimedOut) {
+    outcome: AttemptOutcome,
+) -> AttemptOutcome {
+    if matches!(
+        outcome,
+        AttemptOutcome::Ambiguous(_) | AttemptOutcome::TimedOut
+    ) {
         let now = node.now();
         node.with_load(id, |load| load.record_failure(now));
     }
     node.metrics
-        .record_attempt(request.service.as_str(), end.name());
-    end
+        .record_attempt(request.service.as_str(), outcome.label());
+    outcome
 }
 
-fn judge(
+fn classify_response(
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
-    exchanged: Exchanged,
-    ticket: RunningTicket,
+    exchange: Exchange,
+    in_flight: InFlightGuard,
     target: &TargetEntry,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let id = &target.id;
-    let (head, body) = exchanged.answer.into_parts();
-    let facts = ResponseHeaders::from(&head.headers);
-    let own = request.id.as_ref().map(domain::RequestId::as_str);
-    // An answer to another request: the target sent one too many on this connection.
-    if facts.request.is_some() && facts.request.as_deref() != own {
-        return AttemptEnd::Lost("the answer belongs to another request".to_owned());
+    let (head, body) = exchange.response.into_parts();
+    let parsed_headers = ResponseHeaders::from(&head.headers);
+    let request_id = request.id.as_ref().map(domain::RequestId::as_str);
+    // Response to another request: the target sent one too many on this connection.
+    if parsed_headers.request.is_some() && parsed_headers.request.as_deref() != request_id {
+        return AttemptOutcome::Ambiguous("response belongs to another request".to_owned());
     }
-    if let Some(load) = facts.load {
+    if let Some(load) = parsed_headers.load {
         let now = node.now();
         node.with_load(id, |known| known.record_report(load, now));
         if target.membership.is_some() {
@@ -297,31 +306,40 @@
             });
         }
     }
-    if facts.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if parsed_headers.not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-        match &facts.faulty_target {
+        match &parsed_headers.faulty_target {
             Some(FaultyTarget::Id(faulty)) if faulty != id => {
-                node.suspect(faulty, LossSign::Closed, "its head misses it");
+                node.suspect(
+                    faulty,
+                    LossSign::Closed,
+                    "reported missing by its replica head",
+                );
             }
             Some(FaultyTarget::Address(address)) if *address != target.address => {
                 if let Some(faulty) = node.target_at(*address) {
-                    node.suspect(&faulty, LossSign::Closed, "its head misses it");
+                    node.suspect(
+                        &faulty,
+                        LossSign::Closed,
+                        "reported missing by its replica head",
+                    );
                 }
             }
-            // It is the head of no serving replica any more, or another target has its address.
+            // The target is no longer the head of a serving replica, or another target has its
+            // address.
             _ if misdirected && target.membership.is_some() => ask_refusing(node, id),
             _ if misdirected => {
-                node.suspect(id, LossSign::Silent, "it is not whom the request is for");
+                node.suspect(id, LossSign::Silent, "address belongs to another target");
             }
             _ => {}
         }
-        return AttemptEnd::NotExecuted(head.status);
+        return AttemptOutcome::NotExecuted(head.status);
     }
     let success = head.status.is_success();
-    if success && !facts.signed {
+    if success && !parsed_headers.signed {
         let now = node.now();
         node.with_load(id, |load| load.record_failure(now));
-        return AttemptEnd::Lost("the answer is not the target's".to_owned());
+        return AttemptOutcome::Ambiguous("response is not signed".to_owned());
     }
     if success {
         node.with_load(id, serving::TargetLoad::record_success);
@@ -329,31 +347,34 @@
         let now = node.now();
         node.with_load(id, |load| load.record_failure(now));
     }
-    AttemptEnd::Answered(Box::new(TargetAnswer {
+    AttemptOutcome::Responded(Box::new(TargetResponse {
         host: id.clone(),
         boot: target.boot,
-        began: node.now(),
+        started_at: node.now(),
         status: head.status,
         headers: adapter::headers::without_hop_by_hop_headers(&head.headers),
-        facts,
+        parsed_headers,
         body,
-        link: exchanged.link,
-        ticket,
+        link: exchange.link,
+        in_flight,
     }))
 }
 
-impl TargetAnswer {
-    /// Notes that its connection broke off before its end.
-    pub fn note_broken(&self, node: &Rc<GatewayNode>, request: &AdmittedRequest) {
-        let ran = node.now().saturating_sub(self.began);
-        note_broken_run(node, request, (&self.host, self.boot), Some(ran));
+impl TargetResponse {
+    /// Records that the connection broke before the end of the body.
+    pub fn record_broken(&self, node: &Rc<GatewayNode>, request: &AdmittedRequest) {
+        let answer_age = node.now().saturating_sub(self.started_at);
+        note_broken_run(node, request, (&self.host, self.boot), Some(answer_age));
     }
 
-    /// Gives the connection back after the body's end.
-    pub fn finish(self, node: &GatewayNode) {
-        if !self.facts.connection_close {
-            node.pool
-                .release(&self.host, self.link, self.facts.keep_alive_timeout);
+    /// Returns the connection to the pool after the end of the body.
+    pub fn release_connection(self, node: &GatewayNode) {
+        if !self.parsed_headers.connection_close {
+            node.pool.release(
+                &self.host,
+                self.link,
+                self.parsed_headers.keep_alive_timeout,
+            );
         }
     }
 }
--- a/tests/gateway/failed_requests.rs
+++ b/tests/gateway/failed_requests.rs
@@ -65,7 +65,7 @@
         .wait_line(&["gateway_attempt_failed", "failed-3"])
         .await;
     assert_eq!(attempt["host"], "s0");
-    assert_eq!(attempt["reason"], "the answer belongs to another request");
+    assert_eq!(attempt["reason"], "response belongs to another request");
     let last = node.wait_line(&["request_failed", "failed-3"]).await;
     assert_eq!(last["status"], 502);
     let metrics = node.metrics().await;
