--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -17,7 +17,7 @@
 use crate::admitted::AdmittedRequest;
 use crate::local_reply::LocalReply;
 use crate::node::{GatewayNode, RunningRequest};
-use crate::relay::{StreamEnd, StreamRelay, StreamSource};
+use crate::relay::{StreamRelay, StreamSource, StreamTruncated};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
 /// `Retry-After` if there is no configuration or no replica: about the time it takes to read the
@@ -45,7 +45,7 @@
     node: Rc<GatewayNode>,
     request: Request<Incoming>,
     running: RunningRequest,
-) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd>>> {
+) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamTruncated>>> {
     let mut response = process_request(&node, request, running).await;
     if node.is_stopping() {
         let close = http::HeaderValue::from_static("close");
@@ -58,7 +58,7 @@
     node: &Rc<GatewayNode>,
     request: Request<Incoming>,
     running: RunningRequest,
-) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamEnd> + use<>>> {
+) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamTruncated> + use<>>> {
     let headers = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
         let reply = LocalReply::NotExecuted(NO_TARGET_RETRY_AFTER);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Streams: passing whole events on, and going on at another target when one is lost.
+//! Relays event streams to clients and resumes them at another target after a failure.
 
 use std::fmt;
 use std::rc::Rc;
@@ -16,58 +16,59 @@
 use crate::node::{GatewayNode, LossSignal, RunningRequest};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
-/// Tries to find another target for a stream that lost its own.
-const MOVE_TRIES: u32 = 6;
+/// Maximum number of attempts to find another target for a stream.
+const MAX_FAILOVER_ATTEMPTS: u32 = 6;
 
-/// Pause between two of them. A lost replica's neighbours are briefly full with its streams.
-const MOVE_PAUSE: Duration = Duration::from_millis(150);
+/// Delay between failover attempts. The neighbors of a lost replica are briefly full with its
+/// streams.
+const FAILOVER_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Longest wait for the first event at the other target. Callers leave a stream after a pause of
+/// Time limit for the other target's response to begin. Clients abandon a stream after a pause of
 /// two seconds.
-const MOVE_LIMIT: Duration = Duration::from_millis(1800);
+const FAILOVER_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// The stream ends before its last event. The connection to the caller is closed without the
-/// mark of a whole answer, so the caller sees that something is missing.
+/// The stream ended before its last event. The client connection is closed without the end of the
+/// chunked body, so that the client can detect the truncation.
 #[derive(Debug, Clone, Copy)]
-pub struct StreamEnd;
+pub struct StreamTruncated;
 
-impl fmt::Display for StreamEnd {
+impl fmt::Display for StreamTruncated {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the stream was cut off")
+        formatter.write_str("stream truncated")
     }
 }
 
-impl std::error::Error for StreamEnd {}
+impl std::error::Error for StreamTruncated {}
 
-/// A stream's first target, and what finding it took.
+/// Response of a stream's first target, and the attempts it took to get it.
 #[derive(Debug)]
 pub struct StreamSource {
-    /// Its answer.
+    /// Response whose body is the stream.
     pub response: TargetResponse,
-    /// Targets that the request was sent to.
+    /// Number of targets that the request was sent to.
     pub attempts: u32,
-    /// The targets.
+    /// Targets that were tried, including the current one.
     pub tried: FastSet<HostId>,
 }
 
-/// A stream on its way to its caller.
+/// A stream that is being relayed to its client.
 pub struct StreamRelay {
     node: Rc<GatewayNode>,
     config: Rc<GatewayConfig>,
-    forward: Rc<AdmittedRequest>,
+    request: Rc<AdmittedRequest>,
     source: Option<TargetResponse>,
-    signal: Rc<LossSignal>,
+    loss_signal: Rc<LossSignal>,
     last_host: Option<HostId>,
     splitter: EventSplitter,
     attempts: u32,
     tried: FastSet<HostId>,
-    first_event: Option<Duration>,
-    last_moved: Duration,
-    /// Longest pause between two events.
+    first_event_at: Option<Duration>,
+    last_event_at: Duration,
+    /// Longest time between two events.
     longest_pause: Duration,
-    /// Whether it waits for a target that stands still, because no other can go on.
-    stays: bool,
-    ended: bool,
+    /// Whether the stream waits for a stalled target because no other one can resume it.
+    waits_for_stalled: bool,
+    finished: bool,
     _running: RunningRequest,
 }
 
@@ -75,41 +76,42 @@
     Bytes(Bytes),
     End,
     Broken(String),
-    /// Its replica stands still; the connection itself is sound.
+    /// The replica is stalled, although the connection itself works.
     Stalled,
     TimedOut,
 }
 
 impl StreamRelay {
-    /// A relay whose first target has answered.
+    /// Creates a relay for a stream whose first target has responded.
     pub fn new(
         node: &Rc<GatewayNode>,
         config: Rc<GatewayConfig>,
-        forward: Rc<AdmittedRequest>,
+        request: Rc<AdmittedRequest>,
         source: StreamSource,
         running: RunningRequest,
     ) -> Self {
         Self {
             node: Rc::clone(node),
             config,
-            splitter: EventSplitter::after(forward.last_event),
-            signal: node.loss_signal(&source.response.host),
+            splitter: EventSplitter::after(request.last_event),
+            loss_signal: node.loss_signal(&source.response.host),
             last_host: Some(source.response.host.clone()),
             source: Some(source.response),
             attempts: source.attempts,
             tried: source.tried,
-            first_event: None,
-            last_moved: Duration::ZERO,
+            first_event_at: None,
+            last_event_at: Duration::ZERO,
             longest_pause: Duration::ZERO,
-            stays: false,
-            ended: false,
-            forward,
+            waits_for_stalled: false,
+            finished: false,
+            request,
             _running: running,
         }
     }
 
-    /// The answer to the caller. Its head stays that of the first target, whoever goes on.
-    pub fn into_response(self) -> Response<impl Body<Data = Bytes, Error = StreamEnd>> {
+    /// Response for the client. Status and headers come from the first target, even if another one
+    /// resumes the stream.
+    pub fn into_response(self) -> Response<impl Body<Data = Bytes, Error = StreamTruncated>> {
         let (status, headers) = match &self.source {
             Some(response) => (response.status, response.headers.clone()),
             None => (StatusCode::BAD_GATEWAY, http::HeaderMap::new()),
@@ -124,63 +126,63 @@
         response
     }
 
-    /// The next whole events, or the end.
-    async fn next(&mut self) -> Option<Result<Bytes, StreamEnd>> {
+    /// Returns the next complete events, or `None` at the end of the stream.
+    async fn next(&mut self) -> Option<Result<Bytes, StreamTruncated>> {
         loop {
-            if self.ended {
+            if self.finished {
                 return None;
             }
             let broken = match self.read().await {
                 SourceEvent::Bytes(bytes) => match self.splitter.push(&bytes) {
                     Ok(None) => continue,
                     Ok(Some(events)) => {
-                        self.note_event();
+                        self.record_event();
                         return Some(Ok(events));
                     }
-                    Err(_) => "an event is too large".to_owned(),
+                    Err(_) => "event too large".to_owned(),
                 },
                 SourceEvent::End if !self.splitter.has_partial() => {
                     self.finish();
                     return None;
                 }
-                SourceEvent::End => "the stream ended inside an event".to_owned(),
+                SourceEvent::End => "stream ended inside an event".to_owned(),
                 SourceEvent::Broken(reason) => {
                     if let Some(source) = &self.source {
-                        source.record_broken(&self.node, &self.forward);
+                        source.record_broken(&self.node, &self.request);
                     }
                     reason
                 }
                 SourceEvent::Stalled => {
-                    self.leave_stalled().await;
+                    self.fail_over_stalled().await;
                     continue;
                 }
                 SourceEvent::TimedOut => {
-                    self.cut("its time is over");
-                    return Some(Err(StreamEnd));
+                    self.abort("request deadline exceeded");
+                    return Some(Err(StreamTruncated));
                 }
             };
             self.source = None;
-            if let Err(reason) = self.go_elsewhere(&broken).await {
-                self.cut(&format!("{broken}; {reason}"));
-                return Some(Err(StreamEnd));
+            if let Err(reason) = self.fail_over(&broken).await {
+                self.abort(&format!("{broken}; {reason}"));
+                return Some(Err(StreamTruncated));
             }
         }
     }
 
-    fn note_event(&mut self) {
+    fn record_event(&mut self) {
         let now = self.node.now();
-        if self.first_event.is_some() {
-            let pause = now.saturating_sub(self.last_moved);
+        if self.first_event_at.is_some() {
+            let pause = now.saturating_sub(self.last_event_at);
             self.longest_pause = self.longest_pause.max(pause);
         }
-        self.first_event.get_or_insert(now);
-        self.last_moved = now;
+        self.first_event_at.get_or_insert(now);
+        self.last_event_at = now;
     }
 
     async fn read(&mut self) -> SourceEvent {
-        let left = self.forward.time_left(self.node.now());
+        let left = self.request.time_left(self.node.now());
         let Some(source) = &mut self.source else {
-            return SourceEvent::Broken("no target".to_owned());
+            return SourceEvent::Broken("no target connection".to_owned());
         };
         tokio::select! {
             biased;
@@ -192,99 +194,100 @@
                     SourceEvent::Bytes(frame.into_data().unwrap_or_default())
                 }
             },
-            () = self.signal.lost(), if !self.stays => SourceEvent::Stalled,
+            () = self.loss_signal.lost(), if !self.waits_for_stalled => SourceEvent::Stalled,
             () = tokio::time::sleep(left) => SourceEvent::TimedOut,
         }
     }
 
-    /// Tries another target for a stream whose replica stands still. Where none goes on, the
-    /// stream stays: silence is no reason to cut off an answer that may still come.
-    async fn leave_stalled(&mut self) {
-        if let Err(reason) = self.go_elsewhere("the replica stands still").await {
-            self.stays = true;
-            let line = self.line(EventCode::StreamStays).text("reason", &reason);
+    /// Tries to resume a stream from a stalled replica at another target. If that fails, the stream
+    /// stays where it is, since the rest of the response may still come.
+    async fn fail_over_stalled(&mut self) {
+        if let Err(reason) = self.fail_over("replica stalled").await {
+            self.waits_for_stalled = true;
+            let line = self
+                .log_line(EventCode::StreamStays)
+                .text("reason", &reason);
             self.node.log(&line);
         }
     }
 
-    /// How long the caller still waits for the next event.
+    /// How long the client will still wait for the next event.
     ///
-    /// Its answer is late already and half of it is there. Held to the few places in which a new
-    /// request begins in time, a stream whose replica was lost found all others full and lost the
-    /// rest; a new caller can come back instead.
-    fn patience(&self) -> Duration {
-        let heard = self.last_moved.max(self.forward.arrived);
-        let silent = self.node.now().saturating_sub(heard);
-        let left = MOVE_LIMIT.saturating_sub(silent);
-        left.max(self.forward.target_latency)
+    /// The response is already late and partly delivered. If the queue limit for new requests
+    /// applied here, a stream whose replica was lost would find the other replicas full and lose
+    /// the rest, whereas a new request can be retried by its client.
+    fn max_wait(&self) -> Duration {
+        let last_activity = self.last_event_at.max(self.request.arrived);
+        let silent = self.node.now().saturating_sub(last_activity);
+        let left = FAILOVER_TIMEOUT.saturating_sub(silent);
+        left.max(self.request.target_latency)
     }
 
-    /// Lets another target go on after the last whole event.
-    async fn go_elsewhere(&mut self, lost: &str) -> Result<(), String> {
-        if self.forward.kind != (RouteKind::Streaming { resumable: true }) {
-            return Err("it may not be resumed".to_owned());
+    /// Resumes the stream at another target after the last complete event.
+    async fn fail_over(&mut self, lost: &str) -> Result<(), String> {
+        if self.request.kind != (RouteKind::Streaming { resumable: true }) {
+            return Err("stream is not resumable".to_owned());
         }
         let mut reason = "no attempts left".to_owned();
-        for trial in 0..MOVE_TRIES {
-            if self.attempts >= self.forward.max_attempts {
+        for attempt in 0..MAX_FAILOVER_ATTEMPTS {
+            if self.attempts >= self.request.max_attempts {
                 return Err(reason);
             }
-            if trial > 0 {
-                tokio::time::sleep(MOVE_PAUSE).await;
+            if attempt > 0 {
+                tokio::time::sleep(FAILOVER_RETRY_DELAY).await;
             }
-            if self.node.blame_standing(&self.forward) != PoisonVerdict::Clear {
-                return Err("targets may end under it".to_owned());
+            if self.node.blame_standing(&self.request) != PoisonVerdict::Clear {
+                return Err("request is suspected of crashing targets".to_owned());
             }
-            let patience = self.patience();
-            let chosen =
-                self.forward
-                    .select_target(&self.node, &self.config, &self.tried, patience);
-            let target = match chosen {
+            let max_wait = self.max_wait();
+            let selected =
+                self.request
+                    .select_target(&self.node, &self.config, &self.tried, max_wait);
+            let target = match selected {
                 Ok(target) => target,
-                Err(none) => {
-                    reason = none.to_string();
+                Err(error) => {
+                    reason = error.to_string();
                     continue;
                 }
             };
             let now = self.node.now();
             let nodes = self.node.node_count();
-            let service = &self.forward.service;
+            let service = &self.request.service;
             if !self
                 .node
                 .with_budget(service, |budget| budget.take(now, nodes))
             {
-                return Err("no repeats left".to_owned());
+                return Err("retry budget exhausted".to_owned());
             }
-            let limit = self.forward.time_left(now).min(MOVE_LIMIT);
+            let limit = self.request.time_left(now).min(FAILOVER_TIMEOUT);
             self.tried.insert(target.id.clone());
             let after = self.splitter.last_id();
-            let end = send_attempt(&self.node, &self.forward, &target, after, limit).await;
-            match end {
+            let outcome = send_attempt(&self.node, &self.request, &target, after, limit).await;
+            match outcome {
                 AttemptOutcome::Responded(response) if response.status == StatusCode::OK => {
                     self.attempts += 1;
-                    self.signal = self.node.loss_signal(&response.host);
+                    self.loss_signal = self.node.loss_signal(&response.host);
                     self.last_host = Some(response.host.clone());
-                    self.log_move(lost, &response.host);
-                    // What the first target left of an event is not joined with the other's.
+                    self.log_failover(lost, &response.host);
+                    // Drops the incomplete event of the failed target; it must not be joined with
+                    // data from the new one.
                     self.splitter.drop_partial();
                     self.source = Some(*response);
                     return Ok(());
                 }
                 AttemptOutcome::Responded(response) => {
                     self.attempts += 1;
-                    reason = format!("the other target answered {}", response.status);
+                    reason = format!("failover target returned {}", response.status);
                 }
-                AttemptOutcome::Unsent(why) => reason = why,
-                AttemptOutcome::NotExecuted(status) => {
-                    reason = format!("the other target said {status}")
-                }
-                AttemptOutcome::Ambiguous(why) => {
+                AttemptOutcome::Unsent(cause) => reason = cause,
+                AttemptOutcome::NotExecuted(status) => reason = format!("not executed: {status}"),
+                AttemptOutcome::Ambiguous(cause) => {
                     self.attempts += 1;
-                    reason = why;
+                    reason = cause;
                 }
                 AttemptOutcome::TimedOut => {
                     self.attempts += 1;
-                    "the other target did not answer in time".clone_into(&mut reason);
+                    "failover target timed out".clone_into(&mut reason);
                 }
             }
         }
@@ -292,54 +295,54 @@
     }
 
     fn finish(&mut self) {
-        self.ended = true;
+        self.finished = true;
         if let Some(source) = self.source.take() {
             source.release_connection(&self.node);
         }
-        self.note_end(StatusCode::OK);
-        let line = self.line(EventCode::GatewayAnswered);
+        self.record_end(StatusCode::OK);
+        let line = self.log_line(EventCode::GatewayAnswered);
         self.node.log(&line);
     }
 
-    fn cut(&mut self, reason: &str) {
-        self.ended = true;
+    fn abort(&mut self, reason: &str) {
+        self.finished = true;
         self.source = None;
-        self.note_end(StatusCode::BAD_GATEWAY);
-        let line = self.line(EventCode::StreamCut).text("reason", reason);
+        self.record_end(StatusCode::BAD_GATEWAY);
+        let line = self.log_line(EventCode::StreamCut).text("reason", reason);
         self.node.log(&line);
     }
 
-    fn note_end(&self, status: StatusCode) {
-        let took = self.node.now().saturating_sub(self.forward.arrived);
+    fn record_end(&self, status: StatusCode) {
+        let took = self.node.now().saturating_sub(self.request.arrived);
         let first = self
-            .first_event
-            .map(|at| at.saturating_sub(self.forward.arrived));
+            .first_event_at
+            .map(|at| at.saturating_sub(self.request.arrived));
         self.node
             .metrics
-            .record_request(self.forward.labels(), status, took);
+            .record_request(self.request.labels(), status, took);
         if let Some(first) = first {
             self.node
                 .metrics
-                .record_first_event(self.forward.labels(), first);
+                .record_first_event(self.request.labels(), first);
         }
     }
 
-    fn log_move(&self, lost: &str, host: &HostId) {
+    fn log_failover(&self, lost: &str, host: &HostId) {
         let line = self
-            .line(EventCode::StreamMoved)
+            .log_line(EventCode::StreamMoved)
             .text("to", host.as_str())
             .text("reason", lost);
         self.node.log(&line);
     }
 
-    fn line(&self, code: EventCode) -> EventLine {
-        let since = |at: Duration| at.saturating_sub(self.forward.arrived);
+    fn log_line(&self, code: EventCode) -> EventLine {
+        let since = |at: Duration| at.saturating_sub(self.request.arrived);
         let line = EventLine::new(code)
             .text(
                 "request",
-                self.forward.id.as_ref().map_or("", RequestId::as_str),
+                self.request.id.as_ref().map_or("", RequestId::as_str),
             )
-            .text("route", &self.forward.route)
+            .text("route", &self.request.route)
             .number("status", 200)
             .number("attempts", u64::from(self.attempts))
             .number("last_event", self.splitter.last_id().unwrap_or(0))
@@ -348,7 +351,7 @@
             Some(host) => line.text("host", host.as_str()),
             None => line,
         };
-        match self.first_event {
+        match self.first_event_at {
             Some(at) => line
                 .millis("first_ms", since(at))
                 .millis("pause_ms", self.longest_pause),
@@ -359,10 +362,10 @@
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        if self.ended {
+        if self.finished {
             return;
         }
-        let line = self.line(EventCode::CallerLeft);
+        let line = self.log_line(EventCode::CallerLeft);
         self.node.log(&line);
     }
 }
