--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -1,9 +1,9 @@
-//! What ran at a target whose process ended.
+//! Detects crashed targets and records which requests ran there.
 //!
-//! A connection that breaks in the middle of an answer says little: a link may have lost it, or a
-//! router reset it. Where the target then takes no connections, its process has ended, and what ran
-//! there is kept as evidence. A target that is silent, or a replica that stands still, is none: its
-//! host lost power or its network, whatever it ran.
+//! A connection that breaks during a response is not proof of a crash: a link may have dropped it
+//! or a router may have reset it. If the target then refuses connections, its process has exited,
+//! and the requests that ran there are kept as evidence. Unresponsive targets and stalled replicas
+//! are not counted: their host lost power or its network, whatever it was running.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use web::{HttpLink, LinkError};
 
 use crate::admitted::AdmittedRequest;
-use crate::ends::share_end;
+use crate::crash_records::publish_crash;
 use crate::node::GatewayNode;
 
-/// Time in which the connections to a target that ended break one after the other.
-const GATHER_TIME: Duration = Duration::from_millis(40);
+/// Time to wait for the other connections to a crashed target to break as well.
+const COLLECT_WINDOW: Duration = Duration::from_millis(40);
 
-/// Longest wait for a connection to a target that may have ended.
-const CONNECT_LIMIT: Duration = Duration::from_millis(160);
+/// Timeout for the connection attempt that tests whether a target has crashed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(160);
 
-/// Marks named in a log line; the count tells of the others.
-const LOGGED_MARKS: usize = 6;
+/// Maximum number of request fingerprints in a log line; the line's `requests` field has the total.
+const MAX_LOGGED_FINGERPRINTS: usize = 6;
 
-/// Runs that broke off at targets of which it is not known yet whether they ended.
+/// Interrupted requests at targets that are not yet known to have crashed.
 #[derive(Debug, Default)]
-pub struct BrokenRuns {
+pub struct InterruptedRequests {
     by_target: FastMap<(HostId, BootNumber), Vec<CrashedRequest>>,
 }
 
-impl BrokenRuns {
-    /// Adds a run; whether it is the first at its target.
-    fn add(&mut self, host: &HostId, boot: BootNumber, run: CrashedRequest) -> bool {
-        let runs = self.by_target.entry((host.clone(), boot)).or_default();
-        runs.push(run);
-        runs.len() == 1
+impl InterruptedRequests {
+    /// Adds a request; returns whether it is the first one for this target process.
+    fn add(&mut self, host: &HostId, boot: BootNumber, request: CrashedRequest) -> bool {
+        let requests = self.by_target.entry((host.clone(), boot)).or_default();
+        requests.push(request);
+        requests.len() == 1
     }
 
     fn take(&mut self, host: &HostId, boot: BootNumber) -> Vec<CrashedRequest> {
@@ -46,42 +46,43 @@
     }
 }
 
-/// Notes that the connection to a target broke while a request was there; `ran` is how long its
-/// answer had been under way.
-pub fn note_broken_run(
+/// Records that the connection to a target broke while it ran a request. `ran` is the time since
+/// the response began, `None` if it had not.
+pub fn record_interrupted(
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
     (host, boot): (&HostId, BootNumber),
-    ran: Option<Duration>,
+    answer_age: Option<Duration>,
 ) {
-    let mark = request.fingerprint();
-    let run = CrashedRequest {
-        fingerprint: mark,
-        answer_age: ran,
+    let fingerprint = request.fingerprint();
+    let crashed = CrashedRequest {
+        fingerprint,
+        answer_age,
     };
-    let is_first = node.with_broken_runs(|broken| broken.add(host, boot, run));
+    let is_first = node.with_interrupted(|interrupted| interrupted.add(host, boot, crashed));
     if is_first {
         let node = Rc::clone(node);
-        tokio::task::spawn_local(settle_end(node, host.clone(), boot));
+        tokio::task::spawn_local(confirm_crash(node, host.clone(), boot));
     }
 }
 
-async fn settle_end(node: Rc<GatewayNode>, host: HostId, boot: BootNumber) {
-    tokio::time::sleep(GATHER_TIME).await;
-    let ended = has_ended(&node, &host, boot).await;
-    let runs = node.with_broken_runs(|broken| broken.take(&host, boot));
-    if !ended {
+async fn confirm_crash(node: Rc<GatewayNode>, host: HostId, boot: BootNumber) {
+    tokio::time::sleep(COLLECT_WINDOW).await;
+    let exited = has_exited(&node, &host, boot).await;
+    let requests = node.with_interrupted(|interrupted| interrupted.take(&host, boot));
+    if !exited {
         return;
     }
-    log_end(&node, &host, boot, &runs);
-    let end = TargetCrash { host, boot };
+    log_crash(&node, &host, boot, &requests);
+    let crash = TargetCrash { host, boot };
     let now = node.now();
-    node.take_ends(|ledger| ledger.record(end.clone(), now, &runs));
-    share_end(&node, &end, &runs).await;
+    node.take_ends(|detector| detector.record(crash.clone(), now, &requests));
+    publish_crash(&node, &crash, &requests).await;
 }
 
-/// Whether a target's process has ended: nobody listens at its address, or another one does.
-async fn has_ended(node: &GatewayNode, host: &HostId, boot: BootNumber) -> bool {
+/// Whether a target's process has exited: its address refuses connections, or the registry lists a
+/// newer process for the host.
+async fn has_exited(node: &GatewayNode, host: &HostId, boot: BootNumber) -> bool {
     let known = node.registry(|registry| {
         let entry = registry.get(host)?;
         Some((entry.address, entry.boot))
@@ -92,21 +93,31 @@
     if now != boot {
         return true;
     }
-    let connected = HttpLink::connect(address, CONNECT_LIMIT).await;
+    let connected = HttpLink::connect(address, CONNECT_TIMEOUT).await;
     matches!(connected, Err(LinkError::Refused))
 }
 
-fn log_end(node: &GatewayNode, host: &HostId, boot: BootNumber, runs: &[CrashedRequest]) {
-    let named = runs.iter().take(LOGGED_MARKS).map(|run| {
-        let ran = run.answer_age.map(|ran| ran.as_millis().to_string());
-        let mark = run.fingerprint.to_string();
-        format!("{}:{}", &mark[..8], ran.as_deref().unwrap_or("-"))
-    });
+fn log_crash(node: &GatewayNode, host: &HostId, boot: BootNumber, requests: &[CrashedRequest]) {
+    let named = requests
+        .iter()
+        .take(MAX_LOGGED_FINGERPRINTS)
+        .map(|request| {
+            let answer_age = request.answer_age.map(|age| age.as_millis().to_string());
+            let fingerprint = request.fingerprint.to_string();
+            format!(
+                "{}:{}",
+                &fingerprint[..8],
+                answer_age.as_deref().unwrap_or("-")
+            )
+        });
     let named: Vec<String> = named.collect();
     let line = EventLine::new(EventCode::TargetEnded)
         .text("host", host.as_str())
         .number("boot", boot.0)
-        .number("requests", u64::try_from(runs.len()).unwrap_or(u64::MAX))
+        .number(
+            "requests",
+            u64::try_from(requests.len()).unwrap_or(u64::MAX),
+        )
         .text("marks", &named.join(" "));
     node.log(&line);
 }
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -116,7 +116,7 @@
     }
     // The datagrams that announced the crash records were lost.
     if others_suspect && node.blames_nobody() {
-        node.ends_written.notify_one();
+        node.crash_records_changed.notify_one();
     }
     node.hints.set_peers(peers);
     live_nodes.sort();
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -160,7 +160,7 @@
                 requests,
                 served,
             }) => node.apply_report(head, requests, served),
-            Some(LoadHint::CrashRecordsWritten) => node.ends_written.notify_one(),
+            Some(LoadHint::CrashRecordsWritten) => node.crash_records_changed.notify_one(),
             None => {}
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,7 +8,7 @@
 mod admitted;
 mod care;
 mod crash;
-mod ends;
+mod crash_records;
 mod handle;
 mod heartbeat;
 mod hints;
--- a/crates/gateway/src/node/blame.rs
+++ b/crates/gateway/src/node/blame.rs
@@ -7,12 +7,12 @@
 
 use super::GatewayNode;
 use crate::admitted::AdmittedRequest;
-use crate::crash::BrokenRuns;
+use crate::crash::InterruptedRequests;
 
 impl GatewayNode {
     /// Uses the runs that broke off.
-    pub fn with_broken_runs<R>(&self, use_them: impl FnOnce(&mut BrokenRuns) -> R) -> R {
-        use_them(&mut self.broken_runs.borrow_mut())
+    pub fn with_interrupted<R>(&self, use_them: impl FnOnce(&mut InterruptedRequests) -> R) -> R {
+        use_them(&mut self.interrupted.borrow_mut())
     }
 
     /// What is held against a request.
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 
-use crate::crash::BrokenRuns;
+use crate::crash::InterruptedRequests;
 use crate::hints::{HintChannel, HostHash};
 use crate::metrics::GatewayMetrics;
 use crate::pool::ConnectionPool;
@@ -49,7 +49,7 @@
     /// Wakes who waits for the end of a request or connection.
     pub ended: Notify,
     /// Wakes who reads what the store tells of ended targets.
-    pub ends_written: Notify,
+    pub crash_records_changed: Notify,
     started: Instant,
     config: RefCell<Option<Rc<GatewayConfig>>>,
     idle_limit: Cell<Duration>,
@@ -77,7 +77,7 @@
     served_others: RefCell<FastMap<HostId, Duration>>,
     unlisted: RefCell<FastSet<HostId>>,
     /// Runs that broke off, until it is known whether their targets ended.
-    broken_runs: RefCell<BrokenRuns>,
+    interrupted: RefCell<InterruptedRequests>,
     /// What ran at targets that ended.
     blame: RefCell<PoisonDetector>,
     /// The store's clock at a moment of this process.
@@ -123,7 +123,7 @@
             pool: ConnectionPool::default(),
             changed: Notify::new(),
             ended: Notify::new(),
-            ends_written: Notify::new(),
+            crash_records_changed: Notify::new(),
             started: Instant::now(),
             config: RefCell::default(),
             idle_limit: Cell::new(DEFAULT_IDLE),
@@ -145,7 +145,7 @@
             asking: RefCell::default(),
             served_others: RefCell::default(),
             unlisted: RefCell::default(),
-            broken_runs: RefCell::default(),
+            interrupted: RefCell::default(),
             blame: RefCell::default(),
             store_clock: Cell::default(),
             retired: RefCell::default(),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -14,7 +14,7 @@
 use crate::metrics::GatewayMetrics;
 use crate::node::GatewayNode;
 use crate::settings::GatewaySettings;
-use crate::{care, ends, heartbeat, listen, probe, watch};
+use crate::{care, crash_records, heartbeat, listen, probe, watch};
 
 /// Pause between two looks at whether a stopping process may end.
 const STOP_PAUSE: Duration = Duration::from_millis(50);
@@ -69,7 +69,7 @@
     spawn_local(watch::follow_registry(Rc::clone(&node)));
     spawn_local(receive_hints(Rc::clone(&node)));
     spawn_local(heartbeat::run_heartbeats(Rc::clone(&node)));
-    spawn_local(ends::follow_ends(Rc::clone(&node)));
+    spawn_local(crash_records::watch_crash_records(Rc::clone(&node)));
     spawn_local(care::care_for_replicas(Rc::clone(&node)));
     spawn_local(probe::watch_replicas(Rc::clone(&node)));
     spawn_local(probe::ask_suspects(Rc::clone(&node)));
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -12,7 +12,7 @@
 use web::{HttpLink, LinkError};
 
 use crate::admitted::AdmittedRequest;
-use crate::crash::note_broken_run;
+use crate::crash::record_interrupted;
 use crate::hints::LoadHint;
 use crate::node::{GatewayNode, LossSign};
 use crate::probe::{ask, ask_refusing};
@@ -219,7 +219,7 @@
             // event.
             let is_plain = target.membership.is_none();
             let answer_age = is_plain.then(|| node.now().saturating_sub(sent_at));
-            note_broken_run(node, request, (&target.id, target.boot), answer_age);
+            record_interrupted(node, request, (&target.id, target.boot), answer_age);
             Err(AttemptOutcome::Ambiguous(error.to_string()))
         }
     }
@@ -364,7 +364,7 @@
     /// Records that the connection broke before the end of the body.
     pub fn record_broken(&self, node: &Rc<GatewayNode>, request: &AdmittedRequest) {
         let answer_age = node.now().saturating_sub(self.started_at);
-        note_broken_run(node, request, (&self.host, self.boot), Some(answer_age));
+        record_interrupted(node, request, (&self.host, self.boot), Some(answer_age));
     }
 
     /// Returns the connection to the pool after the end of the body.
