--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a gateway.
+//! Startup and shutdown of a gateway.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -16,20 +16,20 @@
 use crate::settings::GatewaySettings;
 use crate::{care, crash_records, heartbeat, listen, probe, watch};
 
-/// Pause between two looks at whether a stopping process may end.
-const STOP_PAUSE: Duration = Duration::from_millis(50);
+/// Interval for checking whether a process that is shutting down may exit.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for the log's writer after the last line.
-const LAST_LINES: Duration = Duration::from_millis(20);
+/// Time for the log writer to flush the last lines.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Pause between two sweeps of idle connections to targets.
-const SWEEP_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between closing expired idle connections to targets.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a gateway until SIGTERM, on the current thread.
+/// Runs a gateway on the current thread until SIGTERM.
 ///
 /// # Errors
 ///
-/// Settings that can't be used, or an address that can't be listened on.
+/// Invalid settings, or an address that can't be bound.
 pub fn run_gateway(path: &Path) -> eyre::Result<()> {
     let settings = GatewaySettings::load(path)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -42,7 +42,7 @@
 async fn serve(settings: GatewaySettings, path: &Path) -> eyre::Result<()> {
     let listen = settings.listen;
     let sink = LineSink::to_stdout(settings.node.as_str(), EventLevel::Info);
-    let callers = listen::bind_tcp(listen.requests).await?;
+    let requests = listen::bind_tcp(listen.requests).await?;
     let readiness = listen::bind_tcp(listen.readiness).await?;
     let metrics = listen::bind_tcp(listen.metrics).await?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -54,16 +54,16 @@
     let hints = HintChannel::new(hints);
     let node = GatewayNode::new(settings, sink, GatewayMetrics::new()?, hints);
     let node = Rc::new(node);
-    let told = node.hints.address().map(|address| address.to_string());
+    let hint_address = node.hints.address().map(|address| address.to_string());
     node.log(
         &EventLine::new(EventCode::NodeStarted)
             .text("version", env!("CARGO_PKG_VERSION"))
-            .text("requests", &callers.local_addr()?.to_string())
+            .text("requests", &requests.local_addr()?.to_string())
             .text("readiness", &readiness.local_addr()?.to_string())
             .text("metrics", &metrics.local_addr()?.to_string())
-            .text("hints", told.as_deref().unwrap_or("none")),
+            .text("hints", hint_address.as_deref().unwrap_or("none")),
     );
-    spawn_local(listen::serve_clients(Rc::clone(&node), callers));
+    spawn_local(listen::serve_clients(Rc::clone(&node), requests));
     spawn_status_listeners(&node, readiness, metrics);
     spawn_local(watch::follow_config(Rc::clone(&node)));
     spawn_local(watch::follow_registry(Rc::clone(&node)));
@@ -74,10 +74,10 @@
     spawn_local(probe::watch_replicas(Rc::clone(&node)));
     spawn_local(probe::ask_suspects(Rc::clone(&node)));
     spawn_local(probe::ask_unlisted(Rc::clone(&node)));
-    spawn_local(sweep(Rc::clone(&node)));
+    spawn_local(run_housekeeping(Rc::clone(&node)));
     spawn_local(reread_settings(Rc::clone(&node), hangup, path.to_owned()));
     terminate.recv().await;
-    stop(&node).await;
+    shut_down(&node).await;
     Ok(())
 }
 
@@ -86,46 +86,47 @@
     readiness: tokio::net::TcpListener,
     metrics: tokio::net::TcpListener,
 ) {
-    let asked = Rc::clone(node);
+    let ready_node = Rc::clone(node);
     spawn_local(listen::serve_status(readiness, move || {
-        if asked.is_ready() {
+        if ready_node.is_ready() {
             (StatusCode::OK, String::new())
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, String::new())
         }
     }));
-    let measured = Rc::clone(node);
+    let metrics_node = Rc::clone(node);
     spawn_local(listen::serve_status(metrics, move || {
-        match measured.metrics_text() {
+        match metrics_node.metrics_text() {
             Ok(text) => (StatusCode::OK, text),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         }
     }));
 }
 
-/// Closes old idle connections and adds up what stood idle meanwhile.
-async fn sweep(node: Rc<GatewayNode>) {
-    let mut said = 0;
+/// Closes expired idle connections, reports dropped log lines and adds up the time that hosts and
+/// replicas were not serving; never returns.
+async fn run_housekeeping(node: Rc<GatewayNode>) {
+    let mut reported = 0;
     loop {
-        let began = node.now();
-        tokio::time::sleep(SWEEP_PAUSE).await;
+        let started_at = node.now();
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         node.pool.evict_expired();
-        let passed = node.now().saturating_sub(began);
+        let elapsed = node.now().saturating_sub(started_at);
         let stats = node.stats();
-        if stats.dropped_lines > said {
-            let line =
-                EventLine::new(EventCode::LinesDropped).number("lines", stats.dropped_lines - said);
-            said = stats.dropped_lines;
+        if stats.dropped_lines > reported {
+            let line = EventLine::new(EventCode::LinesDropped)
+                .number("lines", stats.dropped_lines - reported);
+            reported = stats.dropped_lines;
             node.log(&line);
         }
-        let times = |count: usize| passed * u32::try_from(count).unwrap_or(u32::MAX);
+        let times = |count: usize| elapsed * u32::try_from(count).unwrap_or(u32::MAX);
         node.metrics
             .add_lost_time(times(stats.stranded_hosts), times(stats.idle_replicas));
     }
 }
 
-/// Reads the settings again at SIGHUP. Addresses and names hold for the life of a process, so a
-/// file that differs takes effect at the next start; one that can't be read is reported now.
+/// Validates the settings file on SIGHUP. Changes take effect at the next start, because addresses
+/// and names are fixed for the life of a process; an invalid file is reported immediately.
 async fn reread_settings(node: Rc<GatewayNode>, mut hangup: Signal, path: std::path::PathBuf) {
     while hangup.recv().await.is_some() {
         let outcome = match GatewaySettings::load(&path) {
@@ -136,34 +137,33 @@
     }
 }
 
-/// Stops: no longer ready at once, but serving on until callers have learned it and what runs has
-/// ended, or the grace time is over.
-async fn stop(node: &GatewayNode) {
+/// Shuts down gracefully: the node reports itself as not ready immediately, but serves until the
+/// load balancer and clients have noticed and requests have finished, or the grace period is over.
+async fn shut_down(node: &GatewayNode) {
     let plan = node.stop();
-    node.log(&stop_line(node, "begun"));
-    wait_until_over(node, plan).await;
-    // A caller that connects between the last look and the end of the process would have its
-    // request run and see no answer. With the listener closed it connects elsewhere, and whoever came
-    // in just before is still served.
+    node.log(&shutdown_line(node, "begun"));
+    wait_until_drained(node, plan).await;
+    // A client that connects between the last check and the exit would have its request executed
+    // without a response. Closing the listener sends such clients elsewhere; those that connected
+    // just before are still served.
     node.stop_accepting();
     tokio::task::yield_now().await;
-    wait_until_over(node, plan).await;
-    node.log(&stop_line(node, "done"));
-    // The writer's thread gets a moment for the last lines.
-    tokio::time::sleep(LAST_LINES).await;
+    wait_until_drained(node, plan).await;
+    node.log(&shutdown_line(node, "done"));
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
 
-async fn wait_until_over(node: &GatewayNode, plan: ShutdownPlan) {
+async fn wait_until_drained(node: &GatewayNode, plan: ShutdownPlan) {
     loop {
         let idle = node.running() == 0 && node.connections() == 0;
         if plan.is_over(node.now(), idle) {
             return;
         }
-        drop(tokio::time::timeout(STOP_PAUSE, node.ended.notified()).await);
+        drop(tokio::time::timeout(SHUTDOWN_CHECK_INTERVAL, node.ended.notified()).await);
     }
 }
 
-fn stop_line(node: &GatewayNode, phase: &str) -> EventLine {
+fn shutdown_line(node: &GatewayNode, phase: &str) -> EventLine {
     let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
     EventLine::new(EventCode::NodeStopping)
         .text("phase", phase)
