--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -65,8 +65,8 @@
     );
     spawn_local(listen::serve_clients(Rc::clone(&node), requests));
     spawn_status_listeners(&node, readiness, metrics);
-    spawn_local(watch::follow_config(Rc::clone(&node)));
-    spawn_local(watch::follow_registry(Rc::clone(&node)));
+    spawn_local(watch::watch_config(Rc::clone(&node)));
+    spawn_local(watch::watch_registry(Rc::clone(&node)));
     spawn_local(receive_hints(Rc::clone(&node)));
     spawn_local(heartbeat::run_heartbeats(Rc::clone(&node)));
     spawn_local(crash_records::watch_crash_records(Rc::clone(&node)));
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the registry in the store.
+//! Watches the configuration and the target registry in the store by long polling.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -13,140 +13,144 @@
 use crate::node::GatewayNode;
 use crate::probe::ask_unlisted_one;
 
-/// How long one call waits for changes. A connection may fall silent without an end, and a node
-/// must know what is in force three seconds after that, so each call ends before.
-const FOLLOW_WAIT: Duration = Duration::from_secs(2);
+/// Wait time of one long poll. A connection may go silent without being closed, and a node must
+/// know the current state within three seconds of that, so each call ends earlier.
+const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
 
-/// What a call may take beyond its wait.
-const FOLLOW_SLACK: Duration = Duration::from_millis(500);
+/// Time that a call may take in addition to the wait.
+const LONG_POLL_SLACK: Duration = Duration::from_millis(500);
 
-/// Pause after a call that brought changes, in a small deployment. Changes come in series, as when
-/// the hosts of a fabric domain join replicas, and each call is paid for; one call then brings
-/// several. A repair waits for it several times: with 200 ms the worth to callers fell by 0.03 on days
-/// that lose two hosts every three seconds, and a sixth of the calls was saved.
-const SERIES_PAUSE: Duration = Duration::from_millis(80);
+/// Delay after a call that returned changes, in a small deployment. Changes come in bursts, as when
+/// the hosts of a fabric domain join replicas, and each call has a cost; the delay lets one call
+/// return several. A repair waits for this delay several times: 200 ms saved a sixth of the calls
+/// but lowered the value of responses to clients by 0.03 in runs that lose two hosts every three
+/// seconds.
+const BATCH_DELAY: Duration = Duration::from_millis(80);
 
-/// Longest such pause, in a large deployment. A target that leaves must get nothing more two seconds
-/// after it said so; pause, call and a lost packet stay within half of that.
-const MOST_SERIES_PAUSE: Duration = Duration::from_millis(700);
+/// Maximum of that delay, in a large deployment. A target that starts draining must get no new
+/// requests after two seconds; delay, call and one lost packet stay within half of that.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(700);
 
-/// Nodes up to which the pause stays; beyond them it grows in proportion. Every node reads every
-/// change, so with one pause for all the store's calls would grow with the square of a deployment
-/// that has changes in proportion to its hosts: 6 a second a node at 64 nodes.
-const SERIES_NODES: usize = 12;
+/// Number of nodes up to which the delay is constant; above it, the delay grows in proportion.
+/// Every node reads every change, so with a constant delay the store's calls would grow with the
+/// square of a deployment whose changes are proportional to its hosts: 6 per second and node at 64
+/// nodes.
+const BATCH_DELAY_NODES: usize = 12;
 
-/// Longest time for reading a table whole.
-const READ_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for reading a whole table.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after a failed call; grows with each one up to [`MOST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+/// Delay added with each consecutive failed call, up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY_STEP: Duration = Duration::from_millis(60);
 
-/// Longest pause after failed calls. A store that comes back is noticed within it.
-const MOST_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum delay after failed calls, and so the time to notice that the store is back.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Time after the store's return in which an entry that is missing is not yet gone: targets that
-/// live write theirs again within it.
-const RETURN_TIME: Duration = Duration::from_millis(2300);
+/// Time after an outage of the store in which missing entries do not count as removed: live targets
+/// write their entries again within it.
+const RECOVERY_GRACE: Duration = Duration::from_millis(2300);
 
-/// What a table's rows mean to the node.
-trait TableFollower {
-    /// Name of the table.
+/// Applies the contents of a table to the node's state.
+trait TableWatcher {
+    /// Name of the table in the store.
     fn table(&self) -> &'static str;
-    /// Takes the whole table.
-    fn take_page(&mut self, page: RowPage);
-    /// Takes one changed row.
-    fn take_row(&mut self, row: StoreRow);
-    /// Notes that the table is known as of a version.
+    /// Applies a complete read of the table.
+    fn apply_page(&mut self, page: RowPage);
+    /// Applies one changed row.
+    fn apply_row(&mut self, row: StoreRow);
+    /// Records that all changes up to a version have been applied.
     fn confirm(&mut self, version: RowVersion);
-    /// Takes note that a call failed. What is missing soon after the next one that does not is not
-    /// yet gone.
-    fn failed(&mut self);
+    /// Records that a call failed. Entries missing soon after the next successful call do not count
+    /// as removed yet.
+    fn call_failed(&mut self);
 }
 
-/// Follows the configuration.
-pub async fn follow_config(node: Rc<GatewayNode>) {
-    let follower = ConfigFollower {
+/// Watches the configuration; never returns.
+pub async fn watch_config(node: Rc<GatewayNode>) {
+    let watcher = ConfigWatcher {
         node: Rc::clone(&node),
     };
-    follow(node, follower).await;
+    watch_table(node, watcher).await;
 }
 
-/// Follows the registry.
-pub async fn follow_registry(node: Rc<GatewayNode>) {
-    let follower = RegistryFollower {
+/// Watches the target registry; never returns.
+pub async fn watch_registry(node: Rc<GatewayNode>) {
+    let watcher = RegistryWatcher {
         node: Rc::clone(&node),
-        pending: Vec::new(),
-        returned: None,
+        pending_removals: Vec::new(),
+        last_failure: None,
     };
-    follow(node, follower).await;
+    watch_table(node, watcher).await;
 }
 
-async fn follow<F: TableFollower>(node: Rc<GatewayNode>, mut follower: F) {
+async fn watch_table<F: TableWatcher>(node: Rc<GatewayNode>, mut watcher: F) {
     let mut client = StoreClient::new(node.settings.store);
     let mut known: Option<RowVersion> = None;
     let mut failures = 0_u32;
     loop {
-        let began = node.now();
-        let result = follow_once(&mut client, &mut follower, known).await;
+        let started_at = node.now();
+        let result = poll_once(&mut client, &mut watcher, known).await;
         let outcome = if result.is_ok() { "answered" } else { "failed" };
-        let took = node.now().saturating_sub(began);
+        let took = node.now().saturating_sub(started_at);
         node.metrics
-            .record_store_call(follower.table(), outcome, took);
+            .record_store_call(watcher.table(), outcome, took);
         match result {
             Ok((version, changed)) => {
                 if failures > 0 {
-                    log_regained(&node, follower.table(), failures);
+                    log_store_regained(&node, watcher.table(), failures);
                 }
                 failures = 0;
                 known = Some(version);
-                follower.confirm(version);
+                watcher.confirm(version);
                 if changed {
-                    tokio::time::sleep(series_pause(node.node_count())).await;
+                    tokio::time::sleep(batch_delay(node.node_count())).await;
                 }
             }
             Err(StoreError::Compacted) => known = None,
             Err(error) => {
                 failures += 1;
                 if failures == 1 {
-                    log_lost(&node, follower.table(), &error);
+                    log_store_lost(&node, watcher.table(), &error);
                 }
-                follower.failed();
-                let pause = FIRST_PAUSE.saturating_mul(failures).min(MOST_PAUSE);
-                tokio::time::sleep(pause).await;
+                watcher.call_failed();
+                let delay = RETRY_DELAY_STEP
+                    .saturating_mul(failures)
+                    .min(MAX_RETRY_DELAY);
+                tokio::time::sleep(delay).await;
             }
         }
     }
 }
 
-fn series_pause(nodes: usize) -> Duration {
+fn batch_delay(nodes: usize) -> Duration {
     let count = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
-    let factor = count(nodes.max(SERIES_NODES)) / count(SERIES_NODES);
-    SERIES_PAUSE.mul_f64(factor).min(MOST_SERIES_PAUSE)
+    let factor = count(nodes.max(BATCH_DELAY_NODES)) / count(BATCH_DELAY_NODES);
+    BATCH_DELAY.mul_f64(factor).min(MAX_BATCH_DELAY)
 }
 
-async fn follow_once<F: TableFollower>(
+async fn poll_once<F: TableWatcher>(
     client: &mut StoreClient,
-    follower: &mut F,
+    watcher: &mut F,
     known: Option<RowVersion>,
 ) -> Result<(RowVersion, bool), StoreError> {
-    let table = follower.table();
+    let table = watcher.table();
     let Some(after) = known else {
-        let page = client.read_table(table, READ_LIMIT).await?;
+        let page = client.read_table(table, READ_TIMEOUT).await?;
         let version = page.version;
-        follower.take_page(page);
+        watcher.apply_page(page);
         return Ok((version, true));
     };
     let answer = client
-        .watch_table(table, after, FOLLOW_WAIT, FOLLOW_SLACK)
+        .watch_table(table, after, LONG_POLL_WAIT, LONG_POLL_SLACK)
         .await?;
     let changed = !answer.rows.is_empty();
     for row in answer.rows {
-        follower.take_row(row);
+        watcher.apply_row(row);
     }
     Ok((answer.version.max(after), changed))
 }
 
-fn log_lost(node: &GatewayNode, table: &str, error: &StoreError) {
+fn log_store_lost(node: &GatewayNode, table: &str, error: &StoreError) {
     let line = EventLine::new(EventCode::StoreLost)
         .text("table", table)
         .text("reason", &error.to_string())
@@ -154,29 +158,29 @@
     node.log(&line);
 }
 
-fn log_regained(node: &GatewayNode, table: &str, failures: u32) {
+fn log_store_regained(node: &GatewayNode, table: &str, failures: u32) {
     let line = EventLine::new(EventCode::StoreRegained)
         .text("table", table)
         .number("failures", u64::from(failures));
     node.log(&line);
 }
 
-struct ConfigFollower {
+struct ConfigWatcher {
     node: Rc<GatewayNode>,
 }
 
-impl TableFollower for ConfigFollower {
+impl TableWatcher for ConfigWatcher {
     fn table(&self) -> &'static str {
         CONFIG_TABLE
     }
 
-    fn take_page(&mut self, page: RowPage) {
+    fn apply_page(&mut self, page: RowPage) {
         for row in page.rows {
-            self.take_row(row);
+            self.apply_row(row);
         }
     }
 
-    fn take_row(&mut self, row: StoreRow) {
+    fn apply_row(&mut self, row: StoreRow) {
         let Some(bytes) = row.value.filter(|_| row.key == CONFIG_KEY) else {
             return;
         };
@@ -199,32 +203,33 @@
 
     fn confirm(&mut self, _version: RowVersion) {}
 
-    fn failed(&mut self) {}
+    fn call_failed(&mut self) {}
 }
 
-struct RegistryFollower {
+struct RegistryWatcher {
     node: Rc<GatewayNode>,
-    /// Targets whose entries were missing soon after the store's return.
-    pending: Vec<HostId>,
-    returned: Option<Duration>,
+    /// Targets whose entries were missing soon after an outage of the store.
+    pending_removals: Vec<HostId>,
+    last_failure: Option<Duration>,
 }
 
-impl RegistryFollower {
-    fn in_return_time(&self) -> bool {
+impl RegistryWatcher {
+    fn in_recovery_grace(&self) -> bool {
         let now = self.node.now();
-        self.returned
-            .is_some_and(|returned| now.saturating_sub(returned) < RETURN_TIME)
+        self.last_failure
+            .is_some_and(|failed_at| now.saturating_sub(failed_at) < RECOVERY_GRACE)
     }
 
-    fn take_gone(&mut self, id: HostId) {
-        if self.in_return_time() {
-            self.pending.push(id);
+    fn handle_missing(&mut self, id: HostId) {
+        if self.in_recovery_grace() {
+            self.pending_removals.push(id);
             return;
         }
         self.unlist(id);
     }
 
-    /// Asks a target that is still needed whether it lives: one that is dead is then gone at once.
+    /// Removes a target from the registry view. One that is still needed is probed, so that it is
+    /// dropped at once if it is dead.
     fn unlist(&self, id: HostId) {
         if self.node.unlist_target(&id) {
             tokio::task::spawn_local(ask_unlisted_one(Rc::clone(&self.node), id));
@@ -232,12 +237,12 @@
     }
 }
 
-impl TableFollower for RegistryFollower {
+impl TableWatcher for RegistryWatcher {
     fn table(&self) -> &'static str {
         TARGETS_TABLE
     }
 
-    fn take_page(&mut self, page: RowPage) {
+    fn apply_page(&mut self, page: RowPage) {
         let mut present: HashSet<String> = HashSet::new();
         let line = EventLine::new(EventCode::RegistryRead)
             .number("rows", u64::try_from(page.rows.len()).unwrap_or(u64::MAX))
@@ -245,27 +250,27 @@
         self.node.log(&line);
         for row in page.rows {
             present.insert(row.key.clone());
-            self.take_row(row);
+            self.apply_row(row);
         }
         let missing: Vec<HostId> = self.node.registry(|registry| {
             let known = registry.targets().map(|entry| entry.id.clone());
             known.filter(|id| !present.contains(id.as_str())).collect()
         });
         for id in missing {
-            self.take_gone(id);
+            self.handle_missing(id);
         }
     }
 
-    fn take_row(&mut self, row: StoreRow) {
+    fn apply_row(&mut self, row: StoreRow) {
         let Some(bytes) = &row.value else {
             if let Ok(id) = row.key.parse::<HostId>() {
-                self.take_gone(id);
+                self.handle_missing(id);
             }
             return;
         };
         match decode_target(&row.key, bytes) {
             Ok(entry) => {
-                self.pending.retain(|id| *id != entry.id);
+                self.pending_removals.retain(|id| *id != entry.id);
                 self.node.list_target(&entry);
             }
             Err(error) => {
@@ -274,7 +279,7 @@
                     .number("row_version", row.version.0)
                     .text("reason", &error.to_string());
                 self.node.log(&line);
-                // It names nobody to use; what runs at the one that it named goes on.
+                // An unreadable entry gets no new requests; those already running there continue.
                 if let Ok(id) = row.key.parse::<HostId>() {
                     self.unlist(id);
                 }
@@ -284,16 +289,16 @@
 
     fn confirm(&mut self, version: RowVersion) {
         self.node.confirm_registry(version);
-        if self.in_return_time() {
+        if self.in_recovery_grace() {
             return;
         }
-        for id in std::mem::take(&mut self.pending) {
+        for id in std::mem::take(&mut self.pending_removals) {
             self.unlist(id);
         }
     }
 
-    fn failed(&mut self) {
+    fn call_failed(&mut self) {
         self.node.lose_store();
-        self.returned = Some(self.node.now());
+        self.last_failure = Some(self.node.now());
     }
 }
