--- a/crates/gateway/src/care/blind.rs
+++ b/crates/gateway/src/care/blind.rs
@@ -13,7 +13,7 @@
 use serving::plan::{HostState, SPARE_PREFIX};
 
 use super::ReplicaCare;
-use crate::probe::{ask_host, order_target};
+use crate::probe::{order_target, refresh_host};
 
 /// Pause between two rounds of questions to one fabric domain; a join takes about as long.
 const ASK_PAUSE: Duration = Duration::from_millis(250);
@@ -85,7 +85,7 @@
     async fn ask_hosts(&self, fabric: &FabricId, ids: Vec<HostId>) {
         let questions = ids.iter().filter_map(|id| {
             let target = order_target(&self.node, id)?;
-            Some(ask_host(&self.node, target))
+            Some(refresh_host(&self.node, target))
         });
         futures::future::join_all(questions).await;
         self.asked.borrow_mut().end(fabric, self.node.now());
--- a/crates/gateway/src/care/steps.rs
+++ b/crates/gateway/src/care/steps.rs
@@ -8,7 +8,7 @@
 
 use super::ReplicaCare;
 use crate::orders::{OrderEnd, PlannedOrder, key, settle_order};
-use crate::probe::{ask_host, order_target};
+use crate::probe::{order_target, refresh_host};
 
 /// Time for which a head that was told to open may go on reporting itself as ready.
 const OPENING_TIME: Duration = Duration::from_millis(900);
@@ -151,7 +151,7 @@
         let moved = self.moved_heads(members);
         let asks = moved.iter().filter_map(|(head, _)| {
             let target = order_target(&self.node, head)?;
-            Some(ask_host(&self.node, target))
+            Some(refresh_host(&self.node, target))
         });
         futures::future::join_all(asks).await;
         self.node.registry(|registry| {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking the members of silent replicas, and suspected targets, whether they live.
+//! Probes the members of stalled replicas and suspected targets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,77 +9,79 @@
 
 use crate::node::{GatewayNode, LossSign};
 
-/// Pause between two looks at the replicas' pulses.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval for checking replicas for lack of progress.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for a report. Engines answer one within milliseconds, whatever they run.
-const REPORT_LIMIT: Duration = Duration::from_millis(160);
+/// Timeout for a report. Engines answer within milliseconds under any load.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(160);
 
-/// Pause before a suspected target is asked again.
-const SUSPECT_PAUSE: Duration = Duration::from_millis(700);
+/// Interval between probes of a suspected target.
+const PROBE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Longest time by which a report is behind.
-const REPORT_LAG: Duration = Duration::from_millis(600);
+/// Maximum age of the state in a report.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// How long nothing is sent to a plain service's target that could not be reached.
-const PLAIN_SUSPECT_TIME: Duration = Duration::from_secs(2);
+/// How long a plain service's target gets no requests after a failed connection.
+const PLAIN_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
-/// Looks for replicas that stand still.
-pub async fn watch_replicas(node: Rc<GatewayNode>) {
+/// Probes the members of replicas that make no progress; never returns.
+pub async fn watch_for_stalls(node: Rc<GatewayNode>) {
     loop {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(STALL_CHECK_INTERVAL).await;
         for head in node.silent_heads() {
-            ask_members(&node, &head);
+            probe_members(&node, &head);
         }
     }
 }
 
-fn ask_members(node: &Rc<GatewayNode>, head: &HostId) {
+fn probe_members(node: &Rc<GatewayNode>, head: &HostId) {
     let replica = node.registry(|registry| {
         let membership = registry.get(head)?.membership.as_ref()?;
         registry.replica(membership).cloned()
     });
-    let size = replica.as_ref().and_then(|replica| size_of(node, replica));
+    let size = replica
+        .as_ref()
+        .and_then(|replica| replica_size(node, replica));
     let Some(replica) =
         replica.filter(|replica| size.is_some_and(|size| replica.is_complete(size)))
     else {
-        // A member left for another replica, or is gone: nothing will move again.
+        // A member has joined another replica or is gone, so the replica can't make progress again.
         node.raise_loss(head);
         return;
     };
     for member in replica.members.into_values() {
         if node.is_retired(&member) {
-            // It does not work on for its head: it is gone.
-            node.suspect(&member, LossSign::Silent, "its replica stands still");
+            // It has stopped accepting connections, and its replica is stalled: it is gone.
+            node.suspect(&member, LossSign::Silent, "replica stalled");
             continue;
         }
-        tokio::task::spawn_local(ask(Rc::clone(node), member));
+        tokio::task::spawn_local(probe(Rc::clone(node), member));
     }
 }
 
-fn size_of(node: &GatewayNode, replica: &ReplicaView) -> Option<usize> {
+fn replica_size(node: &GatewayNode, replica: &ReplicaView) -> Option<usize> {
     let config = node.config()?;
     let service = config.services.get(&replica.service)?;
     let model = service.model(replica.model.as_ref()?)?;
     Some(model.size)
 }
 
-/// Asks an engine, unless it is suspected or being asked already.
-pub async fn ask(node: Rc<GatewayNode>, id: HostId) {
+/// Probes an engine, unless it is already suspected or being probed.
+pub async fn probe(node: Rc<GatewayNode>, id: HostId) {
     if node.is_suspect(&id) || !node.begin_asking(&id) {
         return;
     }
-    ask_twice(&node, &id).await;
+    probe_twice(&node, &id).await;
     node.end_asking(&id);
 }
 
-/// Asks a target twice before it is suspected: one lost packet is not the end of a host.
-async fn ask_twice(node: &GatewayNode, id: &HostId) -> Option<HostReport> {
+/// Probes a target and suspects it after two failures, since one may be a lost packet.
+async fn probe_twice(node: &GatewayNode, id: &HostId) -> Option<HostReport> {
     let mut reason = String::new();
     let mut sign = LossSign::Silent;
     for _ in 0..2 {
         let target = order_target(node, id)?;
-        match target.fetch_report(REPORT_LIMIT).await {
+        match target.fetch_report(REPORT_TIMEOUT).await {
             Ok(report) => return Some(report),
             Err(error) => {
                 let refused = error.is_refused();
@@ -95,74 +97,76 @@
     None
 }
 
-/// Asks suspected targets again until they answer or are gone.
-pub async fn ask_suspects(node: Rc<GatewayNode>) {
+/// Probes suspected targets until they answer or are removed; never returns.
+pub async fn probe_suspects(node: Rc<GatewayNode>) {
     loop {
-        tokio::time::sleep(SUSPECT_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         let now = node.now();
         for (id, since) in node.suspects() {
-            // Targets of plain services give no reports; a request shows whether one is back.
-            let plain = node.registry(|registry| {
+            // Targets of plain services can't be probed; the next request shows whether one is
+            // back.
+            let is_plain = node.registry(|registry| {
                 registry
                     .get(&id)
                     .is_some_and(|entry| entry.fabric.is_none())
             });
-            if !plain {
-                tokio::task::spawn_local(ask_suspect(Rc::clone(&node), id));
-            } else if now.saturating_sub(since) > PLAIN_SUSPECT_TIME {
+            if !is_plain {
+                tokio::task::spawn_local(probe_suspect(Rc::clone(&node), id));
+            } else if now.saturating_sub(since) > PLAIN_SUSPECT_DURATION {
                 node.trust(&id);
             }
         }
     }
 }
 
-/// Asks targets that the registry names no more until they don't answer, or no request needs them;
-/// then they are gone.
-pub async fn ask_unlisted(node: Rc<GatewayNode>) {
+/// Probes targets that are no longer in the registry, and removes them once they don't answer or no
+/// request needs them; never returns.
+pub async fn probe_all_unlisted(node: Rc<GatewayNode>) {
     loop {
-        tokio::time::sleep(SUSPECT_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         for id in node.long_retired() {
             node.remove_target(&id);
         }
         for id in node.unlisted() {
-            tokio::task::spawn_local(ask_unlisted_one(Rc::clone(&node), id));
+            tokio::task::spawn_local(probe_unlisted(Rc::clone(&node), id));
         }
     }
 }
 
-/// Asks one such target.
-pub async fn ask_unlisted_one(node: Rc<GatewayNode>, id: HostId) {
-    let report = ask_twice(&node, &id).await;
-    // A report may tell of the time before an order that this node saw take effect: taken as news,
-    // a head that closes would seem open again and be closed anew.
-    if let Some(report) = report.filter(|_| node.membership_age(&id) > REPORT_LAG) {
-        take_report(&node, &id, report);
+/// Probes one target that is no longer in the registry.
+pub async fn probe_unlisted(node: Rc<GatewayNode>, id: HostId) {
+    let report = probe_twice(&node, &id).await;
+    // A report may predate an order whose effect this node has already applied. Using it would make
+    // a closing head look open again and have it closed twice.
+    if let Some(report) = report.filter(|_| node.membership_age(&id) > MAX_REPORT_AGE) {
+        apply_report(&node, &id, report);
     }
     if node.is_unlisted(&id) && !node.holds_requests(&id) {
         node.remove_target(&id);
     }
 }
 
-async fn ask_suspect(node: Rc<GatewayNode>, id: HostId) {
+async fn probe_suspect(node: Rc<GatewayNode>, id: HostId) {
     let Some(target) = order_target(&node, &id) else {
         node.trust(&id);
         return;
     };
-    if target.fetch_report(REPORT_LIMIT).await.is_ok() {
+    if target.fetch_report(REPORT_TIMEOUT).await.is_ok() {
         node.trust(&id);
     }
 }
 
-/// Asks an engine about its replica, ahead of the registry; one that does not answer is suspected.
-pub async fn ask_host(node: &GatewayNode, target: OrderTarget) {
-    match target.fetch_report(REPORT_LIMIT).await {
-        Ok(report) => take_report(node, &target.id, report),
+/// Reads an engine's state directly, ahead of the registry; an engine that does not answer is
+/// suspected.
+pub async fn refresh_host(node: &GatewayNode, target: OrderTarget) {
+    match target.fetch_report(REPORT_TIMEOUT).await {
+        Ok(report) => apply_report(node, &target.id, report),
         Err(error) => node.suspect(&target.id, (&error).into(), &error.to_string()),
     }
 }
 
-/// Takes what an engine says of itself, ahead of the registry.
-fn take_report(node: &GatewayNode, id: &HostId, report: HostReport) {
+/// Applies an engine's report ahead of the registry.
+fn apply_report(node: &GatewayNode, id: &HostId, report: HostReport) {
     node.foresee(id, |entry| {
         entry.boot = report.status.boot;
         entry.loaded = report.status.loaded;
@@ -171,16 +175,17 @@
     });
 }
 
-/// Asks an engine that refused a request as no head of a serving replica.
-pub fn ask_refusing(node: &Rc<GatewayNode>, id: &HostId) {
+/// Reads the state of an engine that rejected a request because it is not the head of a serving
+/// replica.
+pub fn refresh_refusing(node: &Rc<GatewayNode>, id: &HostId) {
     let Some(target) = order_target(node, id) else {
         return;
     };
     let node = Rc::clone(node);
-    tokio::task::spawn_local(async move { ask_host(&node, target).await });
+    tokio::task::spawn_local(async move { refresh_host(&node, target).await });
 }
 
-/// Where a known target takes orders and questions.
+/// Address for orders and reports of a known target; `None` if it is unknown.
 pub fn order_target(node: &GatewayNode, id: &HostId) -> Option<OrderTarget> {
     node.registry(|registry| {
         let entry = registry.get(id)?;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -71,9 +71,9 @@
     spawn_local(heartbeat::run_heartbeats(Rc::clone(&node)));
     spawn_local(crash_records::watch_crash_records(Rc::clone(&node)));
     spawn_local(care::care_for_replicas(Rc::clone(&node)));
-    spawn_local(probe::watch_replicas(Rc::clone(&node)));
-    spawn_local(probe::ask_suspects(Rc::clone(&node)));
-    spawn_local(probe::ask_unlisted(Rc::clone(&node)));
+    spawn_local(probe::watch_for_stalls(Rc::clone(&node)));
+    spawn_local(probe::probe_suspects(Rc::clone(&node)));
+    spawn_local(probe::probe_all_unlisted(Rc::clone(&node)));
     spawn_local(run_housekeeping(Rc::clone(&node)));
     spawn_local(reread_settings(Rc::clone(&node), hangup, path.to_owned()));
     terminate.recv().await;
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -15,7 +15,7 @@
 use crate::crash::record_interrupted;
 use crate::hints::LoadHint;
 use crate::node::{GatewayNode, LossSign};
-use crate::probe::{ask, ask_refusing};
+use crate::probe::{probe, refresh_refusing};
 
 /// Connection time after which an engine is probed. Targets are less than a millisecond away.
 const SLOW_CONNECT_THRESHOLD: Duration = Duration::from_millis(100);
@@ -238,7 +238,7 @@
         return acquired;
     }
     if target.membership.is_some() {
-        tokio::task::spawn_local(ask(Rc::clone(node), target.id.clone()));
+        tokio::task::spawn_local(probe(Rc::clone(node), target.id.clone()));
     }
     acquiring.await
 }
@@ -327,7 +327,7 @@
             }
             // The target is no longer the head of a serving replica, or another target has its
             // address.
-            _ if misdirected && target.membership.is_some() => ask_refusing(node, id),
+            _ if misdirected && target.membership.is_some() => refresh_refusing(node, id),
             _ if misdirected => {
                 node.suspect(id, LossSign::Silent, "address belongs to another target");
             }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -11,7 +11,7 @@
 use events::{EventCode, EventLine};
 
 use crate::node::GatewayNode;
-use crate::probe::ask_unlisted_one;
+use crate::probe::probe_unlisted;
 
 /// Wait time of one long poll. A connection may go silent without being closed, and a node must
 /// know the current state within three seconds of that, so each call ends earlier.
@@ -232,7 +232,7 @@
     /// dropped at once if it is dead.
     fn unlist(&self, id: HostId) {
         if self.node.unlist_target(&id) {
-            tokio::task::spawn_local(ask_unlisted_one(Rc::clone(&self.node), id));
+            tokio::task::spawn_local(probe_unlisted(Rc::clone(&self.node), id));
         }
     }
 }
