--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -21,7 +21,7 @@
 use serving::{ServiceConfig, TargetEntry, TargetState};
 
 use crate::node::GatewayNode;
-use crate::orders::OrderDesk;
+use crate::orders::OrderTracker;
 
 use blind::AskedFabrics;
 use turns::{KeptLayouts, TurnRanks};
@@ -49,7 +49,7 @@
 pub async fn care_for_replicas(node: Rc<GatewayNode>) {
     let care = Rc::new(ReplicaCare {
         node: Rc::clone(&node),
-        desk: OrderDesk::default(),
+        order_tracker: OrderTracker::default(),
         waiting: RefCell::default(),
         staging: RefCell::default(),
         formed: Cell::new(0),
@@ -80,7 +80,7 @@
 
 struct ReplicaCare {
     node: Rc<GatewayNode>,
-    desk: OrderDesk,
+    order_tracker: OrderTracker,
     /// Steps that wait for this node's turn, with the time since when.
     waiting: RefCell<FastMap<PlanStep, Duration>>,
     /// Second models that hosts were told to load, and until when they may be at it.
@@ -248,7 +248,7 @@
                 .silent_for(&entry.id)
                 .filter(|_| !self.node.serves_others(&entry.id)),
             lifecycle: self.stay(entry),
-            order_pending: self.desk.is_open(&entry.id),
+            order_pending: self.order_tracker.is_pending(&entry.id),
             loaded: entry.loaded.clone(),
             staged: entry.staged.clone(),
             staging: self.staging_at(&entry.id),
@@ -299,11 +299,11 @@
 
     fn begin(self: &Rc<Self>, step: PlanStep) {
         let hosts = step.hosts().to_vec();
-        if !self.desk.reserve(&hosts) {
+        if !self.order_tracker.reserve(&hosts) {
             return;
         }
         if !self.may_load(&step) {
-            self.desk.release(&hosts);
+            self.order_tracker.release(&hosts);
             return;
         }
         let line = EventLine::new(EventCode::StepTaken)
@@ -314,7 +314,7 @@
         tokio::task::spawn_local(async move {
             let hold = care.take(step).await;
             tokio::time::sleep(hold).await;
-            care.desk.release(&hosts);
+            care.order_tracker.release(&hosts);
             care.node.changed.notify_waiters();
         });
     }
--- a/crates/gateway/src/care/staging.rs
+++ b/crates/gateway/src/care/staging.rs
@@ -7,7 +7,7 @@
 
 use super::ReplicaCare;
 use super::steps::hold_after;
-use crate::orders::key;
+use crate::orders::membership_key;
 
 /// Factor by which loads are quicker before the first request of the whole system.
 const LEAD_SPEED: f64 = 10.0;
@@ -27,7 +27,7 @@
         self.staging.borrow_mut().insert(host.clone(), loading);
         let expected = self.node.registry(|registry| {
             let entry = registry.get(host)?;
-            entry.membership.as_ref().map(key)
+            entry.membership.as_ref().map(membership_key)
         });
         let end = self.give(host, HostOrder::Stage { model }, expected).await;
         hold_after(end, Duration::ZERO)
--- a/crates/gateway/src/care/steps.rs
+++ b/crates/gateway/src/care/steps.rs
@@ -7,7 +7,7 @@
 use serving::plan::{CloseMode, PlanStep, SPARE_PREFIX, spare_prefix};
 
 use super::ReplicaCare;
-use crate::orders::{OrderEnd, PlannedOrder, key, settle_order};
+use crate::orders::{OrderOutcome, PlannedOrder, execute_order, membership_key};
 use crate::probe::{order_target, refresh_host};
 
 /// Time for which a head that was told to open may go on reporting itself as ready.
@@ -81,27 +81,27 @@
         host: &HostId,
         order: HostOrder,
         expected: Option<(ReplicaId, u64)>,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         let planned = PlannedOrder {
             host: host.clone(),
             order,
             expected,
         };
-        settle_order(&self.node, &self.desk, &planned).await
+        execute_order(&self.node, &self.order_tracker, &planned).await
     }
 
     /// Joins hosts to a new replica. Hosts that were heads go first: once a head has left its old
     /// replica, nobody can open that one again, and its members are free.
-    async fn form(&self, model: ModelName, members: Vec<HostId>, prefix: &str) -> OrderEnd {
+    async fn form(&self, model: ModelName, members: Vec<HostId>, prefix: &str) -> OrderOutcome {
         let name = self.new_name(prefix).zip(self.node.registry_version());
         let Some((replica, version)) = name else {
-            return OrderEnd::Stale;
+            return OrderOutcome::Stale;
         };
         // Versions of the store only grow, for all nodes alike, and an epoch that was taken at one
         // is above each that stood in the registry by then.
         let epoch = version.0;
         let end = self.join_all(model, members, replica.clone(), epoch).await;
-        if end != OrderEnd::Done {
+        if end != OrderOutcome::Done {
             self.node.give_up_replica(&replica, epoch);
         }
         end
@@ -113,7 +113,7 @@
         members: Vec<HostId>,
         replica: ReplicaId,
         epoch: u64,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         let join = HostOrder::Join {
             replica,
             epoch,
@@ -121,7 +121,7 @@
             members: members.clone(),
         };
         if !self.confirm_left(&members).await {
-            return OrderEnd::Stale;
+            return OrderOutcome::Stale;
         }
         let mut heads = Vec::new();
         let mut others = Vec::new();
@@ -133,7 +133,7 @@
         }
         for (host, expected) in heads {
             let end = self.join_head(&host, expected, &join).await;
-            if end != OrderEnd::Done {
+            if end != OrderOutcome::Done {
                 return end;
             }
         }
@@ -141,8 +141,8 @@
             .into_iter()
             .map(|(host, place)| self.join_member(host, place, &join));
         let ends = futures::future::join_all(joins).await;
-        let failed = ends.into_iter().find(|end| *end != OrderEnd::Done);
-        failed.unwrap_or(OrderEnd::Done)
+        let failed = ends.into_iter().find(|end| *end != OrderOutcome::Done);
+        failed.unwrap_or(OrderOutcome::Done)
     }
 
     /// Asks the heads that seem to have left the replicas of members; whether they have. An entry may be
@@ -158,7 +158,7 @@
             moved.iter().all(|(head, old)| {
                 let entry = registry.get(head);
                 let membership = entry.and_then(|entry| entry.membership.as_ref());
-                membership.is_none_or(|membership| key(membership) != *old)
+                membership.is_none_or(|membership| membership_key(membership) != *old)
             })
         })
     }
@@ -172,12 +172,15 @@
                 let Some(membership) = entry.and_then(|entry| entry.membership.as_ref()) else {
                     continue;
                 };
-                let old = key(membership);
+                let old = membership_key(membership);
                 let head = self.node.head_of(&old);
                 let Some(entry) = head.as_ref().and_then(|head| registry.get(head)) else {
                     continue;
                 };
-                let stays = entry.membership.as_ref().is_some_and(|now| key(now) == old);
+                let stays = entry
+                    .membership
+                    .as_ref()
+                    .is_some_and(|now| membership_key(now) == old);
                 let is_new = moved.iter().all(|(head, _)| *head != entry.id);
                 if !stays && is_new && !self.node.is_suspect(&entry.id) {
                     moved.push((entry.id.clone(), old));
@@ -189,31 +192,41 @@
 
     /// Joins the head of an old replica. An engine that opens still reports itself as ready, so it
     /// leaves first: joined at once, it could be serving and belong to two replicas.
-    async fn join_head(&self, host: &HostId, old: (ReplicaId, u64), join: &HostOrder) -> OrderEnd {
+    async fn join_head(
+        &self,
+        host: &HostId,
+        old: (ReplicaId, u64),
+        join: &HostOrder,
+    ) -> OrderOutcome {
         if old.0.as_str().starts_with(SPARE_PREFIX) {
             return self.give(host, join.clone(), Some(old)).await;
         }
         let end = self.leave(host, &old).await;
-        if end != OrderEnd::Done {
+        if end != OrderOutcome::Done {
             return end;
         }
         self.give(host, join.clone(), None).await
     }
 
-    async fn join_member(&self, host: HostId, place: MemberPlace, join: &HostOrder) -> OrderEnd {
+    async fn join_member(
+        &self,
+        host: HostId,
+        place: MemberPlace,
+        join: &HostOrder,
+    ) -> OrderOutcome {
         let expected = match place {
             MemberPlace::Free => None,
             MemberPlace::Head(key) | MemberPlace::FreedMember(key) => Some(key),
             MemberPlace::MemberOf(key, head) => {
                 let end = self.leave(&head, &key).await;
-                if end != OrderEnd::Done {
+                if end != OrderOutcome::Done {
                     return end;
                 }
                 Some(key)
             }
             MemberPlace::Orphan(key) => {
                 let end = self.leave(&host, &key).await;
-                if end != OrderEnd::Done {
+                if end != OrderOutcome::Done {
                     return end;
                 }
                 None
@@ -222,7 +235,7 @@
         self.give(&host, join.clone(), expected).await
     }
 
-    async fn leave(&self, host: &HostId, old: &(ReplicaId, u64)) -> OrderEnd {
+    async fn leave(&self, host: &HostId, old: &(ReplicaId, u64)) -> OrderOutcome {
         let order = HostOrder::Leave {
             replica: old.0.clone(),
             epoch: old.1,
@@ -238,15 +251,18 @@
                 return MemberPlace::Free;
             };
             if membership.rank == 0 {
-                return MemberPlace::Head(key(membership));
+                return MemberPlace::Head(membership_key(membership));
             }
-            let old = key(membership);
+            let old = membership_key(membership);
             let head = self.node.head_of(&old);
             let entry = head.as_ref().and_then(|head| registry.get(head));
             let Some(entry) = entry.filter(|entry| !self.node.is_suspect(&entry.id)) else {
                 return MemberPlace::Orphan(old);
             };
-            let stays = entry.membership.as_ref().is_some_and(|now| key(now) == old);
+            let stays = entry
+                .membership
+                .as_ref()
+                .is_some_and(|now| membership_key(now) == old);
             if !stays || joined.contains(&entry.id) {
                 return MemberPlace::FreedMember(old);
             }
@@ -278,9 +294,9 @@
     Orphan((ReplicaId, u64)),
 }
 
-pub(super) fn hold_after(end: OrderEnd, done: Duration) -> Duration {
+pub(super) fn hold_after(end: OrderOutcome, done: Duration) -> Duration {
     match end {
-        OrderEnd::Done => done,
-        OrderEnd::Stale | OrderEnd::Silent => RETRY_PAUSE,
+        OrderOutcome::Done => done,
+        OrderOutcome::Stale | OrderOutcome::Unresponsive => RETRY_PAUSE,
     }
 }
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -162,7 +162,7 @@
 
     /// Takes the effect of an order that an engine accepted, ahead of the registry. Without it the
     /// next plan would start from the state before the order, and take the same hosts again.
-    pub fn foresee(&self, id: &HostId, change: impl FnOnce(&mut TargetEntry)) {
+    pub fn apply_expected(&self, id: &HostId, change: impl FnOnce(&mut TargetEntry)) {
         let known = self.registry(|registry| registry.get(id).cloned());
         let Some(mut entry) = known else { return };
         change(&mut entry);
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,9 +1,9 @@
-//! Giving orders to engines so that each takes effect once or not at all.
+//! Sends orders to engines so that each takes effect at most once.
 //!
-//! An order names the number of orders that the engine must have accepted before it. An order
-//! that was not answered may be carried out seconds later; sending the very same order again
-//! settles it, because only one of the two can fit that number. The number also stands in for a
-//! lease: of two nodes that plan for the same engine, one wins and the other is refused.
+//! An order carries the number of orders that the engine must have accepted before it. An
+//! unanswered order may still be executed seconds later; resending the identical order resolves
+//! this, because only one of the two can match that number. The number also replaces a lease: if
+//! two nodes plan for the same engine, one order is accepted and the other rejected.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,94 +18,94 @@
 use crate::node::{GatewayNode, LossSign};
 use crate::probe::order_target;
 
-/// Longest wait for an answer to an order or a report; they come within milliseconds.
-const ORDER_LIMIT: Duration = Duration::from_millis(180);
+/// Timeout for the answer to an order or a report; both usually take milliseconds.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(180);
 
-/// Times that an unanswered order is sent. With a third of the answers lost, one order in a
-/// thousand stays unsettled.
-const ORDER_TRIES: u32 = 6;
+/// Maximum number of times an order is sent. With a third of the answers lost, one order in a
+/// thousand stays unresolved.
+const MAX_ORDER_ATTEMPTS: u32 = 6;
 
-/// Pause between two of them.
-const ORDER_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before an unanswered order is resent.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Reports that may go unanswered before an engine is suspected.
-const REPORT_TRIES: u32 = 2;
+/// Number of unanswered report requests after which an engine is suspected.
+const MAX_REPORT_ATTEMPTS: u32 = 2;
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderEnd {
-    /// It took effect.
+pub enum OrderOutcome {
+    /// The order took effect.
     Done,
-    /// The engine is in another state than planned for.
+    /// The engine is not in the state that the order was planned for.
     Stale,
-    /// The engine does not answer.
-    Silent,
+    /// The engine did not answer.
+    Unresponsive,
 }
 
-/// Time for which the answer to this node's last order stands for a report. Reports lag by some
-/// hundred milliseconds, so one that is asked for now may tell of the time before that order.
-const ANSWER_TIME: Duration = Duration::from_millis(1200);
+/// Time for which the answer to this node's last order replaces a report. Reports lag by some
+/// hundred milliseconds, so a new one may predate that order.
+const ANSWER_VALIDITY: Duration = Duration::from_millis(1200);
 
 #[derive(Debug, Clone, Copy)]
-struct KnownOrders {
+struct KnownOrderCount {
     boot: BootNumber,
     orders: u64,
-    /// When an order of this node was accepted as the last one of them.
-    answered: Option<Duration>,
+    /// When the last of these orders was accepted, if it came from this node.
+    accepted_at: Option<Duration>,
 }
 
-impl OrderEnd {
+impl OrderOutcome {
     fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Stale => "stale",
-            Self::Silent => "silent",
+            Self::Unresponsive => "silent",
         }
     }
 }
 
-/// What is known of orders from this node.
+/// Accepted order counts per engine, and the engines with pending orders.
 #[derive(Debug, Default)]
-pub struct OrderDesk {
-    /// Accepted orders by engine, as far as this node knows. A report may be older than the
-    /// answer to the last order.
-    accepted: RefCell<FastMap<HostId, KnownOrders>>,
-    /// Engines with an order that is not settled.
-    open: RefCell<FastSet<HostId>>,
+pub struct OrderTracker {
+    /// Accepted orders per engine, as known to this node. A report may be older than the answer to
+    /// the last order.
+    accepted: RefCell<FastMap<HostId, KnownOrderCount>>,
+    /// Engines that are reserved for an order that is not settled.
+    pending: RefCell<FastSet<HostId>>,
 }
 
-impl OrderDesk {
-    /// Whether an order to an engine is not settled.
+impl OrderTracker {
+    /// Whether an engine has a pending order.
     #[must_use]
-    pub fn is_open(&self, id: &HostId) -> bool {
-        self.open.borrow().contains(id)
+    pub fn is_pending(&self, id: &HostId) -> bool {
+        self.pending.borrow().contains(id)
     }
 
-    /// Reserves engines, or none of them.
+    /// Reserves all given engines, or none if any is already reserved; returns whether it did.
     pub fn reserve(&self, ids: &[HostId]) -> bool {
-        let mut open = self.open.borrow_mut();
-        if ids.iter().any(|id| open.contains(id)) {
+        let mut pending = self.pending.borrow_mut();
+        if ids.iter().any(|id| pending.contains(id)) {
             return false;
         }
-        open.extend(ids.iter().cloned());
+        pending.extend(ids.iter().cloned());
         true
     }
 
-    /// Gives reserved engines free.
+    /// Releases reserved engines.
     pub fn release(&self, ids: &[HostId]) {
-        let mut open = self.open.borrow_mut();
+        let mut pending = self.pending.borrow_mut();
         for id in ids {
-            open.remove(id);
+            pending.remove(id);
         }
     }
 
-    /// Takes what a report says; returns the orders that count.
-    fn note_report(&self, id: &HostId, boot: BootNumber, orders: u64) -> u64 {
+    /// Updates the known count from a report, which may be out of date; returns the count to use.
+    fn record_report(&self, id: &HostId, boot: BootNumber, orders: u64) -> u64 {
         let mut accepted = self.accepted.borrow_mut();
-        let reported = KnownOrders {
+        let reported = KnownOrderCount {
             boot,
             orders,
-            answered: None,
+            accepted_at: None,
         };
         let known = accepted.entry(id.clone()).or_insert(reported);
         if known.boot != boot || known.orders < orders {
@@ -114,19 +114,19 @@
         known.orders
     }
 
-    fn note_answer(&self, id: &HostId, boot: BootNumber, orders: u64, now: Duration) {
-        let known = KnownOrders {
+    fn record_accepted(&self, id: &HostId, boot: BootNumber, orders: u64, now: Duration) {
+        let known = KnownOrderCount {
             boot,
             orders,
-            answered: Some(now),
+            accepted_at: Some(now),
         };
         self.accepted.borrow_mut().insert(id.clone(), known);
     }
 
-    /// The orders that an engine had accepted with this node's last one, if that was just now.
-    fn just_answered(&self, id: &HostId, now: Duration) -> Option<(BootNumber, u64)> {
+    /// Boot number and order count of an engine, if this node's last order was accepted recently.
+    fn recent_answer(&self, id: &HostId, now: Duration) -> Option<(BootNumber, u64)> {
         let known = self.accepted.borrow().get(id).copied()?;
-        let recent = now.saturating_sub(known.answered?) < ANSWER_TIME;
+        let recent = now.saturating_sub(known.accepted_at?) < ANSWER_VALIDITY;
         recent.then_some((known.boot, known.orders))
     }
 
@@ -138,42 +138,42 @@
 /// An order with the state that it was planned for.
 #[derive(Debug, Clone)]
 pub struct PlannedOrder {
-    /// Engine.
+    /// Engine that gets the order.
     pub host: HostId,
-    /// Order.
+    /// The order itself.
     pub order: HostOrder,
-    /// Membership that the engine must still have, by name and epoch.
+    /// Membership that the engine must still have, as replica and epoch; `None` for no replica.
     pub expected: Option<(ReplicaId, u64)>,
 }
 
-/// Gives an order and waits until it is settled.
-pub async fn settle_order(
+/// Sends an order and waits until its outcome is settled.
+pub async fn execute_order(
     node: &Rc<GatewayNode>,
-    desk: &OrderDesk,
+    order_tracker: &OrderTracker,
     planned: &PlannedOrder,
-) -> OrderEnd {
-    let began = node.now();
-    let (end, tries, detail) = settle(node, desk, planned).await;
+) -> OrderOutcome {
+    let started_at = node.now();
+    let (outcome, attempts, detail) = send_until_settled(node, order_tracker, planned).await;
     let line = EventLine::new(EventCode::OrderEnded)
         .text("host", planned.host.as_str())
         .text("order", planned.order.name())
-        .text("outcome", end.name())
+        .text("outcome", outcome.name())
         .text("detail", &detail)
-        .number("tries", u64::from(tries))
-        .millis("took_ms", node.now().saturating_sub(began));
+        .number("tries", u64::from(attempts))
+        .millis("took_ms", node.now().saturating_sub(started_at));
     node.log(&line);
-    let took = node.now().saturating_sub(began);
+    let took = node.now().saturating_sub(started_at);
     node.metrics
-        .record_order(planned.order.name(), end.name(), took);
-    if end == OrderEnd::Done {
-        foresee(node, planned);
+        .record_order(planned.order.name(), outcome.name(), took);
+    if outcome == OrderOutcome::Done {
+        apply_expected(node, planned);
     }
-    end
+    outcome
 }
 
-/// Notes what an accepted order leads to.
-fn foresee(node: &GatewayNode, planned: &PlannedOrder) {
-    node.foresee(&planned.host, |entry| match &planned.order {
+/// Applies the expected effect of an accepted order to the node's view.
+fn apply_expected(node: &GatewayNode, planned: &PlannedOrder) {
+    node.apply_expected(&planned.host, |entry| match &planned.order {
         HostOrder::Join {
             replica,
             epoch,
@@ -195,96 +195,102 @@
             }
         }
         HostOrder::Leave { .. } => entry.membership = None,
-        // It reports itself as open, and the weights as staged, once it is so.
+        // The engine reports these two states itself once they are reached.
         HostOrder::Open { .. } | HostOrder::Stage { .. } => {}
     });
 }
 
-async fn settle(
+async fn send_until_settled(
     node: &Rc<GatewayNode>,
-    desk: &OrderDesk,
+    order_tracker: &OrderTracker,
     planned: &PlannedOrder,
-) -> (OrderEnd, u32, String) {
-    let (boot, accepted) = match read_state(node, desk, planned).await {
+) -> (OrderOutcome, u32, String) {
+    let (boot, accepted) = match check_precondition(node, order_tracker, planned).await {
         Ok(state) => state,
-        Err((end, detail)) => return (end, 0, detail),
+        Err((outcome, detail)) => return (outcome, 0, detail),
     };
-    let fence = node.settings.bounds.fencing.then(|| fence_of(node));
+    let fence = node.settings.bounds.fencing.then(|| current_fence(node));
     let mut detail = String::new();
-    for trial in 1..=ORDER_TRIES {
+    for attempt in 1..=MAX_ORDER_ATTEMPTS {
         let Some(target) = order_target(node, &planned.host) else {
-            return (OrderEnd::Stale, trial, "the engine is gone".to_owned());
+            return (OrderOutcome::Stale, attempt, "engine is unknown".to_owned());
         };
-        let given = target
-            .send(&planned.order, accepted, fence, ORDER_LIMIT)
+        let response = target
+            .send(&planned.order, accepted, fence, ORDER_TIMEOUT)
             .await;
-        match given {
+        match response {
             Ok(OrderResponse::Begun) => {
-                desk.note_answer(&planned.host, boot, accepted + 1, node.now());
-                return (OrderEnd::Done, trial, format!("as order {}", accepted + 1));
+                order_tracker.record_accepted(&planned.host, boot, accepted + 1, node.now());
+                return (
+                    OrderOutcome::Done,
+                    attempt,
+                    format!("accepted as order {}", accepted + 1),
+                );
             }
             Ok(OrderResponse::Holds) => {
-                // To leave takes effect before it is answered, and counts like an order that began.
+                // A leave order takes effect before it is answered, so it counts like one that has
+                // begun.
                 if matches!(planned.order, HostOrder::Leave { .. }) {
-                    desk.note_answer(&planned.host, boot, accepted + 1, node.now());
+                    order_tracker.record_accepted(&planned.host, boot, accepted + 1, node.now());
                 }
-                return (OrderEnd::Done, trial, "holds".to_owned());
+                return (OrderOutcome::Done, attempt, "holds".to_owned());
             }
             Ok(OrderResponse::Conflict) => {
-                desk.forget(&planned.host);
-                // The first of two equal orders may have been carried out unanswered.
-                let done = trial > 1 && is_done(node, planned).await;
-                let end = if done {
-                    OrderEnd::Done
+                order_tracker.forget(&planned.host);
+                // An earlier copy of the order may have been executed without an answer.
+                let done = attempt > 1 && took_effect(node, planned).await;
+                let outcome = if done {
+                    OrderOutcome::Done
                 } else {
-                    OrderEnd::Stale
+                    OrderOutcome::Stale
                 };
-                return (end, trial, format!("conflict after order {accepted}"));
+                return (outcome, attempt, format!("conflict after order {accepted}"));
             }
-            Ok(answer) => {
-                desk.forget(&planned.host);
-                return (OrderEnd::Stale, trial, format!("{answer:?}"));
+            Ok(other) => {
+                order_tracker.forget(&planned.host);
+                return (OrderOutcome::Stale, attempt, format!("{other:?}"));
             }
             Err(error) if error.is_refused() => {
                 node.suspect(&planned.host, (&error).into(), &error.to_string());
-                return (OrderEnd::Silent, trial, error.to_string());
+                return (OrderOutcome::Unresponsive, attempt, error.to_string());
             }
             Err(error) => detail = error.to_string(),
         }
-        tokio::time::sleep(ORDER_PAUSE).await;
+        tokio::time::sleep(ORDER_RETRY_DELAY).await;
     }
-    // Its number of orders is not known any more: the last one may come into effect late.
-    desk.forget(&planned.host);
-    (OrderEnd::Silent, ORDER_TRIES, detail)
+    // The order count is unknown now: the last order may still take effect.
+    order_tracker.forget(&planned.host);
+    (OrderOutcome::Unresponsive, MAX_ORDER_ATTEMPTS, detail)
 }
 
-fn fence_of(node: &GatewayNode) -> u64 {
+fn current_fence(node: &GatewayNode) -> u64 {
     node.registry_version().map_or(0, |version| version.0)
 }
 
-/// The engine's start and accepted orders, if its membership is the one planned for.
-async fn read_state(
+/// Boot number and accepted orders of the engine, if its membership is the expected one.
+async fn check_precondition(
     node: &Rc<GatewayNode>,
-    desk: &OrderDesk,
+    order_tracker: &OrderTracker,
     planned: &PlannedOrder,
-) -> Result<(BootNumber, u64), (OrderEnd, String)> {
-    if let Some(known) = desk.just_answered(&planned.host, node.now()) {
+) -> Result<(BootNumber, u64), (OrderOutcome, String)> {
+    if let Some(known) = order_tracker.recent_answer(&planned.host, node.now()) {
         return Ok(known);
     }
     let mut detail = String::new();
     let mut sign = LossSign::Silent;
-    for _ in 0..REPORT_TRIES {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(target) = order_target(node, &planned.host) else {
-            return Err((OrderEnd::Stale, "the engine is gone".to_owned()));
+            return Err((OrderOutcome::Stale, "engine is unknown".to_owned()));
         };
-        match target.fetch_report(ORDER_LIMIT).await {
+        match target.fetch_report(ORDER_TIMEOUT).await {
             Ok(report) => {
-                let found = report.status.membership.as_ref().map(key);
+                let found = report.status.membership.as_ref().map(membership_key);
                 if found != planned.expected {
                     let found = found.map_or("none".to_owned(), |(name, _)| name.to_string());
-                    return Err((OrderEnd::Stale, format!("its replica is {found}")));
+                    return Err((OrderOutcome::Stale, format!("engine is in replica {found}")));
                 }
-                let orders = desk.note_report(&planned.host, report.boot(), report.orders);
+                let orders =
+                    order_tracker.record_report(&planned.host, report.boot(), report.orders);
                 return Ok((report.boot(), orders));
             }
             Err(error) => {
@@ -294,21 +300,21 @@
         }
     }
     node.suspect(&planned.host, sign, &detail);
-    Err((OrderEnd::Silent, detail))
+    Err((OrderOutcome::Unresponsive, detail))
 }
 
-/// The part of a membership that an order is planned for.
+/// Replica and epoch of a membership, which identify the state that an order is planned for.
 #[must_use]
-pub fn key(membership: &ReplicaMembership) -> (ReplicaId, u64) {
+pub fn membership_key(membership: &ReplicaMembership) -> (ReplicaId, u64) {
     (membership.replica.clone(), membership.epoch)
 }
 
-/// Whether an engine's report shows the effect of an order.
-async fn is_done(node: &Rc<GatewayNode>, planned: &PlannedOrder) -> bool {
+/// Whether the engine's report shows the effect of an order.
+async fn took_effect(node: &Rc<GatewayNode>, planned: &PlannedOrder) -> bool {
     let Some(target) = order_target(node, &planned.host) else {
         return false;
     };
-    let Ok(report) = target.fetch_report(ORDER_LIMIT).await else {
+    let Ok(report) = target.fetch_report(ORDER_TIMEOUT).await else {
         return false;
     };
     if let HostOrder::Stage { model } = &planned.order {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -167,7 +167,7 @@
 
 /// Applies an engine's report ahead of the registry.
 fn apply_report(node: &GatewayNode, id: &HostId, report: HostReport) {
-    node.foresee(id, |entry| {
+    node.apply_expected(id, |entry| {
         entry.boot = report.status.boot;
         entry.loaded = report.status.loaded;
         entry.staged = report.status.staged;
