--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -246,7 +246,7 @@
             silent_for: self
                 .node
                 .silent_for(&entry.id)
-                .filter(|_| !self.node.serves_others(&entry.id)),
+                .filter(|_| !self.node.serves_other_nodes(&entry.id)),
             lifecycle: self.stay(entry),
             order_pending: self.order_tracker.is_pending(&entry.id),
             loaded: entry.loaded.clone(),
--- a/crates/gateway/src/care/steps.rs
+++ b/crates/gateway/src/care/steps.rs
@@ -182,7 +182,7 @@
                     .as_ref()
                     .is_some_and(|now| membership_key(now) == old);
                 let is_new = moved.iter().all(|(head, _)| *head != entry.id);
-                if !stays && is_new && !self.node.is_suspect(&entry.id) {
+                if !stays && is_new && !self.node.is_suspected(&entry.id) {
                     moved.push((entry.id.clone(), old));
                 }
             }
@@ -256,7 +256,7 @@
             let old = membership_key(membership);
             let head = self.node.head_of(&old);
             let entry = head.as_ref().and_then(|head| registry.get(head));
-            let Some(entry) = entry.filter(|entry| !self.node.is_suspect(&entry.id)) else {
+            let Some(entry) = entry.filter(|entry| !self.node.is_suspected(&entry.id)) else {
                 return MemberPlace::Orphan(old);
             };
             let stays = entry
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -1,4 +1,4 @@
-//! Which targets answer, which leave, and whether replicas move.
+//! Target health: failure suspicion, draining targets and stalled replicas.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,53 +15,55 @@
 
 use super::GatewayNode;
 
-/// What speaks against a target.
+/// Kind of failure observed at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LossSign {
-    /// It does not answer, or another one has its address.
-    Silent,
-    /// It takes no connections, or its head no requests for want of it.
-    Closed,
+pub enum FailureKind {
+    /// It does not answer, or another target has its address.
+    Unresponsive,
+    /// It refuses connections, or its head rejects requests because this member is missing.
+    Refused,
 }
 
-impl From<&LinkError> for LossSign {
+impl From<&LinkError> for FailureKind {
     fn from(error: &LinkError) -> Self {
         match error {
-            LinkError::Refused => Self::Closed,
-            LinkError::NotConnected(_) | LinkError::Unsent | LinkError::Broken(_) => Self::Silent,
+            LinkError::Refused => Self::Refused,
+            LinkError::NotConnected(_) | LinkError::Unsent | LinkError::Broken(_) => {
+                Self::Unresponsive
+            }
         }
     }
 }
 
-impl From<&HostError> for LossSign {
+impl From<&HostError> for FailureKind {
     fn from(error: &HostError) -> Self {
         match error {
             HostError::Link(error) => error.into(),
-            _ => Self::Silent,
+            _ => Self::Unresponsive,
         }
     }
 }
 
-/// What is held against a target, and since when.
+/// A suspected failure and when it was first observed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LossSuspicion {
+pub(super) struct Suspicion {
     since: Duration,
-    sign: LossSign,
+    failure: FailureKind,
 }
 
-/// Time after a head's answer to another node in which it counts as serving: longer than the pause
-/// between two answers that begin at a busy replica, and little beside the seconds for which the
-/// streams of a lost one stand still.
-const SERVED_AGE: Duration = Duration::from_millis(600);
+/// How long a head counts as serving after its response to another node. This is longer than the
+/// time between two responses started at a busy replica, and short compared with the seconds for
+/// which the streams of a lost replica stall.
+const SERVED_OTHERS_WINDOW: Duration = Duration::from_millis(600);
 
-/// Tells the requests at a replica that it stands still.
+/// Notifies the requests at a replica that it is lost.
 #[derive(Debug, Default)]
-pub struct LossSignal {
+pub struct ReplicaLostSignal {
     lost: Cell<bool>,
     notify: Notify,
 }
 
-impl LossSignal {
+impl ReplicaLostSignal {
     /// Completes once the replica is lost.
     pub async fn lost(&self) {
         while !self.lost.get() {
@@ -69,54 +71,54 @@
         }
     }
 
-    fn raise(&self) {
+    fn trigger(&self) {
         self.lost.set(true);
         self.notify.notify_waiters();
     }
 }
 
 impl GatewayNode {
-    /// Time since when a target does not answer, if it does not.
+    /// How long a target has been suspected; `None` if it is not.
     #[must_use]
     pub fn silent_for(&self, id: &HostId) -> Option<Duration> {
-        let suspicion = self.suspects.borrow().get(id).copied()?;
+        let suspicion = self.suspicions.borrow().get(id).copied()?;
         Some(self.now().saturating_sub(suspicion.since))
     }
 
-    /// Notes that a target is being asked; false if it is already.
-    pub fn begin_asking(&self, id: &HostId) -> bool {
-        self.asking.borrow_mut().insert(id.clone())
+    /// Marks a target as being probed; false if it already is.
+    pub fn begin_probe(&self, id: &HostId) -> bool {
+        self.probing.borrow_mut().insert(id.clone())
     }
 
-    /// Notes that a target was asked.
-    pub fn end_asking(&self, id: &HostId) {
-        self.asking.borrow_mut().remove(id);
+    /// Marks a probe as finished.
+    pub fn end_probe(&self, id: &HostId) {
+        self.probing.borrow_mut().remove(id);
     }
 
-    /// Whether a target is suspected.
+    /// Whether a target is suspected to be down.
     #[must_use]
-    pub fn is_suspect(&self, id: &HostId) -> bool {
-        self.suspects.borrow().contains_key(id)
+    pub fn is_suspected(&self, id: &HostId) -> bool {
+        self.suspicions.borrow().contains_key(id)
     }
 
-    /// Targets that are suspected, with the time since when.
+    /// All suspected targets, and since when.
     #[must_use]
-    pub fn suspects(&self) -> Vec<(HostId, Duration)> {
-        let suspects = self.suspects.borrow();
+    pub fn suspected_targets(&self) -> Vec<(HostId, Duration)> {
+        let suspects = self.suspicions.borrow();
         suspects
             .iter()
             .map(|(id, suspicion)| (id.clone(), suspicion.since))
             .collect()
     }
 
-    /// Suspects a target; its replica gets nothing more.
-    pub fn suspect(&self, id: &HostId, sign: LossSign, reason: &str) {
-        if sign == LossSign::Closed && self.is_leaving(id) {
-            self.retire(id, reason);
+    /// Suspects a target of being down; its replica gets no new requests.
+    pub fn suspect(&self, id: &HostId, failure: FailureKind, reason: &str) {
+        if failure == FailureKind::Refused && self.is_leaving(id) {
+            self.mark_retired(id, reason);
             return;
         }
-        if sign == LossSign::Silent
-            && let Some(silence) = self.short_silence(id)
+        if failure == FailureKind::Unresponsive
+            && let Some(silence) = self.recent_silence(id)
         {
             let line = EventLine::new(EventCode::TargetDoubted)
                 .text("host", id.as_str())
@@ -127,11 +129,11 @@
         }
         let since = self.now();
         self.retired.borrow_mut().remove(id);
-        let mut suspects = self.suspects.borrow_mut();
+        let mut suspects = self.suspicions.borrow_mut();
         if suspects.contains_key(id) {
             return;
         }
-        suspects.insert(id.clone(), LossSuspicion { since, sign });
+        suspects.insert(id.clone(), Suspicion { since, failure });
         drop(suspects);
         let line = EventLine::new(EventCode::TargetSuspected)
             .text("host", id.as_str())
@@ -140,7 +142,7 @@
         self.after_change();
     }
 
-    /// The head of a target's replica.
+    /// Head of the replica that a target belongs to.
     fn head_of_member(&self, id: &HostId) -> Option<HostId> {
         self.registry(|registry| {
             let membership = registry.get(id)?.membership.as_ref()?;
@@ -148,12 +150,12 @@
         })
     }
 
-    /// Time since the last answer of a target's replica to this node, if one came until just now.
+    /// Time since the last response from a target's replica to this node, if that was recent.
     ///
-    /// A link that loses one packet in twenty loses each tenth new connection. Taken for a death, one
-    /// such loss moves all streams of a sound replica, and has its hosts given away under those of the
-    /// other nodes.
-    fn short_silence(&self, id: &HostId) -> Option<Duration> {
+    /// A link that loses one packet in twenty loses every tenth connection attempt. If one such
+    /// loss counted as a failed target, all streams of a working replica would be moved, and its
+    /// hosts reassigned while they serve other nodes.
+    fn recent_silence(&self, id: &HostId) -> Option<Duration> {
         let head = self.head_of_member(id)?;
         let now = self.now();
         let pulses = self.pulses.borrow();
@@ -163,25 +165,25 @@
         Some(pulse.stalled_for(now))
     }
 
-    /// Whether a target that does not answer this node stands in a replica that began answers of
-    /// other nodes just now: it is out of this node's reach, and its replica serves on.
+    /// Whether an unresponsive target belongs to a replica that recently started responses for
+    /// other nodes. Only this node can't reach it then, and the replica still serves.
     #[must_use]
-    pub fn serves_others(&self, id: &HostId) -> bool {
-        let suspicion = self.suspects.borrow().get(id).copied();
-        if suspicion.is_none_or(|suspicion| suspicion.sign != LossSign::Silent) {
+    pub fn serves_other_nodes(&self, id: &HostId) -> bool {
+        let suspicion = self.suspicions.borrow().get(id).copied();
+        if suspicion.is_none_or(|suspicion| suspicion.failure != FailureKind::Unresponsive) {
             return false;
         }
         let head = self.head_of_member(id);
         let served = self.served_others.borrow();
         let last = head.and_then(|head| served.get(&head).copied());
-        last.is_some_and(|last| self.now().saturating_sub(last) < SERVED_AGE)
+        last.is_some_and(|last| self.now().saturating_sub(last) < SERVED_OTHERS_WINDOW)
     }
 
-    /// Notes that a target which leaves takes no connections any more.
+    /// Records that a target that is leaving no longer accepts connections.
     ///
-    /// It works on for its replica as long as the head has requests. Were it taken for lost, the
-    /// head would be told to leave, and streams that go on until then would be cut off.
-    fn retire(&self, id: &HostId, reason: &str) {
+    /// It still works for its replica while the head has requests. If it counted as lost, the head
+    /// would be ordered to leave, which would cut off the streams still running there.
+    fn mark_retired(&self, id: &HostId, reason: &str) {
         let now = self.now();
         let mut retired = self.retired.borrow_mut();
         if retired.contains_key(id) {
@@ -196,7 +198,7 @@
         self.after_change();
     }
 
-    /// Whether a target leaves, with a word or without, while its replica still runs requests.
+    /// Whether a target is leaving, announced or not, while its replica still runs requests.
     fn is_leaving(&self, id: &HostId) -> bool {
         let is_draining = self.registry(|registry| {
             let entry = registry.get(id);
@@ -205,32 +207,32 @@
         (is_draining || self.is_unlisted(id)) && self.holds_requests(id)
     }
 
-    /// Whether a target leaves and takes no connections any more.
+    /// Whether a target that is leaving no longer accepts connections.
     #[must_use]
     pub fn is_retired(&self, id: &HostId) -> bool {
         self.retired.borrow().contains_key(id)
     }
 
-    /// Targets that have taken no connections for longer than any replica waits for its last
+    /// Targets that have refused connections for longer than any replica waits for its last
     /// requests.
     #[must_use]
-    pub fn long_retired(&self) -> Vec<HostId> {
+    pub fn retired_too_long(&self) -> Vec<HostId> {
         let now = self.now();
         let retired = self.retired.borrow();
-        let long = retired
+        let expired = retired
             .iter()
             .filter(|(_, since)| now.saturating_sub(**since) > CLOSE_TIMEOUT);
-        long.map(|(id, _)| id.clone()).collect()
+        expired.map(|(id, _)| id.clone()).collect()
     }
 
-    pub(super) fn has_retired(&self, replica: &ReplicaView) -> bool {
+    pub(super) fn has_retired_member(&self, replica: &ReplicaView) -> bool {
         let retired = self.retired.borrow();
         replica.members.values().any(|id| retired.contains_key(id))
     }
 
-    /// Trusts a target again.
-    pub fn trust(&self, id: &HostId) {
-        if self.suspects.borrow_mut().remove(id).is_none() {
+    /// Clears the suspicion against a target.
+    pub fn clear_suspicion(&self, id: &HostId) {
+        if self.suspicions.borrow_mut().remove(id).is_none() {
             return;
         }
         let line = EventLine::new(EventCode::TargetBack).text("host", id.as_str());
@@ -238,58 +240,59 @@
         self.after_change();
     }
 
-    /// Tells the requests at replicas with a suspected member to go elsewhere.
-    pub(super) fn raise_losses(&self) {
-        if self.suspects.borrow().is_empty() {
+    /// Notifies the requests at replicas with a suspected member to fail over.
+    pub(super) fn signal_lost_replicas(&self) {
+        if self.suspicions.borrow().is_empty() {
             return;
         }
         let registry = self.registry.borrow();
-        let mut signals = self.signals.borrow_mut();
+        let mut signals = self.loss_signals.borrow_mut();
         for replica in registry.replicas() {
             let Some(head) = replica.head() else { continue };
-            if !self.has_suspect(replica) {
+            if !self.has_suspected_member(replica) {
                 continue;
             }
             if let Some(signal) = signals.remove(head) {
-                signal.raise();
+                signal.trigger();
             }
         }
     }
 
-    /// Tells the requests at one head to go elsewhere.
-    pub fn raise_loss(&self, head: &HostId) {
-        if let Some(signal) = self.signals.borrow_mut().remove(head) {
-            signal.raise();
+    /// Notifies the requests at one head to fail over.
+    pub fn signal_lost_replica(&self, head: &HostId) {
+        if let Some(signal) = self.loss_signals.borrow_mut().remove(head) {
+            signal.trigger();
         }
     }
 
-    pub(super) fn has_suspect(&self, replica: &ReplicaView) -> bool {
-        let suspects = self.suspects.borrow();
+    pub(super) fn has_suspected_member(&self, replica: &ReplicaView) -> bool {
+        let suspects = self.suspicions.borrow();
         replica.members.values().any(|id| suspects.contains_key(id))
     }
 
-    /// The signal for requests at a replica's head.
+    /// Signal that is triggered for requests at this head when its replica is lost.
     #[must_use]
-    pub fn loss_signal(&self, head: &HostId) -> Rc<LossSignal> {
-        let mut signals = self.signals.borrow_mut();
+    pub fn loss_signal(&self, head: &HostId) -> Rc<ReplicaLostSignal> {
+        let mut signals = self.loss_signals.borrow_mut();
         Rc::clone(signals.entry(head.clone()).or_default())
     }
 
-    /// Changes a replica's pulse.
+    /// Updates the progress state of a replica.
     pub fn with_pulse<R>(&self, head: &HostId, change: impl FnOnce(&mut StallDetector) -> R) -> R {
         change(self.pulses.borrow_mut().entry(head.clone()).or_default())
     }
 
-    /// Heads at which requests of this node run and that should be asked about now.
+    /// Heads that run requests of this node without progress and whose members should be probed
+    /// now.
     #[must_use]
-    pub fn silent_heads(&self) -> Vec<HostId> {
+    pub fn heads_to_probe(&self) -> Vec<HostId> {
         let now = self.now();
-        let mut silent = Vec::new();
+        let mut due = Vec::new();
         for (head, pulse) in self.pulses.borrow_mut().iter_mut() {
             if pulse.should_probe(now) {
-                silent.push(head.clone());
+                due.push(head.clone());
             }
         }
-        silent
+        due
     }
 }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -27,8 +27,8 @@
 use crate::pool::ConnectionPool;
 use crate::settings::GatewaySettings;
 
-use health::LossSuspicion;
-pub use health::{LossSign, LossSignal};
+use health::Suspicion;
+pub use health::{FailureKind, ReplicaLostSignal};
 pub use process::RunningRequest;
 
 /// State of a gateway.
@@ -69,10 +69,10 @@
     /// Prompts that wait at the heads of replicas, of this node and of those that told it.
     unread: RefCell<FastMap<HostId, PromptBacklog>>,
     pulses: RefCell<FastMap<HostId, StallDetector>>,
-    signals: RefCell<FastMap<HostId, Rc<LossSignal>>>,
-    suspects: RefCell<FastMap<HostId, LossSuspicion>>,
+    loss_signals: RefCell<FastMap<HostId, Rc<ReplicaLostSignal>>>,
+    suspicions: RefCell<FastMap<HostId, Suspicion>>,
     /// Targets that are being asked whether they live.
-    asking: RefCell<FastSet<HostId>>,
+    probing: RefCell<FastSet<HostId>>,
     /// When heads last began an answer for another node.
     served_others: RefCell<FastMap<HostId, Duration>>,
     unlisted: RefCell<FastSet<HostId>>,
@@ -140,9 +140,9 @@
             hosts_by_hash: RefCell::default(),
             unread: RefCell::default(),
             pulses: RefCell::default(),
-            signals: RefCell::default(),
-            suspects: RefCell::default(),
-            asking: RefCell::default(),
+            loss_signals: RefCell::default(),
+            suspicions: RefCell::default(),
+            probing: RefCell::default(),
             served_others: RefCell::default(),
             unlisted: RefCell::default(),
             interrupted: RefCell::default(),
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -76,7 +76,7 @@
         let mut stats = NodeStats {
             config_revision: self.config().map_or(0, |config| config.revision.0),
             registry_age: self.registry_age(),
-            suspected_targets: self.suspects.borrow().len(),
+            suspected_targets: self.suspicions.borrow().len(),
             live_nodes: self.nodes.borrow().len(),
             running_requests: self.running(),
             open_connections: self.connections(),
@@ -86,7 +86,7 @@
         };
         let mut serving_hosts = 0;
         for replica in registry.replicas() {
-            let lost = self.has_suspect(replica);
+            let lost = self.has_suspected_member(replica);
             if replica.head_state == Some(MemberState::Open) && !lost {
                 stats.serving_replicas += 1;
                 serving_hosts += replica.members.len();
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -46,7 +46,7 @@
                 .borrow_mut()
                 .insert((&id).into(), id.clone());
             self.hosts_changed.set(now);
-            self.suspects.borrow_mut().remove(&id);
+            self.suspicions.borrow_mut().remove(&id);
             self.retired.borrow_mut().remove(&id);
             self.loads.borrow_mut().remove(&id);
             self.pool.close_idle(&id);
@@ -122,7 +122,7 @@
     /// Whether a target answers and stands in a replica that serves, or ends what it took.
     #[must_use]
     pub fn holds_requests(&self, id: &HostId) -> bool {
-        if self.is_suspect(id) {
+        if self.is_suspected(id) {
             return false;
         }
         self.registry(|registry| {
@@ -138,7 +138,7 @@
         let removed = self.registry.borrow_mut().remove(id);
         let Some(entry) = removed else { return };
         self.hosts_changed.set(self.now());
-        self.suspects.borrow_mut().remove(id);
+        self.suspicions.borrow_mut().remove(id);
         self.retired.borrow_mut().remove(id);
         self.loads.borrow_mut().remove(id);
         self.unread.borrow_mut().remove(id);
@@ -199,7 +199,7 @@
                 && replica.model.as_ref() == Some(model)
                 && replica.head_state == Some(MemberState::Open)
                 && replica.is_complete(shape.size);
-            if !serves || self.has_suspect(replica) || self.has_retired(replica) {
+            if !serves || self.has_suspected_member(replica) || self.has_retired_member(replica) {
                 continue;
             }
             let head = replica.head().and_then(|head| registry.get(head));
@@ -225,7 +225,11 @@
                 replica.head_state,
                 Some(MemberState::Closing | MemberState::Broken) | None
             );
-            if !stands || ends || self.has_suspect(replica) || self.has_retired(replica) {
+            if !stands
+                || ends
+                || self.has_suspected_member(replica)
+                || self.has_retired_member(replica)
+            {
                 continue;
             }
             *standing.entry(model.name.clone()).or_default() += 1;
@@ -237,7 +241,7 @@
     #[must_use]
     pub fn plain_targets(&self, service: &ServiceName) -> Vec<TargetEntry> {
         let registry = self.registry.borrow();
-        let suspects = self.suspects.borrow();
+        let suspects = self.suspicions.borrow();
         let mut targets: Vec<TargetEntry> = registry
             .targets()
             .filter(|entry| entry.service == *service && entry.state == TargetState::Ready)
@@ -249,7 +253,7 @@
     }
 
     pub(super) fn after_change(&self) {
-        self.raise_losses();
+        self.signal_lost_replicas();
         self.changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -15,7 +15,7 @@
 use events::{EventCode, EventLine};
 use serving::{MemberState, ReplicaMembership};
 
-use crate::node::{GatewayNode, LossSign};
+use crate::node::{FailureKind, GatewayNode};
 use crate::probe::order_target;
 
 /// Timeout for the answer to an order or a report; both usually take milliseconds.
@@ -277,7 +277,7 @@
         return Ok(known);
     }
     let mut detail = String::new();
-    let mut sign = LossSign::Silent;
+    let mut failure = FailureKind::Unresponsive;
     for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(target) = order_target(node, &planned.host) else {
             return Err((OrderOutcome::Stale, "engine is unknown".to_owned()));
@@ -294,12 +294,12 @@
                 return Ok((report.boot(), orders));
             }
             Err(error) => {
-                sign = (&error).into();
+                failure = (&error).into();
                 detail = error.to_string();
             }
         }
     }
-    node.suspect(&planned.host, sign, &detail);
+    node.suspect(&planned.host, failure, &detail);
     Err((OrderOutcome::Unresponsive, detail))
 }
 
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -7,7 +7,7 @@
 use domain::HostId;
 use serving::ReplicaView;
 
-use crate::node::{GatewayNode, LossSign};
+use crate::node::{FailureKind, GatewayNode};
 
 /// Interval for checking replicas for lack of progress.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -28,7 +28,7 @@
 pub async fn watch_for_stalls(node: Rc<GatewayNode>) {
     loop {
         tokio::time::sleep(STALL_CHECK_INTERVAL).await;
-        for head in node.silent_heads() {
+        for head in node.heads_to_probe() {
             probe_members(&node, &head);
         }
     }
@@ -46,13 +46,13 @@
         replica.filter(|replica| size.is_some_and(|size| replica.is_complete(size)))
     else {
         // A member has joined another replica or is gone, so the replica can't make progress again.
-        node.raise_loss(head);
+        node.signal_lost_replica(head);
         return;
     };
     for member in replica.members.into_values() {
         if node.is_retired(&member) {
             // It has stopped accepting connections, and its replica is stalled: it is gone.
-            node.suspect(&member, LossSign::Silent, "replica stalled");
+            node.suspect(&member, FailureKind::Unresponsive, "replica stalled");
             continue;
         }
         tokio::task::spawn_local(probe(Rc::clone(node), member));
@@ -68,24 +68,24 @@
 
 /// Probes an engine, unless it is already suspected or being probed.
 pub async fn probe(node: Rc<GatewayNode>, id: HostId) {
-    if node.is_suspect(&id) || !node.begin_asking(&id) {
+    if node.is_suspected(&id) || !node.begin_probe(&id) {
         return;
     }
     probe_twice(&node, &id).await;
-    node.end_asking(&id);
+    node.end_probe(&id);
 }
 
 /// Probes a target and suspects it after two failures, since one may be a lost packet.
 async fn probe_twice(node: &GatewayNode, id: &HostId) -> Option<HostReport> {
     let mut reason = String::new();
-    let mut sign = LossSign::Silent;
+    let mut failure = FailureKind::Unresponsive;
     for _ in 0..2 {
         let target = order_target(node, id)?;
         match target.fetch_report(REPORT_TIMEOUT).await {
             Ok(report) => return Some(report),
             Err(error) => {
                 let refused = error.is_refused();
-                sign = (&error).into();
+                failure = (&error).into();
                 reason = error.to_string();
                 if refused {
                     break;
@@ -93,7 +93,7 @@
             }
         }
     }
-    node.suspect(id, sign, &reason);
+    node.suspect(id, failure, &reason);
     None
 }
 
@@ -102,7 +102,7 @@
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
         let now = node.now();
-        for (id, since) in node.suspects() {
+        for (id, since) in node.suspected_targets() {
             // Targets of plain services can't be probed; the next request shows whether one is
             // back.
             let is_plain = node.registry(|registry| {
@@ -113,7 +113,7 @@
             if !is_plain {
                 tokio::task::spawn_local(probe_suspect(Rc::clone(&node), id));
             } else if now.saturating_sub(since) > PLAIN_SUSPECT_DURATION {
-                node.trust(&id);
+                node.clear_suspicion(&id);
             }
         }
     }
@@ -124,7 +124,7 @@
 pub async fn probe_all_unlisted(node: Rc<GatewayNode>) {
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
-        for id in node.long_retired() {
+        for id in node.retired_too_long() {
             node.remove_target(&id);
         }
         for id in node.unlisted() {
@@ -148,11 +148,11 @@
 
 async fn probe_suspect(node: Rc<GatewayNode>, id: HostId) {
     let Some(target) = order_target(&node, &id) else {
-        node.trust(&id);
+        node.clear_suspicion(&id);
         return;
     };
     if target.fetch_report(REPORT_TIMEOUT).await.is_ok() {
-        node.trust(&id);
+        node.clear_suspicion(&id);
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,7 +13,7 @@
 use serving::{EventSplitter, GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::admitted::AdmittedRequest;
-use crate::node::{GatewayNode, LossSignal, RunningRequest};
+use crate::node::{GatewayNode, ReplicaLostSignal, RunningRequest};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
 /// Maximum number of attempts to find another target for a stream.
@@ -57,7 +57,7 @@
     config: Rc<GatewayConfig>,
     request: Rc<AdmittedRequest>,
     source: Option<TargetResponse>,
-    loss_signal: Rc<LossSignal>,
+    loss_signal: Rc<ReplicaLostSignal>,
     last_host: Option<HostId>,
     splitter: EventSplitter,
     attempts: u32,
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -14,7 +14,7 @@
 use crate::admitted::AdmittedRequest;
 use crate::crash::record_interrupted;
 use crate::hints::LoadHint;
-use crate::node::{GatewayNode, LossSign};
+use crate::node::{FailureKind, GatewayNode};
 use crate::probe::{probe, refresh_refusing};
 
 /// Connection time after which an engine is probed. Targets are less than a millisecond away.
@@ -250,14 +250,14 @@
     target: &TargetEntry,
     error: &LinkError,
 ) -> AttemptOutcome {
-    let sign = LossSign::from(error);
+    let failure = FailureKind::from(error);
     // The engine is being probed already, and suspecting it affects a whole replica, so the probe
     // decides.
-    if sign == LossSign::Silent && target.membership.is_some() {
+    if failure == FailureKind::Unresponsive && target.membership.is_some() {
         let now = node.now();
         node.with_load(&target.id, |load| load.record_unreachable(now));
     } else {
-        node.suspect(&target.id, sign, &error.to_string());
+        node.suspect(&target.id, failure, &error.to_string());
     }
     AttemptOutcome::Unsent(error.to_string())
 }
@@ -312,7 +312,7 @@
             Some(FaultyTarget::Id(faulty)) if faulty != id => {
                 node.suspect(
                     faulty,
-                    LossSign::Closed,
+                    FailureKind::Refused,
                     "reported missing by its replica head",
                 );
             }
@@ -320,7 +320,7 @@
                 if let Some(faulty) = node.target_at(*address) {
                     node.suspect(
                         &faulty,
-                        LossSign::Closed,
+                        FailureKind::Refused,
                         "reported missing by its replica head",
                     );
                 }
@@ -329,7 +329,11 @@
             // address.
             _ if misdirected && target.membership.is_some() => refresh_refusing(node, id),
             _ if misdirected => {
-                node.suspect(id, LossSign::Silent, "address belongs to another target");
+                node.suspect(
+                    id,
+                    FailureKind::Unresponsive,
+                    "address belongs to another target",
+                );
             }
             _ => {}
         }
