--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -76,7 +76,7 @@
     log_crash(&node, &host, boot, &requests);
     let crash = TargetCrash { host, boot };
     let now = node.now();
-    node.take_ends(|detector| detector.record(crash.clone(), now, &requests));
+    node.update_crashes(|detector| detector.record(crash.clone(), now, &requests));
     publish_crash(&node, &crash, &requests).await;
 }
 
--- a/crates/gateway/src/crash_records.rs
+++ b/crates/gateway/src/crash_records.rs
@@ -173,7 +173,7 @@
             continue;
         }
         tokio::time::sleep(MIN_READ_INTERVAL).await;
-        if node.blames_nobody() {
+        if node.suspects_no_request() {
             node.crash_records_changed.notified().await;
         } else {
             let announced = node.crash_records_changed.notified();
@@ -189,7 +189,7 @@
     let page = client.read_table(CRASH_TABLE, STORE_TIMEOUT).await?;
     node.set_store_clock(page.clock);
     let now = node.now();
-    node.take_ends(|detector| {
+    node.update_crashes(|detector| {
         for row in page.rows.iter().filter_map(decode_row) {
             let age = row_age(&page, &row);
             if age >= CRASH_RETENTION {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -71,7 +71,7 @@
             return local_reply(node, &headers, None, reply, reason).map(Either::Left);
         }
     };
-    let admitted = match node.blame_standing(&admitted) {
+    let admitted = match node.poison_verdict(&admitted) {
         PoisonVerdict::Clear => Rc::new(admitted),
         PoisonVerdict::Suspect => Rc::new(admitted.without_retries()),
         PoisonVerdict::Barred => {
@@ -230,7 +230,7 @@
                     return state.into_outcome(retry_after, false);
                 }
             };
-        if state.sent > 0 && node.blame_standing(admitted) != PoisonVerdict::Clear {
+        if state.sent > 0 && node.poison_verdict(admitted) != PoisonVerdict::Clear {
             state.last_error.push_str("; suspected of crashing targets");
             return state.into_outcome(OVERLOAD_RETRY_AFTER, false);
         }
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -83,7 +83,7 @@
         let row = NodeRow {
             clock_ms: u64::try_from(now.as_millis()).unwrap_or(u64::MAX),
             hints: node.hints.address(),
-            suspects: !node.blames_nobody(),
+            suspects: !node.suspects_no_request(),
         };
         let value =
             serde_json::to_vec(&row).map_err(|error| StoreError::Malformed(error.to_string()))?;
@@ -115,7 +115,7 @@
         others_suspect |= is_other && parsed.suspects;
     }
     // The datagrams that announced the crash records were lost.
-    if others_suspect && node.blames_nobody() {
+    if others_suspect && node.suspects_no_request() {
         node.crash_records_changed.notify_one();
     }
     node.hints.set_peers(peers);
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! What a gateway knows, shared by its tasks.
 
-mod blame;
 mod health;
 mod loads;
+mod poison;
 mod process;
 mod targets;
 
@@ -79,7 +79,7 @@
     /// Runs that broke off, until it is known whether their targets ended.
     interrupted: RefCell<InterruptedRequests>,
     /// What ran at targets that ended.
-    blame: RefCell<PoisonDetector>,
+    poison: RefCell<PoisonDetector>,
     /// The store's clock at a moment of this process.
     store_clock: Cell<Option<(Duration, Duration)>>,
     /// Targets that leave and take no connections any more, with the time since when.
@@ -146,7 +146,7 @@
             served_others: RefCell::default(),
             unlisted: RefCell::default(),
             interrupted: RefCell::default(),
-            blame: RefCell::default(),
+            poison: RefCell::default(),
             store_clock: Cell::default(),
             retired: RefCell::default(),
             budgets: RefCell::default(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -236,7 +236,7 @@
             if attempt > 0 {
                 tokio::time::sleep(FAILOVER_RETRY_DELAY).await;
             }
-            if self.node.blame_standing(&self.request) != PoisonVerdict::Clear {
+            if self.node.poison_verdict(&self.request) != PoisonVerdict::Clear {
                 return Err("request is suspected of crashing targets".to_owned());
             }
             let max_wait = self.max_wait();
