--- a/crates/gateway/src/care/blind.rs
+++ b/crates/gateway/src/care/blind.rs
@@ -89,7 +89,7 @@
         });
         futures::future::join_all(questions).await;
         self.asked.borrow_mut().end(fabric, self.node.now());
-        self.node.changed.notify_waiters();
+        self.node.state_changed.notify_waiters();
     }
 }
 
--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/care/mod.rs
@@ -65,7 +65,7 @@
         far_round: Cell::default(),
     });
     loop {
-        let changed = node.changed.notified();
+        let changed = node.state_changed.notified();
         let pause = if care.restless.get() {
             PLAN_PAUSE
         } else {
@@ -103,7 +103,7 @@
     fn plan(self: &Rc<Self>) {
         let node = &self.node;
         let Some(config) = node.config() else { return };
-        if node.is_stopping() || node.registry_version().is_none() {
+        if node.is_shutting_down() || node.registry_version().is_none() {
             return;
         }
         let now = node.now();
@@ -152,19 +152,19 @@
         far: bool,
         steps: &mut Vec<(FabricId, PlanStep)>,
     ) {
-        let lead = self.node.is_lead_time();
-        let fleet = self.node.standing_replicas(service);
+        let lead = self.node.is_bootstrapping();
+        let fleet = self.node.live_replica_counts(service);
         for (fabric, hosts) in &self.fabrics(service, far) {
             let Some(wanted) = layout.get(fabric) else {
                 continue;
             };
-            let planned = self.node.with_spent(|spent| {
+            let planned = self.node.with_never_reopen(|replicas| {
                 plan_fabric(&FabricState {
                     models: &service.models,
                     desired: wanted,
                     hosts,
                     fleet_replicas: &fleet,
-                    never_reopen: spent,
+                    never_reopen: replicas,
                     may_load_members: lead || !any_weights(hosts),
                     may_stage: lead,
                 })
@@ -175,7 +175,7 @@
                 self.restless.set(true);
             }
             // What the registry says of the domain may be long past.
-            let fresh = !self.node.is_registry_doubtful()
+            let fresh = !self.node.is_registry_stale()
                 || self.ask_fabric(fabric, hosts, !planned.is_empty());
             if !fresh {
                 continue;
@@ -315,7 +315,7 @@
             let hold = care.take(step).await;
             tokio::time::sleep(hold).await;
             care.order_tracker.release(&hosts);
-            care.node.changed.notify_waiters();
+            care.node.state_changed.notify_waiters();
         });
     }
 
@@ -324,7 +324,7 @@
         let PlanStep::Warm { host, model } = step else {
             return true;
         };
-        if self.node.is_lead_time() {
+        if self.node.is_bootstrapping() {
             return true;
         }
         let cold = self.node.registry(|registry| {
--- a/crates/gateway/src/care/staging.rs
+++ b/crates/gateway/src/care/staging.rs
@@ -47,7 +47,7 @@
             services.find_map(|service| service.model(model).map(|model| model.load_time))
         });
         let load = load.unwrap_or_default();
-        let load = if self.node.is_lead_time() {
+        let load = if self.node.is_bootstrapping() {
             load.div_f64(LEAD_SPEED)
         } else {
             load.mul_f64(LOAD_SLACK)
--- a/crates/gateway/src/care/steps.rs
+++ b/crates/gateway/src/care/steps.rs
@@ -102,7 +102,7 @@
         let epoch = version.0;
         let end = self.join_all(model, members, replica.clone(), epoch).await;
         if end != OrderOutcome::Done {
-            self.node.give_up_replica(&replica, epoch);
+            self.node.abandon_replica(&replica, epoch);
         }
         end
     }
@@ -173,7 +173,7 @@
                     continue;
                 };
                 let old = membership_key(membership);
-                let head = self.node.head_of(&old);
+                let head = self.node.last_known_head(&old);
                 let Some(entry) = head.as_ref().and_then(|head| registry.get(head)) else {
                     continue;
                 };
@@ -254,7 +254,7 @@
                 return MemberPlace::Head(membership_key(membership));
             }
             let old = membership_key(membership);
-            let head = self.node.head_of(&old);
+            let head = self.node.last_known_head(&old);
             let entry = head.as_ref().and_then(|head| registry.get(head));
             let Some(entry) = entry.filter(|entry| !self.node.is_suspected(&entry.id)) else {
                 return MemberPlace::Orphan(old);
--- a/crates/gateway/src/care/turns.rs
+++ b/crates/gateway/src/care/turns.rs
@@ -38,15 +38,15 @@
 impl TurnRanks {
     /// How many nodes go before this one.
     pub fn rank(&mut self, node: &GatewayNode, fabric: &FabricId) -> usize {
-        if self.counted != node.nodes_counted() {
-            self.counted = node.nodes_counted();
+        if self.counted != node.nodes_generation() {
+            self.counted = node.nodes_generation();
             self.ranks.clear();
         }
         if let Some(rank) = self.ranks.get(fabric) {
             return *rank;
         }
         let own = node.settings.node.as_str();
-        let rank = node.with_nodes(|nodes| {
+        let rank = node.with_live_nodes(|nodes| {
             rendezvous_rank(own, nodes.iter().map(String::as_str), fabric.as_str())
         });
         self.ranks.insert(fabric.clone(), rank);
@@ -113,19 +113,19 @@
         let rank = self.ranks.borrow_mut().rank(node, fabric);
         let rank = u32::try_from(rank).unwrap_or(MAX_TURNS).min(MAX_TURNS);
         // Until the others are known, nodes take turns by chance.
-        let rank = if node.with_nodes(<[String]>::is_empty) {
+        let rank = if node.with_live_nodes(<[String]>::is_empty) {
             let chance = stable_hash(&(own, fabric.as_str())) % u64::from(MAX_TURNS);
             u32::try_from(chance).unwrap_or(0)
         } else {
             rank
         };
         // Others may still reach the store, and know more.
-        let blind = u32::from(node.is_store_lost());
+        let blind = u32::from(node.is_store_unreachable());
         let turn = TURN * (rank + blind);
         match step {
-            PlanStep::Form { .. } | PlanStep::Warm { .. } if node.is_lead_time() => {
+            PlanStep::Form { .. } | PlanStep::Warm { .. } if node.is_bootstrapping() => {
                 // The wait counts from the last new host: all have waited since their start.
-                let quiet = node.hosts_unchanged();
+                let quiet = node.time_since_host_change();
                 if quiet < GATHER_TIME + turn {
                     Duration::MAX
                 } else {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -16,7 +16,7 @@
 use crate::admit::admit;
 use crate::admitted::AdmittedRequest;
 use crate::local_reply::LocalReply;
-use crate::node::{GatewayNode, RunningRequest};
+use crate::node::{GatewayNode, RequestGuard};
 use crate::relay::{StreamRelay, StreamSource, StreamTruncated};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
@@ -44,10 +44,10 @@
 pub async fn handle_request(
     node: Rc<GatewayNode>,
     request: Request<Incoming>,
-    running: RunningRequest,
+    running: RequestGuard,
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamTruncated>>> {
     let mut response = process_request(&node, request, running).await;
-    if node.is_stopping() {
+    if node.is_shutting_down() {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -57,7 +57,7 @@
 async fn process_request(
     node: &Rc<GatewayNode>,
     request: Request<Incoming>,
-    running: RunningRequest,
+    running: RequestGuard,
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamTruncated> + use<>>> {
     let headers = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
@@ -80,7 +80,7 @@
             return local_reply(node, &headers, Some(&admitted), reply, reason).map(Either::Left);
         }
     };
-    let plan = node.stop_plan();
+    let plan = node.shutdown_plan();
     if plan.is_some_and(|plan| !plan.accepts(admitted.arrived, admitted.deadline)) {
         let reply = LocalReply::NotExecuted(SHUTDOWN_RETRY_AFTER);
         return local_reply(
@@ -92,7 +92,7 @@
         )
         .map(Either::Left);
     }
-    node.note_arrival(&admitted);
+    node.record_arrival(&admitted);
     match run_attempts(node, &config, &admitted).await {
         Outcome::Local(reply, reason) => {
             local_reply(node, &headers, Some(&admitted), reply, &reason).map(Either::Left)
@@ -236,7 +236,7 @@
         }
         let within_budget = state.sent == 0 || {
             let nodes = node.node_count();
-            node.with_budget(&admitted.service, |budget| budget.take(now, nodes))
+            node.with_retry_budget(&admitted.service, |budget| budget.take(now, nodes))
         };
         if !within_budget {
             state.last_error.push_str("; retry budget exhausted");
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -120,6 +120,6 @@
     }
     node.hints.set_peers(peers);
     live_nodes.sort();
-    node.set_nodes(live_nodes);
+    node.set_live_nodes(live_nodes);
     Ok(page.clock)
 }
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
 use crate::handle::handle_request;
-use crate::node::{GatewayNode, RunningRequest};
+use crate::node::{GatewayNode, RequestGuard};
 use crate::usage::ConnectionUsage;
 
 /// Time limit for receiving a complete request head, including idle time. It is well above any
@@ -103,7 +103,7 @@
         let node = Rc::clone(&node);
         let usage = Rc::clone(&usage);
         service_fn(move |request| {
-            let running = RunningRequest::new(&node, &usage);
+            let running = RequestGuard::new(&node, &usage);
             let node = Rc::clone(&node);
             async move { Ok::<_, Infallible>(handle_request(node, request, running).await) }
         })
@@ -135,11 +135,11 @@
         // A newly opened connection gets time to send its request; if it were closed before the
         // request is read, the client would get no `Retry-After`.
         tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
-        let stop = node.stop_plan();
+        let stop = node.shutdown_plan();
         if stop.is_some_and(|stop| stop.closes_connections(node.now())) {
             return;
         }
-        if usage.idle_time(node.now()) > node.idle_limit() {
+        if usage.idle_time(node.now()) > node.idle_timeout() {
             return;
         }
     }
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -139,7 +139,7 @@
             .text("host", id.as_str())
             .text("reason", reason);
         self.log(&line);
-        self.after_change();
+        self.notify_change();
     }
 
     /// Head of the replica that a target belongs to.
@@ -158,11 +158,11 @@
     fn recent_silence(&self, id: &HostId) -> Option<Duration> {
         let head = self.head_of_member(id)?;
         let now = self.now();
-        let pulses = self.pulses.borrow();
-        let pulse = pulses
+        let detectors = self.stall_detectors.borrow();
+        let detector = detectors
             .get(&head)
-            .filter(|pulse| pulse.is_progressing(now))?;
-        Some(pulse.stalled_for(now))
+            .filter(|detector| detector.is_progressing(now))?;
+        Some(detector.stalled_for(now))
     }
 
     /// Whether an unresponsive target belongs to a replica that recently started responses for
@@ -174,7 +174,7 @@
             return false;
         }
         let head = self.head_of_member(id);
-        let served = self.served_others.borrow();
+        let served = self.served_others_at.borrow();
         let last = head.and_then(|head| served.get(&head).copied());
         last.is_some_and(|last| self.now().saturating_sub(last) < SERVED_OTHERS_WINDOW)
     }
@@ -195,7 +195,7 @@
             .text("host", id.as_str())
             .text("reason", reason);
         self.log(&line);
-        self.after_change();
+        self.notify_change();
     }
 
     /// Whether a target is leaving, announced or not, while its replica still runs requests.
@@ -237,7 +237,7 @@
         }
         let line = EventLine::new(EventCode::TargetBack).text("host", id.as_str());
         self.log(&line);
-        self.after_change();
+        self.notify_change();
     }
 
     /// Notifies the requests at replicas with a suspected member to fail over.
@@ -278,8 +278,17 @@
     }
 
     /// Updates the progress state of a replica.
-    pub fn with_pulse<R>(&self, head: &HostId, change: impl FnOnce(&mut StallDetector) -> R) -> R {
-        change(self.pulses.borrow_mut().entry(head.clone()).or_default())
+    pub fn with_stall_detector<R>(
+        &self,
+        head: &HostId,
+        change: impl FnOnce(&mut StallDetector) -> R,
+    ) -> R {
+        change(
+            self.stall_detectors
+                .borrow_mut()
+                .entry(head.clone())
+                .or_default(),
+        )
     }
 
     /// Heads that run requests of this node without progress and whose members should be probed
@@ -288,8 +297,8 @@
     pub fn heads_to_probe(&self) -> Vec<HostId> {
         let now = self.now();
         let mut due = Vec::new();
-        for (head, pulse) in self.pulses.borrow_mut().iter_mut() {
-            if pulse.should_probe(now) {
+        for (head, detector) in self.stall_detectors.borrow_mut().iter_mut() {
+            if detector.should_probe(now) {
                 due.push(head.clone());
             }
         }
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -23,15 +23,15 @@
     /// Time until a head has processed the prompts sent to it; `rate` is in tokens per second.
     #[must_use]
     pub fn prefill_wait(&self, head: &HostId, rate: f64) -> Duration {
-        let unread = self.unread.borrow().get(head).copied();
-        unread.unwrap_or_default().wait(self.now(), rate)
+        let backlog = self.prompt_backlogs.borrow().get(head).copied();
+        backlog.unwrap_or_default().wait(self.now(), rate)
     }
 
     /// Records a prompt sent to a head by this node or another one.
     pub fn record_prompt(&self, head: &HostId, tokens: u32, rate: f64) {
         let now = self.now();
-        let mut unread = self.unread.borrow_mut();
-        unread
+        let mut backlogs = self.prompt_backlogs.borrow_mut();
+        backlogs
             .entry(head.clone())
             .or_default()
             .add(tokens, now, rate);
@@ -41,7 +41,7 @@
     /// small part of them, and random selection is better then.
     #[must_use]
     pub fn hints_reach_all(&self) -> bool {
-        self.hints.peer_count() + 1 >= self.nodes.borrow().len().max(1)
+        self.hints.peer_count() + 1 >= self.live_nodes.borrow().len().max(1)
     }
 
     /// Records a request that another node sent to a head.
@@ -72,7 +72,7 @@
         };
         let now = self.now();
         if served {
-            self.served_others.borrow_mut().insert(head.clone(), now);
+            self.served_others_at.borrow_mut().insert(head.clone(), now);
         }
         self.with_load(&head, |load| load.record_report(requests, now));
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows, shared by its tasks.
+//! In-memory state of a gateway, shared by its tasks.
 
 mod health;
 mod loads;
@@ -29,85 +29,86 @@
 
 use health::Suspicion;
 pub use health::{FailureKind, ReplicaLostSignal};
-pub use process::RunningRequest;
+pub use process::RequestGuard;
 
-/// State of a gateway.
+/// State of a gateway node. All times are measured from process start.
 #[derive(Debug)]
 pub struct GatewayNode {
-    /// Settings.
+    /// Settings read at startup.
     pub settings: GatewaySettings,
-    /// Log.
+    /// Destination of log lines.
     pub sink: LineSink,
-    /// Metrics.
+    /// Metric instruments.
     pub metrics: GatewayMetrics,
-    /// Connections to targets.
+    /// Pool of idle connections to targets.
     pub pool: ConnectionPool,
-    /// Hints to other nodes.
+    /// Channel for load hints to other nodes.
     pub hints: HintChannel,
-    /// Wakes the care for replicas.
-    pub changed: Notify,
-    /// Wakes who waits for the end of a request or connection.
-    pub ended: Notify,
-    /// Wakes who reads what the store tells of ended targets.
+    /// Wakes the replica reconciler after a state change.
+    pub state_changed: Notify,
+    /// Notified when a request or client connection ends.
+    pub activity_ended: Notify,
+    /// Notified when the store has new crash records.
     pub crash_records_changed: Notify,
     started: Instant,
     config: RefCell<Option<Rc<GatewayConfig>>>,
-    idle_limit: Cell<Duration>,
+    idle_timeout: Cell<Duration>,
     registry: RefCell<TargetRegistry>,
     registry_version: Cell<Option<RowVersion>>,
-    registry_heard: Cell<Duration>,
-    store_lost: Cell<bool>,
-    /// Until when rows may still tell of the time before an outage.
-    settling_until: Cell<Duration>,
-    hosts_changed: Cell<Duration>,
-    memberships: RefCell<FastMap<HostId, Duration>>,
-    spent: RefCell<FastSet<(ReplicaId, u64)>>,
-    heads: RefCell<FastMap<(ReplicaId, u64), HostId>>,
+    registry_confirmed_at: Cell<Duration>,
+    store_unreachable: Cell<bool>,
+    /// Until when registry rows may predate an outage of the store.
+    registry_stale_until: Cell<Duration>,
+    hosts_changed_at: Cell<Duration>,
+    membership_changed_at: RefCell<FastMap<HostId, Duration>>,
+    never_reopen: RefCell<FastSet<(ReplicaId, u64)>>,
+    known_heads: RefCell<FastMap<(ReplicaId, u64), HostId>>,
     loads: RefCell<FastMap<HostId, TargetLoad>>,
-    /// Hosts by the marks that stand for them in hints.
+    /// Hosts by the hashes that stand for them in hints.
     hosts_by_hash: RefCell<FastMap<HostHash, HostId>>,
-    /// Prompts that wait at the heads of replicas, of this node and of those that told it.
-    unread: RefCell<FastMap<HostId, PromptBacklog>>,
-    pulses: RefCell<FastMap<HostId, StallDetector>>,
+    /// Prompts that heads have not processed yet, sent by this node or announced by others.
+    prompt_backlogs: RefCell<FastMap<HostId, PromptBacklog>>,
+    stall_detectors: RefCell<FastMap<HostId, StallDetector>>,
     loss_signals: RefCell<FastMap<HostId, Rc<ReplicaLostSignal>>>,
     suspicions: RefCell<FastMap<HostId, Suspicion>>,
-    /// Targets that are being asked whether they live.
+    /// Targets with a probe in progress.
     probing: RefCell<FastSet<HostId>>,
-    /// When heads last began an answer for another node.
-    served_others: RefCell<FastMap<HostId, Duration>>,
+    /// When heads last started a response for another node.
+    served_others_at: RefCell<FastMap<HostId, Duration>>,
     unlisted: RefCell<FastSet<HostId>>,
-    /// Runs that broke off, until it is known whether their targets ended.
+    /// Interrupted requests at targets that are not yet known to have crashed.
     interrupted: RefCell<InterruptedRequests>,
-    /// What ran at targets that ended.
+    /// Requests that ran at crashed targets.
     poison: RefCell<PoisonDetector>,
-    /// The store's clock at a moment of this process.
+    /// Store clock, and the process time at which it was read.
     store_clock: Cell<Option<(Duration, Duration)>>,
-    /// Targets that leave and take no connections any more, with the time since when.
+    /// Draining or unlisted targets that no longer accept connections, and since when.
     retired: RefCell<FastMap<HostId, Duration>>,
-    budgets: RefCell<FastMap<ServiceName, RetryBudget>>,
-    shares: RefCell<FastMap<ServiceName, CustomerShares>>,
-    nodes: RefCell<Vec<String>>,
-    nodes_counted: Cell<u64>,
-    stopping: Cell<Option<ShutdownPlan>>,
-    /// Closed when callers' connections are taken no more.
+    retry_budgets: RefCell<FastMap<ServiceName, RetryBudget>>,
+    customer_shares: RefCell<FastMap<ServiceName, CustomerShares>>,
+    live_nodes: RefCell<Vec<String>>,
+    nodes_generation: Cell<u64>,
+    shutdown: Cell<Option<ShutdownPlan>>,
+    /// Closed when no more client connections are accepted.
     accepting: Semaphore,
-    running: Cell<usize>,
-    connections: Cell<usize>,
-    seen_request: Cell<bool>,
+    running_requests: Cell<usize>,
+    open_connections: Cell<usize>,
+    has_seen_request: Cell<bool>,
 }
 
-/// Time after the store's return, or after the start, in which entries may be older than they
-/// seem: targets write theirs again within about two seconds.
-const SETTLING_TIME: Duration = Duration::from_millis(2500);
+/// Time after startup or an outage of the store in which registry entries may be out of date:
+/// targets rewrite theirs within about two seconds.
+const REGISTRY_SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-/// Idle time allowed while no configuration is known.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of client connections until a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Number of nodes assumed until heartbeats are counted. The resulting share of the budgets is safe
+/// in any deployment of today's size.
+const ASSUMED_NODES: usize = 16;
 
-/// Nodes assumed while none are counted: a part of the budgets that is safe in any deployment of
-/// today's size.
-const NODES_UNKNOWN: usize = 16;
 impl GatewayNode {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration or registry data.
     #[must_use]
     pub fn new(
         settings: GatewaySettings,
@@ -121,47 +122,47 @@
             sink,
             metrics,
             pool: ConnectionPool::default(),
-            changed: Notify::new(),
-            ended: Notify::new(),
+            state_changed: Notify::new(),
+            activity_ended: Notify::new(),
             crash_records_changed: Notify::new(),
             started: Instant::now(),
             config: RefCell::default(),
-            idle_limit: Cell::new(DEFAULT_IDLE),
+            idle_timeout: Cell::new(DEFAULT_IDLE_TIMEOUT),
             registry: RefCell::default(),
             registry_version: Cell::default(),
-            registry_heard: Cell::default(),
-            store_lost: Cell::default(),
-            settling_until: Cell::default(),
-            hosts_changed: Cell::default(),
-            memberships: RefCell::default(),
-            spent: RefCell::default(),
-            heads: RefCell::default(),
+            registry_confirmed_at: Cell::default(),
+            store_unreachable: Cell::default(),
+            registry_stale_until: Cell::default(),
+            hosts_changed_at: Cell::default(),
+            membership_changed_at: RefCell::default(),
+            never_reopen: RefCell::default(),
+            known_heads: RefCell::default(),
             loads: RefCell::default(),
             hosts_by_hash: RefCell::default(),
-            unread: RefCell::default(),
-            pulses: RefCell::default(),
+            prompt_backlogs: RefCell::default(),
+            stall_detectors: RefCell::default(),
             loss_signals: RefCell::default(),
             suspicions: RefCell::default(),
             probing: RefCell::default(),
-            served_others: RefCell::default(),
+            served_others_at: RefCell::default(),
             unlisted: RefCell::default(),
             interrupted: RefCell::default(),
             poison: RefCell::default(),
             store_clock: Cell::default(),
             retired: RefCell::default(),
-            budgets: RefCell::default(),
-            shares: RefCell::default(),
-            nodes: RefCell::default(),
-            nodes_counted: Cell::default(),
-            stopping: Cell::default(),
+            retry_budgets: RefCell::default(),
+            customer_shares: RefCell::default(),
+            live_nodes: RefCell::default(),
+            nodes_generation: Cell::default(),
+            shutdown: Cell::default(),
             accepting: Semaphore::new(0),
-            running: Cell::default(),
-            connections: Cell::default(),
-            seen_request: Cell::default(),
+            running_requests: Cell::default(),
+            open_connections: Cell::default(),
+            has_seen_request: Cell::default(),
         }
     }
 
-    /// Time since the start of the process.
+    /// Time since process start.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
@@ -172,129 +173,131 @@
         self.sink.write(line, self.now());
     }
 
-    /// The configuration in force, once one is known.
+    /// The active configuration, once one is known.
     #[must_use]
     pub fn config(&self) -> Option<Rc<GatewayConfig>> {
         self.config.borrow().clone()
     }
 
-    /// Puts a configuration into force, unless a newer one is; whether it did.
+    /// Activates a configuration, unless the active one is as new; returns whether it did.
     pub fn set_config(&self, config: GatewayConfig) -> bool {
         let mut current = self.config.borrow_mut();
-        let idle = |config: &GatewayConfig| config.limits.idle_timeout;
-        let older = current
+        let idle_timeout = |config: &GatewayConfig| config.limits.idle_timeout;
+        let is_outdated = current
             .as_ref()
             .is_some_and(|current| config.revision <= current.revision);
-        if older {
+        if is_outdated {
             return false;
         }
-        // Callers that have not heard of a shorter limit yet still go by the one before.
-        let before = current
+        // Clients that have not seen a shorter limit yet still rely on the previous one.
+        let previous = current
             .as_ref()
-            .map_or(Duration::ZERO, |before| idle(before));
-        self.idle_limit.set(idle(&config).max(before));
+            .map_or(Duration::ZERO, |previous| idle_timeout(previous));
+        self.idle_timeout.set(idle_timeout(&config).max(previous));
         *current = Some(Rc::new(config.with_priorities()));
         drop(current);
-        self.changed.notify_waiters();
+        self.state_changed.notify_waiters();
         true
     }
 
-    /// How long a caller's connection may be idle.
+    /// Idle timeout of client connections.
     #[must_use]
-    pub fn idle_limit(&self) -> Duration {
-        self.idle_limit.get()
+    pub fn idle_timeout(&self) -> Duration {
+        self.idle_timeout.get()
     }
 
-    /// Reads the registry.
+    /// Calls `read` with the target registry.
     pub fn registry<R>(&self, read: impl FnOnce(&TargetRegistry) -> R) -> R {
         read(&self.registry.borrow())
     }
 
-    /// Newest version of the store that the registry is known at.
+    /// Newest store version up to which the registry is known; `None` before the first read.
     #[must_use]
     pub fn registry_version(&self) -> Option<RowVersion> {
         self.registry_version.get()
     }
 
-    /// Time since the registry was last confirmed by the store.
+    /// Time since the store last confirmed the registry data.
     #[must_use]
     pub fn registry_age(&self) -> Duration {
-        self.now().saturating_sub(self.registry_heard.get())
+        self.now().saturating_sub(self.registry_confirmed_at.get())
     }
 
-    /// Whether the last call for changes of the registry failed.
+    /// Whether the last call for registry changes failed.
     #[must_use]
-    pub fn is_store_lost(&self) -> bool {
-        self.store_lost.get()
+    pub fn is_store_unreachable(&self) -> bool {
+        self.store_unreachable.get()
     }
 
-    /// Whether the registry may tell of a time that is past: the store is away, or was until just
-    /// now and its targets have not all written again. A node that has just started can't tell.
+    /// Whether registry data may be out of date: the store is unavailable, or was until recently
+    /// and targets have not all rewritten their entries. A node that has just started can't tell
+    /// and assumes so.
     #[must_use]
-    pub fn is_registry_doubtful(&self) -> bool {
-        self.store_lost.get() || self.now() < self.settling_until.get()
+    pub fn is_registry_stale(&self) -> bool {
+        self.store_unreachable.get() || self.now() < self.registry_stale_until.get()
     }
 
-    /// Notes that a call for changes of the registry failed.
-    pub fn lose_store(&self) {
-        self.store_lost.set(true);
+    /// Records that a call for registry changes failed.
+    pub fn mark_store_unreachable(&self) {
+        self.store_unreachable.set(true);
     }
 
-    /// Notes that the registry was read after a time in which it was not known.
-    pub fn regain_store(&self) {
-        self.store_lost.set(false);
-        if !self.is_lead_time() {
-            self.settling_until.set(self.now() + SETTLING_TIME);
+    /// Records that the registry was read at startup or after an outage.
+    pub fn mark_store_reachable(&self) {
+        self.store_unreachable.set(false);
+        if !self.is_bootstrapping() {
+            self.registry_stale_until
+                .set(self.now() + REGISTRY_SETTLE_TIME);
         }
     }
 
-    /// Time since a host last came or went.
+    /// Time since a host was last added or removed.
     #[must_use]
-    pub fn hosts_unchanged(&self) -> Duration {
-        self.now().saturating_sub(self.hosts_changed.get())
+    pub fn time_since_host_change(&self) -> Duration {
+        self.now().saturating_sub(self.hosts_changed_at.get())
     }
 
-    /// Uses the budget of repeats of a service.
-    pub fn with_budget<R>(
+    /// Calls `update` with the retry budget of a service.
+    pub fn with_retry_budget<R>(
         &self,
         service: &ServiceName,
-        use_it: impl FnOnce(&mut RetryBudget) -> R,
+        update: impl FnOnce(&mut RetryBudget) -> R,
     ) -> R {
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let limits = self.settings.bounds.retry_limits();
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(limits));
-        use_it(budget)
+        update(budget)
     }
 
-    /// How many nodes live, at least one.
+    /// Number of live nodes, at least one.
     #[must_use]
     pub fn node_count(&self) -> usize {
-        let count = self.nodes.borrow().len();
-        if count == 0 { NODES_UNKNOWN } else { count }
+        let count = self.live_nodes.borrow().len();
+        if count == 0 { ASSUMED_NODES } else { count }
     }
 
-    /// Uses the names of the nodes that live.
-    pub fn with_nodes<R>(&self, use_them: impl FnOnce(&[String]) -> R) -> R {
-        use_them(&self.nodes.borrow())
+    /// Calls `access` with the names of the live nodes.
+    pub fn with_live_nodes<R>(&self, access: impl FnOnce(&[String]) -> R) -> R {
+        access(&self.live_nodes.borrow())
     }
 
-    /// A number that changes with the nodes that live.
+    /// Generation number that increases whenever the set of live nodes changes.
     #[must_use]
-    pub fn nodes_counted(&self) -> u64 {
-        self.nodes_counted.get()
+    pub fn nodes_generation(&self) -> u64 {
+        self.nodes_generation.get()
     }
 
-    /// Takes the names of the nodes that live.
-    pub fn set_nodes(&self, nodes: Vec<String>) {
-        if *self.nodes.borrow() == nodes {
+    /// Sets the names of the live nodes.
+    pub fn set_live_nodes(&self, nodes: Vec<String>) {
+        if *self.live_nodes.borrow() == nodes {
             return;
         }
         let count = u64::try_from(nodes.len()).unwrap_or(u64::MAX);
         let line = EventLine::new(EventCode::NodesCounted).number("nodes", count);
-        *self.nodes.borrow_mut() = nodes;
-        self.nodes_counted.set(self.nodes_counted.get() + 1);
+        *self.live_nodes.borrow_mut() = nodes;
+        self.nodes_generation.set(self.nodes_generation.get() + 1);
         self.log(&line);
     }
 }
--- a/crates/gateway/src/node/poison.rs
+++ b/crates/gateway/src/node/poison.rs
@@ -11,8 +11,8 @@
 
 impl GatewayNode {
     /// Calls `access` with the interrupted requests.
-    pub fn with_interrupted<R>(&self, use_them: impl FnOnce(&mut InterruptedRequests) -> R) -> R {
-        use_them(&mut self.interrupted.borrow_mut())
+    pub fn with_interrupted<R>(&self, access: impl FnOnce(&mut InterruptedRequests) -> R) -> R {
+        access(&mut self.interrupted.borrow_mut())
     }
 
     /// Whether a request is clear, suspected or barred.
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -1,4 +1,4 @@
-//! The process itself: requests and connections in progress, readiness, the stop, figures.
+//! Process state: requests and connections in flight, readiness, shutdown and statistics.
 
 use std::rc::Rc;
 
@@ -12,16 +12,16 @@
 use crate::metrics::NodeStats;
 use crate::usage::ConnectionUsage;
 
-/// Counts a request in its process and on its connection until it is dropped, with its answer's last
-/// byte.
+/// Counts a request in the process and on its connection until dropped, which happens after the
+/// last byte of the response.
 #[derive(Debug)]
-pub struct RunningRequest {
+pub struct RequestGuard {
     node: Rc<GatewayNode>,
     usage: Rc<ConnectionUsage>,
 }
 
-impl RunningRequest {
-    /// Counts a request.
+impl RequestGuard {
+    /// Starts counting a request.
     #[must_use]
     pub fn new(node: &Rc<GatewayNode>, usage: &Rc<ConnectionUsage>) -> Self {
         node.begin_request();
@@ -33,7 +33,7 @@
     }
 }
 
-impl Drop for RunningRequest {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.usage.request_ended(self.node.now());
         self.node.end_request();
@@ -41,26 +41,27 @@
 }
 
 impl GatewayNode {
-    /// Whether the node can serve: it knows a configuration and the targets, and does not stop.
+    /// Whether the node can serve: it has a configuration and the registry, and is not shutting
+    /// down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.config.borrow().is_some() && self.registry_version.get().is_some();
-        known && !self.is_stopping()
+        known && !self.is_shutting_down()
     }
 
-    /// Whether the process stops.
+    /// Whether the process is shutting down.
     #[must_use]
-    pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.get().is_some()
     }
 
-    /// The course of the stop, once it has begun.
+    /// Schedule of the shutdown, once it has begun.
     #[must_use]
-    pub fn stop_plan(&self) -> Option<ShutdownPlan> {
-        self.stopping.get()
+    pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
+        self.shutdown.get()
     }
 
-    /// Metrics as text.
+    /// Returns all metrics as text.
     ///
     /// # Errors
     ///
@@ -69,7 +70,7 @@
         self.metrics.encode(&self.stats())
     }
 
-    /// The figures of this moment.
+    /// Current values of the gauges.
     #[must_use]
     pub fn stats(&self) -> NodeStats {
         let registry = self.registry.borrow();
@@ -77,9 +78,9 @@
             config_revision: self.config().map_or(0, |config| config.revision.0),
             registry_age: self.registry_age(),
             suspected_targets: self.suspicions.borrow().len(),
-            live_nodes: self.nodes.borrow().len(),
-            running_requests: self.running(),
-            open_connections: self.connections(),
+            live_nodes: self.live_nodes.borrow().len(),
+            running_requests: self.running_requests(),
+            open_connections: self.open_connections(),
             dropped_lines: self.sink.dropped(),
             retries_left: self.retries_left(),
             ..NodeStats::default()
@@ -107,105 +108,105 @@
         stats
     }
 
-    /// Notes that a request arrived, whatever becomes of it.
-    pub fn note_arrival(&self, request: &AdmittedRequest) {
+    /// Records the arrival of a request, regardless of its outcome.
+    pub fn record_arrival(&self, request: &AdmittedRequest) {
         let now = self.now();
         let service = &request.service;
-        self.with_budget(service, |budget| budget.record_request(now));
+        self.with_retry_budget(service, |budget| budget.record_request(now));
         let Some(customer) = &request.customer else {
             return;
         };
-        self.with_shares(service, |shares| shares.record_arrival(customer, now));
+        self.with_customer_shares(service, |shares| shares.record_arrival(customer, now));
     }
 
-    /// Whether a request's customer uses more than its share of the service.
+    /// Whether the request's customer uses more than its share of the service.
     #[must_use]
     pub fn is_over_share(&self, request: &AdmittedRequest) -> bool {
         let now = self.now();
         let Some(customer) = &request.customer else {
             return false;
         };
-        self.with_shares(&request.service, |shares| {
+        self.with_customer_shares(&request.service, |shares| {
             shares.is_over_share(customer, now)
         })
     }
 
-    /// Uses what the customers use of a service.
-    pub fn with_shares<R>(
+    /// Calls `access` with the customers' usage of a service.
+    pub fn with_customer_shares<R>(
         &self,
         service: &ServiceName,
-        use_them: impl FnOnce(&mut CustomerShares) -> R,
+        access: impl FnOnce(&mut CustomerShares) -> R,
     ) -> R {
-        let mut shares = self.shares.borrow_mut();
-        use_them(shares.entry(service.clone()).or_default())
+        let mut shares = self.customer_shares.borrow_mut();
+        access(shares.entry(service.clone()).or_default())
     }
 
-    /// Repeats that may be made now, at the service that has the fewest left; 0 before the first
-    /// request.
+    /// Retries allowed now at the service that has the fewest left; 0 before the first request.
     fn retries_left(&self) -> f64 {
         let (now, nodes) = (self.now(), self.node_count());
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let left = budgets
             .values_mut()
             .map(|budget| budget.remaining(now, nodes));
         left.reduce(f64::min).unwrap_or(0.0)
     }
 
-    /// Begins to stop.
-    pub fn stop(&self) -> ShutdownPlan {
+    /// Starts the shutdown.
+    pub fn begin_shutdown(&self) -> ShutdownPlan {
         let plan = ShutdownPlan::new(self.now(), self.settings.bounds.stop_grace());
-        self.stopping.set(Some(plan));
+        self.shutdown.set(Some(plan));
         plan
     }
 
-    /// Takes no more connections.
+    /// Stops accepting connections.
     pub fn stop_accepting(&self) {
         self.accepting.close();
     }
 
-    /// Completes once no more connections are taken.
+    /// Completes once connections are no longer accepted.
     pub async fn accepting_stopped(&self) {
-        // A semaphore without permits only ever answers that it was closed.
+        // A semaphore without permits completes only when closed.
         drop(self.accepting.acquire().await);
     }
 
     pub(super) fn begin_request(&self) {
-        self.seen_request.set(true);
-        self.running.set(self.running.get() + 1);
+        self.has_seen_request.set(true);
+        self.running_requests.set(self.running_requests.get() + 1);
     }
 
     pub(super) fn end_request(&self) {
-        self.running.set(self.running.get().saturating_sub(1));
-        self.ended.notify_waiters();
+        self.running_requests
+            .set(self.running_requests.get().saturating_sub(1));
+        self.activity_ended.notify_waiters();
     }
 
-    /// Requests that run in this process.
+    /// Number of requests in flight.
     #[must_use]
-    pub fn running(&self) -> usize {
-        self.running.get()
+    pub fn running_requests(&self) -> usize {
+        self.running_requests.get()
     }
 
-    /// Counts a caller's connection.
+    /// Records an accepted client connection.
     pub fn begin_connection(&self) {
-        self.connections.set(self.connections.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
     }
 
-    /// Counts the end of a caller's connection.
+    /// Records a closed client connection.
     pub fn end_connection(&self) {
-        self.connections
-            .set(self.connections.get().saturating_sub(1));
-        self.ended.notify_waiters();
+        self.open_connections
+            .set(self.open_connections.get().saturating_sub(1));
+        self.activity_ended.notify_waiters();
     }
 
-    /// Callers' connections.
+    /// Number of open client connections.
     #[must_use]
-    pub fn connections(&self) -> usize {
-        self.connections.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
-    /// Whether the whole system starts and nobody has asked for anything yet.
+    /// Whether the system starts for the first time and no request has arrived yet.
     #[must_use]
-    pub fn is_lead_time(&self) -> bool {
-        self.settings.first_start && !self.seen_request.get()
+    pub fn is_bootstrapping(&self) -> bool {
+        self.settings.first_start && !self.has_seen_request.get()
     }
 }
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that a node knows, and which of them take work.
+//! Known targets, and which of them accept requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use super::GatewayNode;
 
 impl GatewayNode {
-    /// Notes that the registry is known as of a version.
+    /// Records that the registry is known up to a version.
     pub fn confirm_registry(&self, version: RowVersion) {
         let is_first = self.registry_version.get().is_none();
-        if is_first || self.is_store_lost() {
-            self.regain_store();
+        if is_first || self.is_store_unreachable() {
+            self.mark_store_reachable();
         }
-        self.registry_heard.set(self.now());
+        self.registry_confirmed_at.set(self.now());
         if self
             .registry_version
             .get()
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Takes a target's entry.
-    pub fn put_target(&self, entry: &TargetEntry) {
+    /// Applies a target's entry.
+    pub fn apply_target(&self, entry: &TargetEntry) {
         let id = entry.id.clone();
         let mut registry = self.registry.borrow_mut();
         let before = registry.get(&id).cloned();
@@ -45,7 +45,7 @@
             self.hosts_by_hash
                 .borrow_mut()
                 .insert((&id).into(), id.clone());
-            self.hosts_changed.set(now);
+            self.hosts_changed_at.set(now);
             self.suspicions.borrow_mut().remove(&id);
             self.retired.borrow_mut().remove(&id);
             self.loads.borrow_mut().remove(&id);
@@ -55,43 +55,48 @@
             .as_ref()
             .and_then(|before| before.membership.as_ref());
         if membership_before != entry.membership.as_ref() {
-            self.memberships.borrow_mut().insert(id.clone(), now);
+            self.membership_changed_at
+                .borrow_mut()
+                .insert(id.clone(), now);
         }
         if let Some(membership) = &entry.membership {
-            self.note_membership(&id, membership);
+            self.record_membership(&id, membership);
         }
         self.log(&target_line(EventCode::TargetChanged, entry));
-        self.after_change();
+        self.notify_change();
     }
 
-    /// Takes a target's entry as the registry has it.
-    pub fn list_target(&self, entry: &TargetEntry) {
+    /// Applies a target's entry read from the registry.
+    pub fn apply_listed_target(&self, entry: &TargetEntry) {
         self.unlisted.borrow_mut().remove(&entry.id);
-        self.put_target(entry);
+        self.apply_target(entry);
     }
 
-    fn note_membership(&self, id: &HostId, membership: &ReplicaMembership) {
+    fn record_membership(&self, id: &HostId, membership: &ReplicaMembership) {
         let key = (membership.replica.clone(), membership.epoch);
         if membership.rank == 0 {
-            self.heads.borrow_mut().insert(key.clone(), id.clone());
+            self.known_heads
+                .borrow_mut()
+                .insert(key.clone(), id.clone());
         }
         if matches!(membership.state, MemberState::Open | MemberState::Closing) {
-            self.spent.borrow_mut().insert(key);
+            self.never_reopen.borrow_mut().insert(key);
         }
     }
 
-    /// The head of a replica, also of one that it has left since.
+    /// Last known head of a replica, even if it has left since.
     #[must_use]
-    pub fn head_of(&self, replica: &(ReplicaId, u64)) -> Option<HostId> {
-        self.heads.borrow().get(replica).cloned()
+    pub fn last_known_head(&self, replica: &(ReplicaId, u64)) -> Option<HostId> {
+        self.known_heads.borrow().get(replica).cloned()
     }
 
-    /// Takes note that the registry names a target no more; whether it is still known.
+    /// Handles the removal of a target from the registry; returns whether the target is still
+    /// known.
     ///
-    /// A host that a replica's running requests need is kept as long as it answers: it may be cut
-    /// off from the registry, or leave without a word, and works on for seconds. Were the members of
-    /// such a head given to another replica at once, its streams would stand still, and those that
-    /// had used up their attempts would never get their rest.
+    /// A host needed by a replica's running requests is kept while it answers: it may be cut off
+    /// from the registry, or leave without announcing it and keep working for seconds. If the
+    /// members of such a head were reassigned at once, its streams would stall, and those without
+    /// attempts left would be cut off.
     pub fn unlist_target(&self, id: &HostId) -> bool {
         if self.is_unlisted(id) {
             return true;
@@ -103,23 +108,24 @@
         self.unlisted.borrow_mut().insert(id.clone());
         let line = EventLine::new(EventCode::TargetUnlisted).text("host", id.as_str());
         self.log(&line);
-        self.after_change();
+        self.notify_change();
         true
     }
 
-    /// Whether the registry does not name a target that is still known.
+    /// Whether a known target is no longer in the registry.
     #[must_use]
     pub fn is_unlisted(&self, id: &HostId) -> bool {
         self.unlisted.borrow().contains(id)
     }
 
-    /// Targets that the registry does not name and that are still known.
+    /// Known targets that are no longer in the registry.
     #[must_use]
     pub fn unlisted(&self) -> Vec<HostId> {
         self.unlisted.borrow().iter().cloned().collect()
     }
 
-    /// Whether a target answers and stands in a replica that serves, or ends what it took.
+    /// Whether a target is not suspected and belongs to a replica that serves or finishes its
+    /// requests.
     #[must_use]
     pub fn holds_requests(&self, id: &HostId) -> bool {
         if self.is_suspected(id) {
@@ -132,24 +138,24 @@
         })
     }
 
-    /// Takes note that a target is gone.
+    /// Removes a target.
     pub fn remove_target(&self, id: &HostId) {
         self.unlisted.borrow_mut().remove(id);
         let removed = self.registry.borrow_mut().remove(id);
         let Some(entry) = removed else { return };
-        self.hosts_changed.set(self.now());
+        self.hosts_changed_at.set(self.now());
         self.suspicions.borrow_mut().remove(id);
         self.retired.borrow_mut().remove(id);
         self.loads.borrow_mut().remove(id);
-        self.unread.borrow_mut().remove(id);
-        self.served_others.borrow_mut().remove(id);
+        self.prompt_backlogs.borrow_mut().remove(id);
+        self.served_others_at.borrow_mut().remove(id);
         self.hosts_by_hash.borrow_mut().remove(&id.into());
         self.pool.close_idle(id);
         self.log(&target_line(EventCode::TargetGone, &entry));
-        self.after_change();
+        self.notify_change();
     }
 
-    /// The target that listens at an address.
+    /// Target with the given address.
     #[must_use]
     pub fn target_at(&self, address: SocketAddr) -> Option<HostId> {
         self.registry(|registry| {
@@ -160,36 +166,38 @@
         })
     }
 
-    /// Takes the effect of an order that an engine accepted, ahead of the registry. Without it the
-    /// next plan would start from the state before the order, and take the same hosts again.
+    /// Applies the expected effect of an accepted order before the registry shows it. Otherwise the
+    /// next plan would start from the old state and use the same hosts again.
     pub fn apply_expected(&self, id: &HostId, change: impl FnOnce(&mut TargetEntry)) {
         let known = self.registry(|registry| registry.get(id).cloned());
         let Some(mut entry) = known else { return };
         change(&mut entry);
-        self.put_target(&entry);
+        self.apply_target(&entry);
     }
 
-    /// Time since a host's membership changed, as this node saw it.
+    /// Time since this node saw a host's membership change.
     #[must_use]
     pub fn membership_age(&self, id: &HostId) -> Duration {
-        let since = self.memberships.borrow().get(id).copied();
+        let since = self.membership_changed_at.borrow().get(id).copied();
         self.now().saturating_sub(since.unwrap_or_default())
     }
 
-    /// Uses the replicas that were seen serving, or whose formation failed.
-    pub fn with_spent<R>(&self, use_them: impl FnOnce(&FastSet<(ReplicaId, u64)>) -> R) -> R {
-        use_them(&self.spent.borrow())
+    /// Calls `access` with the replicas that have served or whose formation failed.
+    pub fn with_never_reopen<R>(&self, access: impl FnOnce(&FastSet<(ReplicaId, u64)>) -> R) -> R {
+        access(&self.never_reopen.borrow())
     }
 
-    /// Notes that the formation of a replica failed.
-    pub fn give_up_replica(&self, replica: &ReplicaId, epoch: u64) {
-        self.spent.borrow_mut().insert((replica.clone(), epoch));
+    /// Records that the formation of a replica failed.
+    pub fn abandon_replica(&self, replica: &ReplicaId, epoch: u64) {
+        self.never_reopen
+            .borrow_mut()
+            .insert((replica.clone(), epoch));
     }
 
-    /// Heads of replicas that serve a model now.
+    /// Heads of the replicas that serve a model now.
     #[must_use]
     pub fn serving_heads(&self, service: &ServiceConfig, model: &ModelName) -> Vec<TargetEntry> {
-        let Some(shape) = service.model(model) else {
+        let Some(model_config) = service.model(model) else {
             return Vec::new();
         };
         let registry = self.registry.borrow();
@@ -198,7 +206,7 @@
             let serves = replica.service == service.name
                 && replica.model.as_ref() == Some(model)
                 && replica.head_state == Some(MemberState::Open)
-                && replica.is_complete(shape.size);
+                && replica.is_complete(model_config.size);
             if !serves || self.has_suspected_member(replica) || self.has_retired_member(replica) {
                 continue;
             }
@@ -211,33 +219,33 @@
         heads
     }
 
-    /// Replicas of each model of a service that serve, or are about to.
+    /// Number of replicas per model of a service that serve or are about to.
     #[must_use]
-    pub fn standing_replicas(&self, service: &ServiceConfig) -> FastMap<ModelName, usize> {
+    pub fn live_replica_counts(&self, service: &ServiceConfig) -> FastMap<ModelName, usize> {
         let registry = self.registry.borrow();
-        let mut standing = FastMap::default();
+        let mut counts = FastMap::default();
         for replica in registry.replicas() {
             let Some(model) = replica.model.as_ref().and_then(|name| service.model(name)) else {
                 continue;
             };
-            let stands = replica.service == service.name && replica.is_complete(model.size);
-            let ends = matches!(
+            let is_formed = replica.service == service.name && replica.is_complete(model.size);
+            let is_ending = matches!(
                 replica.head_state,
                 Some(MemberState::Closing | MemberState::Broken) | None
             );
-            if !stands
-                || ends
+            if !is_formed
+                || is_ending
                 || self.has_suspected_member(replica)
                 || self.has_retired_member(replica)
             {
                 continue;
             }
-            *standing.entry(model.name.clone()).or_default() += 1;
+            *counts.entry(model.name.clone()).or_default() += 1;
         }
-        standing
+        counts
     }
 
-    /// Targets of a plain service that take work now.
+    /// Targets of a plain service that accept requests now.
     #[must_use]
     pub fn plain_targets(&self, service: &ServiceName) -> Vec<TargetEntry> {
         let registry = self.registry.borrow();
@@ -252,9 +260,9 @@
         targets
     }
 
-    pub(super) fn after_change(&self) {
+    pub(super) fn notify_change(&self) {
         self.signal_lost_replicas();
-        self.changed.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,7 +13,7 @@
 use serving::{EventSplitter, GatewayConfig, PoisonVerdict, RouteKind};
 
 use crate::admitted::AdmittedRequest;
-use crate::node::{GatewayNode, ReplicaLostSignal, RunningRequest};
+use crate::node::{GatewayNode, ReplicaLostSignal, RequestGuard};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
 
 /// Maximum number of attempts to find another target for a stream.
@@ -69,7 +69,7 @@
     /// Whether the stream waits for a stalled target because no other one can resume it.
     waits_for_stalled: bool,
     finished: bool,
-    _running: RunningRequest,
+    _running: RequestGuard,
 }
 
 enum SourceEvent {
@@ -88,7 +88,7 @@
         config: Rc<GatewayConfig>,
         request: Rc<AdmittedRequest>,
         source: StreamSource,
-        running: RunningRequest,
+        running: RequestGuard,
     ) -> Self {
         Self {
             node: Rc::clone(node),
@@ -255,7 +255,7 @@
             let service = &self.request.service;
             if !self
                 .node
-                .with_budget(service, |budget| budget.take(now, nodes))
+                .with_retry_budget(service, |budget| budget.take(now, nodes))
             {
                 return Err("retry budget exhausted".to_owned());
             }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -140,7 +140,7 @@
 /// Shuts down gracefully: the node reports itself as not ready immediately, but serves until the
 /// load balancer and clients have noticed and requests have finished, or the grace period is over.
 async fn shut_down(node: &GatewayNode) {
-    let plan = node.stop();
+    let plan = node.begin_shutdown();
     node.log(&shutdown_line(node, "begun"));
     wait_until_drained(node, plan).await;
     // A client that connects between the last check and the exit would have its request executed
@@ -155,11 +155,11 @@
 
 async fn wait_until_drained(node: &GatewayNode, plan: ShutdownPlan) {
     loop {
-        let idle = node.running() == 0 && node.connections() == 0;
+        let idle = node.running_requests() == 0 && node.open_connections() == 0;
         if plan.is_over(node.now(), idle) {
             return;
         }
-        drop(tokio::time::timeout(SHUTDOWN_CHECK_INTERVAL, node.ended.notified()).await);
+        drop(tokio::time::timeout(SHUTDOWN_CHECK_INTERVAL, node.activity_ended.notified()).await);
     }
 }
 
@@ -167,6 +167,6 @@
     let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
     EventLine::new(EventCode::NodeStopping)
         .text("phase", phase)
-        .number("requests", count(node.running()))
-        .number("connections", count(node.connections()))
+        .number("requests", count(node.running_requests()))
+        .number("connections", count(node.open_connections()))
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -36,12 +36,12 @@
     fn new(node: &Rc<GatewayNode>, request: &AdmittedRequest, target: &TargetEntry) -> Self {
         let now = node.now();
         if let Some(customer) = &request.customer {
-            node.with_shares(&request.service, |shares| shares.record_sent(customer));
+            node.with_customer_shares(&request.service, |shares| shares.record_sent(customer));
         }
         let is_head = target.membership.is_some();
         node.with_load(&target.id, serving::TargetLoad::record_sent);
         if is_head {
-            node.with_pulse(&target.id, |pulse| pulse.request_started(now));
+            node.with_stall_detector(&target.id, |detector| detector.request_started(now));
             record_sent_prompt(node, request, &target.id);
         }
         Self {
@@ -58,7 +58,7 @@
         let now = self.node.now();
         if self.is_head {
             self.node
-                .with_pulse(&self.host, |pulse| pulse.record_progress(now));
+                .with_stall_detector(&self.host, |detector| detector.record_progress(now));
         }
     }
 }
@@ -69,11 +69,11 @@
             .with_load(&self.host, serving::TargetLoad::record_end);
         if let Some(customer) = &self.customer {
             self.node
-                .with_shares(&self.service, |shares| shares.record_ended(customer));
+                .with_customer_shares(&self.service, |shares| shares.record_ended(customer));
         }
         if self.is_head {
             self.node
-                .with_pulse(&self.host, serving::stall::StallDetector::request_ended);
+                .with_stall_detector(&self.host, serving::stall::StallDetector::request_ended);
         }
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -271,7 +271,7 @@
         match decode_target(&row.key, bytes) {
             Ok(entry) => {
                 self.pending_removals.retain(|id| *id != entry.id);
-                self.node.list_target(&entry);
+                self.node.apply_listed_target(&entry);
             }
             Err(error) => {
                 let line = EventLine::new(EventCode::EntryUnreadable)
@@ -298,7 +298,7 @@
     }
 
     fn call_failed(&mut self) {
-        self.node.lose_store();
+        self.node.mark_store_unreachable();
         self.last_failure = Some(self.node.now());
     }
 }
