--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,6 @@
 
 mod admit;
 mod admitted;
-mod care;
 mod crash;
 mod crash_records;
 mod handle;
@@ -19,6 +18,7 @@
 mod orders;
 mod pool;
 mod probe;
+mod reconcile;
 mod relay;
 mod run;
 mod send;
--- a/crates/gateway/src/care/mod.rs
+++ b/crates/gateway/src/reconcile/mod.rs
@@ -1,8 +1,9 @@
-//! Caring for replicas: planning, waiting for one's turn, and taking the steps.
+//! Replica reconciliation: plans the steps that bring replicas to the desired state, and executes
+//! those that are this node's turn.
 
-mod blind;
 mod staging;
 mod steps;
+mod store_outage;
 mod turns;
 
 use std::cell::{Cell, RefCell};
@@ -23,83 +24,83 @@
 use crate::node::GatewayNode;
 use crate::orders::OrderTracker;
 
-use blind::AskedFabrics;
+use store_outage::FabricRefreshes;
 use turns::{KeptLayouts, TurnRanks};
 
-/// Longest time between two plans; changes of the registry lead to one at once.
-const PLAN_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum interval between two plans; a registry change triggers one immediately.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time between two plans while nothing is to be done or waited for.
-const CALM_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum interval between two plans while there is nothing to do or to wait for.
+const IDLE_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Wait for further changes after one; the registry brings them in series.
-const SERIES_PAUSE: Duration = Duration::from_millis(5);
+/// Delay that batches registry changes, which come in bursts, into one plan.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Rank up to which a node plans for a fabric domain at each change. Seven nodes have to be gone
-/// at once before a domain waits for one of the others.
-const FAR_RANK: usize = 6;
+/// Maximum rank at which a node plans for a fabric domain on every change. Seven nodes have to be
+/// gone at once before a domain waits for one of the others.
+const MAX_ACTIVE_RANK: usize = 6;
 
-/// Pause between two plans for the other domains.
-const FAR_PAUSE: Duration = Duration::from_secs(2);
+/// Interval between plans for all other fabric domains.
+const BACKUP_PLAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Window over which weight loads are counted.
+/// Window over which loads of model weights are counted.
 const LOAD_WINDOW: Duration = Duration::from_secs(5);
 
-/// Cares for the replicas of all services.
-pub async fn care_for_replicas(node: Rc<GatewayNode>) {
-    let care = Rc::new(ReplicaCare {
+/// Reconciles the replicas of all services; never returns.
+pub async fn reconcile_replicas(node: Rc<GatewayNode>) {
+    let reconciler = Rc::new(ReplicaReconciler {
         node: Rc::clone(&node),
         order_tracker: OrderTracker::default(),
-        waiting: RefCell::default(),
+        waiting_since: RefCell::default(),
         staging: RefCell::default(),
-        formed: Cell::new(0),
-        loads: RefCell::default(),
-        asked: RefCell::default(),
-        // Different at each start: the count of names begins anew, and a name that came twice
-        // would have a late order join a host to a replica that it was meant for before.
-        mark: RandomState::new().hash_one(&node.settings.node) & 0xffff_ffff,
+        formed_count: Cell::new(0),
+        recent_loads: RefCell::default(),
+        refreshes: RefCell::default(),
+        // Unique per process start, because the name counter restarts. If a name were reused, a
+        // delayed order could join a host to the earlier replica of that name.
+        process_nonce: RandomState::new().hash_one(&node.settings.node) & 0xffff_ffff,
         ranks: RefCell::default(),
         layouts: RefCell::default(),
-        counted: RefCell::default(),
-        restless: Cell::new(true),
-        far_round: Cell::default(),
+        logged_summaries: RefCell::default(),
+        has_work: Cell::new(true),
+        last_full_plan: Cell::default(),
     });
     loop {
         let changed = node.state_changed.notified();
-        let pause = if care.restless.get() {
-            PLAN_PAUSE
+        let interval = if reconciler.has_work.get() {
+            PLAN_INTERVAL
         } else {
-            CALM_PAUSE
+            IDLE_PLAN_INTERVAL
         };
-        drop(tokio::time::timeout(pause, changed).await);
-        // A pause lets several changes that come together lead to one plan.
-        tokio::time::sleep(SERIES_PAUSE).await;
-        care.plan();
+        drop(tokio::time::timeout(interval, changed).await);
+        // Batches changes that arrive together.
+        tokio::time::sleep(BATCH_DELAY).await;
+        reconciler.plan();
     }
 }
 
-struct ReplicaCare {
+struct ReplicaReconciler {
     node: Rc<GatewayNode>,
     order_tracker: OrderTracker,
-    /// Steps that wait for this node's turn, with the time since when.
-    waiting: RefCell<FastMap<PlanStep, Duration>>,
-    /// Second models that hosts were told to load, and until when they may be at it.
+    /// Steps that wait for this node's turn, and since when.
+    waiting_since: RefCell<FastMap<PlanStep, Duration>>,
+    /// Models that hosts were ordered to stage, and until when the load may take.
     staging: RefCell<FastMap<HostId, (ModelName, Duration)>>,
-    formed: Cell<u64>,
-    loads: RefCell<Vec<Duration>>,
-    asked: RefCell<AskedFabrics>,
-    mark: u64,
+    formed_count: Cell<u64>,
+    recent_loads: RefCell<Vec<Duration>>,
+    refreshes: RefCell<FabricRefreshes>,
+    process_nonce: u64,
     ranks: RefCell<TurnRanks>,
     layouts: RefCell<KeptLayouts>,
-    /// What was last logged of the fabric domains that this node acts for first.
-    counted: RefCell<FastMap<FabricId, FabricSummary>>,
+    /// Last logged summary of the fabric domains in which this node has rank 0.
+    logged_summaries: RefCell<FastMap<FabricId, FabricSummary>>,
     /// Whether the last plan found something to do or to wait for.
-    restless: Cell<bool>,
-    /// When all fabric domains were last planned, not only this node's own.
-    far_round: Cell<Duration>,
+    has_work: Cell<bool>,
+    /// When all fabric domains were last planned, rather than only those of low rank.
+    last_full_plan: Cell<Duration>,
 }
 
-impl ReplicaCare {
+impl ReplicaReconciler {
     fn plan(self: &Rc<Self>) {
         let node = &self.node;
         let Some(config) = node.config() else { return };
@@ -107,77 +108,79 @@
             return;
         }
         let now = node.now();
-        let far = now.saturating_sub(self.far_round.get()) >= FAR_PAUSE;
-        if far {
-            self.far_round.set(now);
+        let all_fabrics = now.saturating_sub(self.last_full_plan.get()) >= BACKUP_PLAN_INTERVAL;
+        if all_fabrics {
+            self.last_full_plan.set(now);
         }
-        self.restless.set(false);
+        self.has_work.set(false);
         let mut steps = Vec::new();
         for service in config.services.values() {
             if service.models.is_empty() {
                 continue;
             }
             let layout = self.layout(service, config.revision);
-            self.plan_service(service, &layout, far, &mut steps);
+            self.plan_service(service, &layout, all_fabrics, &mut steps);
         }
-        self.take_turns(steps);
+        self.run_due_steps(steps);
     }
 
     fn layout(&self, service: &ServiceConfig, revision: ConfigRevision) -> Rc<FabricLayout> {
-        let mut rooms: BTreeMap<FabricId, FabricCapacity> = BTreeMap::new();
+        let mut capacities: BTreeMap<FabricId, FabricCapacity> = BTreeMap::new();
         self.node.registry(|registry| {
             for entry in registry.targets() {
                 let fabric = entry.fabric.as_ref();
                 let Some(fabric) = fabric.filter(|_| entry.service == service.name) else {
                     continue;
                 };
-                if !rooms.contains_key(fabric) {
-                    rooms.insert(fabric.clone(), FabricCapacity::default());
+                if !capacities.contains_key(fabric) {
+                    capacities.insert(fabric.clone(), FabricCapacity::default());
                 }
-                let Some(room) = rooms.get_mut(fabric) else {
+                let Some(capacity) = capacities.get_mut(fabric) else {
                     continue;
                 };
                 if entry.state == TargetState::Ready {
-                    room.add(entry.loaded.as_ref());
+                    capacity.add(entry.loaded.as_ref());
                 }
             }
         });
-        self.layouts.borrow_mut().layout(service, revision, rooms)
+        self.layouts
+            .borrow_mut()
+            .layout(service, revision, capacities)
     }
 
     fn plan_service(
         self: &Rc<Self>,
         service: &ServiceConfig,
         layout: &FabricLayout,
-        far: bool,
+        all_fabrics: bool,
         steps: &mut Vec<(FabricId, PlanStep)>,
     ) {
-        let lead = self.node.is_bootstrapping();
-        let fleet = self.node.live_replica_counts(service);
-        for (fabric, hosts) in &self.fabrics(service, far) {
-            let Some(wanted) = layout.get(fabric) else {
+        let bootstrapping = self.node.is_bootstrapping();
+        let fleet_replicas = self.node.live_replica_counts(service);
+        for (fabric, hosts) in &self.planned_hosts(service, all_fabrics) {
+            let Some(domain_layout) = layout.get(fabric) else {
                 continue;
             };
             let planned = self.node.with_never_reopen(|replicas| {
                 plan_fabric(&FabricState {
                     models: &service.models,
-                    desired: wanted,
+                    desired: domain_layout,
                     hosts,
-                    fleet_replicas: &fleet,
+                    fleet_replicas: &fleet_replicas,
                     never_reopen: replicas,
-                    may_load_members: lead || !any_weights(hosts),
-                    may_stage: lead,
+                    may_load_members: bootstrapping || !has_any_weights(hosts),
+                    may_stage: bootstrapping,
                 })
             });
-            self.log_census(fabric, planned.summary);
+            self.log_summary(fabric, planned.summary);
             let planned = planned.steps;
-            if !planned.is_empty() || !blind::is_settled(hosts) {
-                self.restless.set(true);
+            if !planned.is_empty() || !store_outage::is_settled(hosts) {
+                self.has_work.set(true);
             }
-            // What the registry says of the domain may be long past.
-            let fresh = !self.node.is_registry_stale()
-                || self.ask_fabric(fabric, hosts, !planned.is_empty());
-            if !fresh {
+            // The registry data for the domain may be out of date.
+            let is_fresh = !self.node.is_registry_stale()
+                || self.refresh_fabric(fabric, hosts, !planned.is_empty());
+            if !is_fresh {
                 continue;
             }
             for step in planned {
@@ -186,15 +189,15 @@
         }
     }
 
-    fn log_census(&self, fabric: &FabricId, census: FabricSummary) {
+    fn log_summary(&self, fabric: &FabricId, summary: FabricSummary) {
         let is_first = self.ranks.borrow_mut().rank(&self.node, fabric) == 0;
-        let mut counted = self.counted.borrow_mut();
-        if !is_first || counted.get(fabric) == Some(&census) {
+        let mut logged_summaries = self.logged_summaries.borrow_mut();
+        if !is_first || logged_summaries.get(fabric) == Some(&summary) {
             return;
         }
-        let models = census.models.iter().map(|found| {
-            let (standing, wanted) = (found.current, found.desired);
-            format!("{} {standing} of {wanted}", found.model)
+        let models = summary.models.iter().map(|found| {
+            let (current, desired) = (found.current, found.desired);
+            format!("{} {current} of {desired}", found.model)
         });
         let models: Vec<String> = models.collect();
         let line = EventLine::new(EventCode::FabricCounted)
@@ -202,15 +205,19 @@
             .text("models", &models.join(", "))
             .number(
                 "idle_hosts",
-                u64::try_from(census.idle_hosts).unwrap_or(u64::MAX),
+                u64::try_from(summary.idle_hosts).unwrap_or(u64::MAX),
             )
             .millis("registry_age_ms", self.node.registry_age());
         self.node.log(&line);
-        counted.insert(fabric.clone(), census);
+        logged_summaries.insert(fabric.clone(), summary);
     }
 
-    /// The hosts of the fabric domains that this node plans for now.
-    fn fabrics(&self, service: &ServiceConfig, far: bool) -> BTreeMap<FabricId, Vec<HostState>> {
+    /// Hosts of the fabric domains that this node plans for now.
+    fn planned_hosts(
+        &self,
+        service: &ServiceConfig,
+        all_fabrics: bool,
+    ) -> BTreeMap<FabricId, Vec<HostState>> {
         let node = &self.node;
         let mut fabrics: BTreeMap<FabricId, Vec<HostState>> = BTreeMap::new();
         let mut ranks = self.ranks.borrow_mut();
@@ -220,16 +227,16 @@
                 let Some(fabric) = fabric.filter(|_| entry.service == service.name) else {
                     continue;
                 };
-                // The first nodes in turn care for a domain; the others look now and then, in
-                // case all of those are gone.
-                if !far && ranks.rank(node, fabric) > FAR_RANK {
+                // The nodes of low rank plan for a domain; the others check it at intervals in case
+                // all of those are gone.
+                if !all_fabrics && ranks.rank(node, fabric) > MAX_ACTIVE_RANK {
                     continue;
                 }
-                let situation = self.situation(entry);
+                let state = self.host_state(entry);
                 if let Some(hosts) = fabrics.get_mut(fabric) {
-                    hosts.push(situation);
+                    hosts.push(state);
                 } else {
-                    fabrics.insert(fabric.clone(), vec![situation]);
+                    fabrics.insert(fabric.clone(), vec![state]);
                 }
             }
         });
@@ -239,15 +246,16 @@
         fabrics
     }
 
-    fn situation(&self, entry: &TargetEntry) -> HostState {
+    fn host_state(&self, entry: &TargetEntry) -> HostState {
         HostState {
             id: entry.id.clone(),
-            // What answers others is not taken apart for want of a way from here.
+            // A host that answers other nodes must not lose its replica because this node can't
+            // reach it.
             silent_for: self
                 .node
                 .silent_for(&entry.id)
                 .filter(|_| !self.node.serves_other_nodes(&entry.id)),
-            lifecycle: self.stay(entry),
+            lifecycle: self.host_lifecycle(entry),
             order_pending: self.order_tracker.is_pending(&entry.id),
             loaded: entry.loaded.clone(),
             staged: entry.staged.clone(),
@@ -257,7 +265,7 @@
         }
     }
 
-    fn stay(&self, entry: &TargetEntry) -> HostLifecycle {
+    fn host_lifecycle(&self, entry: &TargetEntry) -> HostLifecycle {
         if self.node.is_retired(&entry.id) {
             HostLifecycle::Retired
         } else if entry.state == TargetState::Draining {
@@ -269,40 +277,40 @@
         }
     }
 
-    /// Takes the steps whose turn has come. A step of this node's own making goes at once: the
-    /// others have not seen yet what it leads to.
-    fn take_turns(self: &Rc<Self>, steps: Vec<(FabricId, PlanStep)>) {
+    /// Starts the steps that have waited long enough for nodes of lower rank. Steps for a replica
+    /// that this node formed start at once, since other nodes have not seen its state yet.
+    fn run_due_steps(self: &Rc<Self>, steps: Vec<(FabricId, PlanStep)>) {
         let now = self.node.now();
-        let mut waiting = self.waiting.borrow_mut();
-        let mut still: FastMap<PlanStep, Duration> = FastMap::default();
+        let mut waiting_since = self.waiting_since.borrow_mut();
+        let mut still_waiting: FastMap<PlanStep, Duration> = FastMap::default();
         let mut due = Vec::new();
         for (fabric, step) in steps {
-            let since = waiting.get(&step).copied().unwrap_or(now);
+            let since = waiting_since.get(&step).copied().unwrap_or(now);
             if now.saturating_sub(since) < self.turn(&fabric, &step) {
-                still.insert(step, since);
+                still_waiting.insert(step, since);
                 continue;
             }
             due.push(step);
         }
-        *waiting = still;
-        drop(waiting);
+        *waiting_since = still_waiting;
+        drop(waiting_since);
         for step in due {
-            self.begin(step);
+            self.start_step(step);
         }
     }
 
-    /// Marks the names that this process gives.
-    fn tag(&self) -> String {
+    /// Tag of this node in the names of replicas that it forms.
+    fn node_tag(&self) -> String {
         let settings = &self.node.settings;
         format!("{:08x}", stable_hash(&settings.node.as_str()) & 0xffff_ffff)
     }
 
-    fn begin(self: &Rc<Self>, step: PlanStep) {
+    fn start_step(self: &Rc<Self>, step: PlanStep) {
         let hosts = step.hosts().to_vec();
         if !self.order_tracker.reserve(&hosts) {
             return;
         }
-        if !self.may_load(&step) {
+        if !self.is_load_allowed(&step) {
             self.order_tracker.release(&hosts);
             return;
         }
@@ -310,33 +318,33 @@
             .text("step", &step_text(&step))
             .millis("registry_age_ms", self.node.registry_age());
         self.node.log(&line);
-        let care = Rc::clone(self);
+        let reconciler = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let hold = care.take(step).await;
-            tokio::time::sleep(hold).await;
-            care.order_tracker.release(&hosts);
-            care.node.state_changed.notify_waiters();
+            let cooldown = reconciler.execute_step(step).await;
+            tokio::time::sleep(cooldown).await;
+            reconciler.order_tracker.release(&hosts);
+            reconciler.node.state_changed.notify_waiters();
         });
     }
 
-    /// Whether loads that a step may need stay within this node's part of the limit.
-    fn may_load(&self, step: &PlanStep) -> bool {
+    /// Whether the load that a step may need is within this node's share of the rate limit.
+    fn is_load_allowed(&self, step: &PlanStep) -> bool {
         let PlanStep::Warm { host, model } = step else {
             return true;
         };
         if self.node.is_bootstrapping() {
             return true;
         }
-        let cold = self.node.registry(|registry| {
+        let needs_load = self.node.registry(|registry| {
             registry
                 .get(host)
                 .is_none_or(|entry| !entry.has_weights(model))
         });
-        if !cold {
+        if !needs_load {
             return true;
         }
         let now = self.node.now();
-        let mut loads = self.loads.borrow_mut();
+        let mut loads = self.recent_loads.borrow_mut();
         loads.retain(|at| now.saturating_sub(*at) < LOAD_WINDOW);
         if loads.len() >= self.load_limit() {
             return false;
@@ -355,15 +363,15 @@
             .map(|service| service.loads_per_second);
         let rate = rates.fold(0.0, f64::max);
         let nodes = f64::from(u32::try_from(self.node.node_count()).unwrap_or(u32::MAX));
-        let part = rate * LOAD_WINDOW.as_secs_f64() / nodes;
-        // At least one, so that a spare is loaded at all; whole numbers below 2^32 fit.
+        let share = rate * LOAD_WINDOW.as_secs_f64() / nodes;
+        // At least one, so that spares get loaded at all; whole numbers below 2^32 fit.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let part = part.clamp(1.0, 1e6) as usize;
-        part
+        let share = share.clamp(1.0, 1e6) as usize;
+        share
     }
 }
 
-fn any_weights(hosts: &[HostState]) -> bool {
+fn has_any_weights(hosts: &[HostState]) -> bool {
     hosts
         .iter()
         .any(|host| host.loaded.is_some() || !host.staged.is_empty())
--- a/crates/gateway/src/care/staging.rs
+++ b/crates/gateway/src/reconcile/staging.rs
@@ -1,26 +1,26 @@
-//! Loading a second model onto hosts that serve.
+//! Staging: loads a second model onto hosts that serve another one.
 
 use std::time::Duration;
 
 use adapter::orders::HostOrder;
 use domain::{HostId, ModelName};
 
-use super::ReplicaCare;
-use super::steps::hold_after;
+use super::ReplicaReconciler;
+use super::steps::cooldown_after;
 use crate::orders::membership_key;
 
-/// Factor by which loads are quicker before the first request of the whole system.
-const LEAD_SPEED: f64 = 10.0;
+/// Speedup of loads before the first request of a new system.
+const BOOTSTRAP_LOAD_SPEEDUP: f64 = 10.0;
 
-/// Factor by which a load may take longer than published: the weight store is shared.
-const LOAD_SLACK: f64 = 2.0;
+/// Factor by which a load may exceed its published duration, since the weight store is shared.
+const LOAD_TIME_FACTOR: f64 = 2.0;
 
-/// Time from the end of a load until the registry tells of it.
-const REPORT_TIME: Duration = Duration::from_millis(800);
+/// Delay from the end of a load until the registry reports it.
+const REPORT_DELAY: Duration = Duration::from_millis(800);
 
-impl ReplicaCare {
-    /// Stages a model. The host is free for other orders at once; that it loads is known to this
-    /// node alone, and to others once its registry entry names the model.
+impl ReplicaReconciler {
+    /// Orders a host to stage a model. The host is available for other orders at once; only this
+    /// node knows about the load until the host's registry entry names the model.
     pub(super) async fn stage(&self, host: &HostId, model: ModelName) -> Duration {
         let until = self.node.now() + self.staging_time(&model);
         let loading = (model.clone(), until);
@@ -30,17 +30,17 @@
             entry.membership.as_ref().map(membership_key)
         });
         let end = self.give(host, HostOrder::Stage { model }, expected).await;
-        hold_after(end, Duration::ZERO)
+        cooldown_after(end, Duration::ZERO)
     }
 
-    /// The model that a host may still be loading because this node told it to.
+    /// Model that a host may still be staging on this node's order.
     pub(super) fn staging_at(&self, host: &HostId) -> Option<ModelName> {
         let staging = self.staging.borrow();
         let (model, until) = staging.get(host)?;
         (self.node.now() < *until).then(|| model.clone())
     }
 
-    /// Longest time until the registry names a model that was told to be staged.
+    /// Maximum time until the registry names a model that was ordered to be staged.
     pub(super) fn staging_time(&self, model: &ModelName) -> Duration {
         let load = self.node.config().and_then(|config| {
             let mut services = config.services.values();
@@ -48,10 +48,10 @@
         });
         let load = load.unwrap_or_default();
         let load = if self.node.is_bootstrapping() {
-            load.div_f64(LEAD_SPEED)
+            load.div_f64(BOOTSTRAP_LOAD_SPEEDUP)
         } else {
-            load.mul_f64(LOAD_SLACK)
+            load.mul_f64(LOAD_TIME_FACTOR)
         };
-        load + REPORT_TIME
+        load + REPORT_DELAY
     }
 }
--- a/crates/gateway/src/care/steps.rs
+++ b/crates/gateway/src/reconcile/steps.rs
@@ -6,7 +6,7 @@
 use domain::{HostId, ModelName, ReplicaId};
 use serving::plan::{CloseMode, PlanStep, SPARE_PREFIX, spare_prefix};
 
-use super::ReplicaCare;
+use super::ReplicaReconciler;
 use crate::orders::{OrderOutcome, PlannedOrder, execute_order, membership_key};
 use crate::probe::{order_target, refresh_host};
 
@@ -20,9 +20,9 @@
 /// registry; asking again at once only costs calls.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-impl ReplicaCare {
+impl ReplicaReconciler {
     /// Takes a step; returns how long its hosts are left alone afterwards.
-    pub(super) async fn take(&self, step: PlanStep) -> Duration {
+    pub(super) async fn execute_step(&self, step: PlanStep) -> Duration {
         match step {
             PlanStep::Open {
                 head,
@@ -34,7 +34,7 @@
                     epoch,
                 };
                 let end = self.give(&head, order, Some((replica, epoch))).await;
-                hold_after(end, OPENING_TIME)
+                cooldown_after(end, OPENING_TIME)
             }
             PlanStep::Close {
                 head,
@@ -49,13 +49,13 @@
             } => self.close(&head, replica, epoch, CloseMode::Wait).await,
             PlanStep::Form { model, members } => {
                 let end = self.form(model, members, "r-").await;
-                hold_after(end, EFFECT_TIME)
+                cooldown_after(end, EFFECT_TIME)
             }
             PlanStep::Stage { host, model } => self.stage(&host, model).await,
             PlanStep::Warm { host, model } => {
                 let prefix = spare_prefix(&model);
                 let end = self.form(model, vec![host], &prefix).await;
-                hold_after(end, EFFECT_TIME)
+                cooldown_after(end, EFFECT_TIME)
             }
         }
     }
@@ -73,7 +73,7 @@
             mode,
         };
         let end = self.give(head, order, Some((replica, epoch))).await;
-        hold_after(end, EFFECT_TIME)
+        cooldown_after(end, EFFECT_TIME)
     }
 
     pub(super) async fn give(
@@ -271,10 +271,10 @@
     }
 
     fn new_name(&self, prefix: &str) -> Option<ReplicaId> {
-        let number = self.formed.get() + 1;
-        self.formed.set(number);
-        let (tag, mark) = (self.tag(), self.mark);
-        let name = format!("{prefix}{tag}-{mark:x}-{number}");
+        let number = self.formed_count.get() + 1;
+        self.formed_count.set(number);
+        let (tag, nonce) = (self.node_tag(), self.process_nonce);
+        let name = format!("{prefix}{tag}-{nonce:x}-{number}");
         name.parse().ok()
     }
 }
@@ -294,7 +294,7 @@
     Orphan((ReplicaId, u64)),
 }
 
-pub(super) fn hold_after(end: OrderOutcome, done: Duration) -> Duration {
+pub(super) fn cooldown_after(end: OrderOutcome, done: Duration) -> Duration {
     match end {
         OrderOutcome::Done => done,
         OrderOutcome::Stale | OrderOutcome::Unresponsive => RETRY_PAUSE,
--- a/crates/gateway/src/care/turns.rs
+++ b/crates/gateway/src/reconcile/turns.rs
@@ -13,7 +13,7 @@
 use serving::hashing::{rendezvous_rank, stable_hash};
 use serving::plan::{FabricCapacity, FabricLayout, PlanStep, compute_layout};
 
-use super::ReplicaCare;
+use super::ReplicaReconciler;
 use crate::node::GatewayNode;
 
 /// Time that each node leaves to the one before it. Orders are answered within milliseconds and
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 struct KeptLayout {
     revision: ConfigRevision,
-    rooms: BTreeMap<FabricId, FabricCapacity>,
+    capacities: BTreeMap<FabricId, FabricCapacity>,
     layout: Rc<FabricLayout>,
 }
 
@@ -73,18 +73,18 @@
         &mut self,
         service: &ServiceConfig,
         revision: ConfigRevision,
-        rooms: BTreeMap<FabricId, FabricCapacity>,
+        capacities: BTreeMap<FabricId, FabricCapacity>,
     ) -> Rc<FabricLayout> {
         if let Some(kept) = self.kept.get(&service.name)
             && kept.revision == revision
-            && kept.rooms == rooms
+            && kept.capacities == capacities
         {
             return Rc::clone(&kept.layout);
         }
-        let layout = Rc::new(compute_layout(&rooms, &service.models));
+        let layout = Rc::new(compute_layout(&capacities, &service.models));
         let kept = KeptLayout {
             revision,
-            rooms,
+            capacities,
             layout: Rc::clone(&layout),
         };
         self.kept.insert(service.name.clone(), kept);
@@ -92,14 +92,14 @@
     }
 }
 
-impl ReplicaCare {
+impl ReplicaReconciler {
     /// How long this node leaves a step to those before it.
     pub(super) fn turn(&self, fabric: &FabricId, step: &PlanStep) -> Duration {
         let node = &self.node;
         let own = node.settings.node.as_str();
         let made_here = match step {
             PlanStep::Open { replica, .. } | PlanStep::Close { replica, .. } => {
-                replica.as_str().contains(&self.tag())
+                replica.as_str().contains(&self.node_tag())
             }
             // Others may have chosen another replica to give up; all wait for the first in turn.
             PlanStep::Yield { .. }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -14,7 +14,7 @@
 use crate::metrics::GatewayMetrics;
 use crate::node::GatewayNode;
 use crate::settings::GatewaySettings;
-use crate::{care, crash_records, heartbeat, listen, probe, watch};
+use crate::{crash_records, heartbeat, listen, probe, reconcile, watch};
 
 /// Interval for checking whether a process that is shutting down may exit.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -70,7 +70,7 @@
     spawn_local(receive_hints(Rc::clone(&node)));
     spawn_local(heartbeat::run_heartbeats(Rc::clone(&node)));
     spawn_local(crash_records::watch_crash_records(Rc::clone(&node)));
-    spawn_local(care::care_for_replicas(Rc::clone(&node)));
+    spawn_local(reconcile::reconcile_replicas(Rc::clone(&node)));
     spawn_local(probe::watch_for_stalls(Rc::clone(&node)));
     spawn_local(probe::probe_suspects(Rc::clone(&node)));
     spawn_local(probe::probe_all_unlisted(Rc::clone(&node)));
