--- a/crates/gateway/src/reconcile/mod.rs
+++ b/crates/gateway/src/reconcile/mod.rs
@@ -1,10 +1,10 @@
 //! Replica reconciliation: plans the steps that bring replicas to the desired state, and executes
 //! those that are this node's turn.
 
+mod ranks;
 mod staging;
 mod steps;
 mod store_outage;
-mod turns;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,8 +24,8 @@
 use crate::node::GatewayNode;
 use crate::orders::OrderTracker;
 
+use ranks::{LayoutCache, NodeRanks};
 use store_outage::FabricRefreshes;
-use turns::{KeptLayouts, TurnRanks};
 
 /// Maximum interval between two plans; a registry change triggers one immediately.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
@@ -90,8 +90,8 @@
     recent_loads: RefCell<Vec<Duration>>,
     refreshes: RefCell<FabricRefreshes>,
     process_nonce: u64,
-    ranks: RefCell<TurnRanks>,
-    layouts: RefCell<KeptLayouts>,
+    ranks: RefCell<NodeRanks>,
+    layouts: RefCell<LayoutCache>,
     /// Last logged summary of the fabric domains in which this node has rank 0.
     logged_summaries: RefCell<FastMap<FabricId, FabricSummary>>,
     /// Whether the last plan found something to do or to wait for.
@@ -286,7 +286,7 @@
         let mut due = Vec::new();
         for (fabric, step) in steps {
             let since = waiting_since.get(&step).copied().unwrap_or(now);
-            if now.saturating_sub(since) < self.turn(&fabric, &step) {
+            if now.saturating_sub(since) < self.step_delay(&fabric, &step) {
                 still_waiting.insert(step, since);
                 continue;
             }
