--- a/crates/gateway/src/reconcile/staging.rs
+++ b/crates/gateway/src/reconcile/staging.rs
@@ -29,8 +29,10 @@
             let entry = registry.get(host)?;
             entry.membership.as_ref().map(membership_key)
         });
-        let end = self.give(host, HostOrder::Stage { model }, expected).await;
-        cooldown_after(end, Duration::ZERO)
+        let outcome = self
+            .send_order(host, HostOrder::Stage { model }, expected)
+            .await;
+        cooldown_after(outcome, Duration::ZERO)
     }
 
     /// Model that a host may still be staging on this node's order.
--- a/crates/gateway/src/reconcile/steps.rs
+++ b/crates/gateway/src/reconcile/steps.rs
@@ -1,4 +1,4 @@
-//! Taking the steps of a plan.
+//! Executes the steps of a plan.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use crate::orders::{OrderOutcome, PlannedOrder, execute_order, membership_key};
 use crate::probe::{order_target, refresh_host};
 
-/// Time for which a head that was told to open may go on reporting itself as ready.
-const OPENING_TIME: Duration = Duration::from_millis(900);
+/// Time during which a head that was ordered to open may still report itself as ready.
+const OPEN_COOLDOWN: Duration = Duration::from_millis(900);
 
-/// Time within which the effect of an order stands in the registry.
-const EFFECT_TIME: Duration = Duration::from_millis(150);
+/// Time until the effect of an order appears in the registry.
+const EFFECT_DELAY: Duration = Duration::from_millis(150);
 
-/// Pause after an order that was refused or not answered. What refused it is on its way to the
-/// registry; asking again at once only costs calls.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Delay after an order that was rejected or not answered. The state behind a rejection is on its
+/// way to the registry; an earlier retry would only cost calls.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl ReplicaReconciler {
-    /// Takes a step; returns how long its hosts are left alone afterwards.
+    /// Executes a step; returns how long its hosts are reserved afterwards.
     pub(super) async fn execute_step(&self, step: PlanStep) -> Duration {
         match step {
             PlanStep::Open {
@@ -33,8 +33,8 @@
                     replica: replica.clone(),
                     epoch,
                 };
-                let end = self.give(&head, order, Some((replica, epoch))).await;
-                cooldown_after(end, OPENING_TIME)
+                let outcome = self.send_order(&head, order, Some((replica, epoch))).await;
+                cooldown_after(outcome, OPEN_COOLDOWN)
             }
             PlanStep::Close {
                 head,
@@ -48,14 +48,14 @@
                 epoch,
             } => self.close(&head, replica, epoch, CloseMode::Wait).await,
             PlanStep::Form { model, members } => {
-                let end = self.form(model, members, "r-").await;
-                cooldown_after(end, EFFECT_TIME)
+                let outcome = self.form(model, members, "r-").await;
+                cooldown_after(outcome, EFFECT_DELAY)
             }
             PlanStep::Stage { host, model } => self.stage(&host, model).await,
             PlanStep::Warm { host, model } => {
                 let prefix = spare_prefix(&model);
-                let end = self.form(model, vec![host], &prefix).await;
-                cooldown_after(end, EFFECT_TIME)
+                let outcome = self.form(model, vec![host], &prefix).await;
+                cooldown_after(outcome, EFFECT_DELAY)
             }
         }
     }
@@ -72,11 +72,11 @@
             epoch,
             mode,
         };
-        let end = self.give(head, order, Some((replica, epoch))).await;
-        cooldown_after(end, EFFECT_TIME)
+        let outcome = self.send_order(head, order, Some((replica, epoch))).await;
+        cooldown_after(outcome, EFFECT_DELAY)
     }
 
-    pub(super) async fn give(
+    pub(super) async fn send_order(
         &self,
         host: &HostId,
         order: HostOrder,
@@ -90,24 +90,28 @@
         execute_order(&self.node, &self.order_tracker, &planned).await
     }
 
-    /// Joins hosts to a new replica. Hosts that were heads go first: once a head has left its old
-    /// replica, nobody can open that one again, and its members are free.
+    /// Joins hosts to a new replica. Hosts that were heads join first: once a head has left its old
+    /// replica, that replica can't be opened again, and its members are free.
     async fn form(&self, model: ModelName, members: Vec<HostId>, prefix: &str) -> OrderOutcome {
-        let name = self.new_name(prefix).zip(self.node.registry_version());
+        let name = self
+            .new_replica_id(prefix)
+            .zip(self.node.registry_version());
         let Some((replica, version)) = name else {
             return OrderOutcome::Stale;
         };
-        // Versions of the store only grow, for all nodes alike, and an epoch that was taken at one
-        // is above each that stood in the registry by then.
+        // Store versions increase monotonically for all nodes, so an epoch taken from one is higher
+        // than every epoch that the registry contained by then.
         let epoch = version.0;
-        let end = self.join_all(model, members, replica.clone(), epoch).await;
-        if end != OrderOutcome::Done {
+        let outcome = self
+            .join_members(model, members, replica.clone(), epoch)
+            .await;
+        if outcome != OrderOutcome::Done {
             self.node.abandon_replica(&replica, epoch);
         }
-        end
+        outcome
     }
 
-    async fn join_all(
+    async fn join_members(
         &self,
         model: ModelName,
         members: Vec<HostId>,
@@ -126,34 +130,37 @@
         let mut heads = Vec::new();
         let mut others = Vec::new();
         for member in &members {
-            match self.place(member, &members) {
-                MemberPlace::Head(key) => heads.push((member.clone(), key)),
-                place => others.push((member.clone(), place)),
+            match self.placement(member, &members) {
+                MemberPlacement::Head(key) => heads.push((member.clone(), key)),
+                placement => others.push((member.clone(), placement)),
             }
         }
         for (host, expected) in heads {
-            let end = self.join_head(&host, expected, &join).await;
-            if end != OrderOutcome::Done {
-                return end;
+            let outcome = self.join_head(&host, expected, &join).await;
+            if outcome != OrderOutcome::Done {
+                return outcome;
             }
         }
         let joins = others
             .into_iter()
-            .map(|(host, place)| self.join_member(host, place, &join));
-        let ends = futures::future::join_all(joins).await;
-        let failed = ends.into_iter().find(|end| *end != OrderOutcome::Done);
+            .map(|(host, placement)| self.join_member(host, placement, &join));
+        let outcomes = futures::future::join_all(joins).await;
+        let failed = outcomes
+            .into_iter()
+            .find(|outcome| *outcome != OrderOutcome::Done);
         failed.unwrap_or(OrderOutcome::Done)
     }
 
-    /// Asks the heads that seem to have left the replicas of members; whether they have. An entry may be
-    /// from before the head joined, and its members would be taken from under its streams.
+    /// Queries heads that seem to have left the replicas of these members; returns whether all of
+    /// them have. An entry may predate the head's join, and taking its members would break its
+    /// streams.
     async fn confirm_left(&self, members: &[HostId]) -> bool {
         let moved = self.moved_heads(members);
-        let asks = moved.iter().filter_map(|(head, _)| {
+        let refreshes = moved.iter().filter_map(|(head, _)| {
             let target = order_target(&self.node, head)?;
             Some(refresh_host(&self.node, target))
         });
-        futures::future::join_all(asks).await;
+        futures::future::join_all(refreshes).await;
         self.node.registry(|registry| {
             moved.iter().all(|(head, old)| {
                 let entry = registry.get(head);
@@ -163,7 +170,7 @@
         })
     }
 
-    /// Heads of the replicas that members are in whose entries name another replica or none.
+    /// Heads of the members' current replicas whose own entries name another replica or none.
     fn moved_heads(&self, members: &[HostId]) -> Vec<(HostId, (ReplicaId, u64))> {
         let mut moved: Vec<(HostId, (ReplicaId, u64))> = Vec::new();
         self.node.registry(|registry| {
@@ -177,12 +184,12 @@
                 let Some(entry) = head.as_ref().and_then(|head| registry.get(head)) else {
                     continue;
                 };
-                let stays = entry
+                let is_still_member = entry
                     .membership
                     .as_ref()
                     .is_some_and(|now| membership_key(now) == old);
                 let is_new = moved.iter().all(|(head, _)| *head != entry.id);
-                if !stays && is_new && !self.node.is_suspected(&entry.id) {
+                if !is_still_member && is_new && !self.node.is_suspected(&entry.id) {
                     moved.push((entry.id.clone(), old));
                 }
             }
@@ -190,8 +197,9 @@
         moved
     }
 
-    /// Joins the head of an old replica. An engine that opens still reports itself as ready, so it
-    /// leaves first: joined at once, it could be serving and belong to two replicas.
+    /// Joins a host that is the head of another replica. It leaves that replica first, since an
+    /// engine that is opening still reports itself as ready: joined directly, it could be serving
+    /// and belong to two replicas.
     async fn join_head(
         &self,
         host: &HostId,
@@ -199,40 +207,40 @@
         join: &HostOrder,
     ) -> OrderOutcome {
         if old.0.as_str().starts_with(SPARE_PREFIX) {
-            return self.give(host, join.clone(), Some(old)).await;
+            return self.send_order(host, join.clone(), Some(old)).await;
         }
-        let end = self.leave(host, &old).await;
-        if end != OrderOutcome::Done {
-            return end;
+        let outcome = self.leave(host, &old).await;
+        if outcome != OrderOutcome::Done {
+            return outcome;
         }
-        self.give(host, join.clone(), None).await
+        self.send_order(host, join.clone(), None).await
     }
 
     async fn join_member(
         &self,
         host: HostId,
-        place: MemberPlace,
+        placement: MemberPlacement,
         join: &HostOrder,
     ) -> OrderOutcome {
-        let expected = match place {
-            MemberPlace::Free => None,
-            MemberPlace::Head(key) | MemberPlace::FreedMember(key) => Some(key),
-            MemberPlace::MemberOf(key, head) => {
-                let end = self.leave(&head, &key).await;
-                if end != OrderOutcome::Done {
-                    return end;
+        let expected = match placement {
+            MemberPlacement::Free => None,
+            MemberPlacement::Head(key) | MemberPlacement::FreedMember(key) => Some(key),
+            MemberPlacement::MemberOf(key, head) => {
+                let outcome = self.leave(&head, &key).await;
+                if outcome != OrderOutcome::Done {
+                    return outcome;
                 }
                 Some(key)
             }
-            MemberPlace::Orphan(key) => {
-                let end = self.leave(&host, &key).await;
-                if end != OrderOutcome::Done {
-                    return end;
+            MemberPlacement::Orphan(key) => {
+                let outcome = self.leave(&host, &key).await;
+                if outcome != OrderOutcome::Done {
+                    return outcome;
                 }
                 None
             }
         };
-        self.give(&host, join.clone(), expected).await
+        self.send_order(&host, join.clone(), expected).await
     }
 
     async fn leave(&self, host: &HostId, old: &(ReplicaId, u64)) -> OrderOutcome {
@@ -240,37 +248,37 @@
             replica: old.0.clone(),
             epoch: old.1,
         };
-        self.give(host, order, Some(old.clone())).await
+        self.send_order(host, order, Some(old.clone())).await
     }
 
-    fn place(&self, host: &HostId, joined: &[HostId]) -> MemberPlace {
+    fn placement(&self, host: &HostId, joined: &[HostId]) -> MemberPlacement {
         self.node.registry(|registry| {
             let entry = registry.get(host);
             let membership = entry.and_then(|entry| entry.membership.as_ref());
             let Some(membership) = membership else {
-                return MemberPlace::Free;
+                return MemberPlacement::Free;
             };
             if membership.rank == 0 {
-                return MemberPlace::Head(membership_key(membership));
+                return MemberPlacement::Head(membership_key(membership));
             }
             let old = membership_key(membership);
             let head = self.node.last_known_head(&old);
             let entry = head.as_ref().and_then(|head| registry.get(head));
             let Some(entry) = entry.filter(|entry| !self.node.is_suspected(&entry.id)) else {
-                return MemberPlace::Orphan(old);
+                return MemberPlacement::Orphan(old);
             };
-            let stays = entry
+            let is_still_member = entry
                 .membership
                 .as_ref()
                 .is_some_and(|now| membership_key(now) == old);
-            if !stays || joined.contains(&entry.id) {
-                return MemberPlace::FreedMember(old);
+            if !is_still_member || joined.contains(&entry.id) {
+                return MemberPlacement::FreedMember(old);
             }
-            MemberPlace::MemberOf(old, entry.id.clone())
+            MemberPlacement::MemberOf(old, entry.id.clone())
         })
     }
 
-    fn new_name(&self, prefix: &str) -> Option<ReplicaId> {
+    fn new_replica_id(&self, prefix: &str) -> Option<ReplicaId> {
         let number = self.formed_count.get() + 1;
         self.formed_count.set(number);
         let (tag, nonce) = (self.node_tag(), self.process_nonce);
@@ -279,24 +287,24 @@
     }
 }
 
-enum MemberPlace {
-    /// In no replica.
+enum MemberPlacement {
+    /// The host is in no replica.
     Free,
-    /// Head of a replica.
+    /// The host is the head of a replica.
     Head((ReplicaId, u64)),
-    /// Member of a replica whose head is still in it. The head leaves first, so that nobody opens
-    /// the old replica while its members join another one.
+    /// Member of a replica whose head is still in it. The head leaves first, so that the old
+    /// replica can't be opened while its members join another one.
     MemberOf((ReplicaId, u64), HostId),
-    /// Member of a replica whose head left it, or joins the same new one before.
+    /// Member of a replica whose head has left it, or joins the same new replica first.
     FreedMember((ReplicaId, u64)),
-    /// Member of a replica whose head is gone. It leaves before it joins: should the head live
-    /// after all, its replica stands still rather than share a host with another one.
+    /// Member of a replica whose head is gone. It leaves before it joins: if the head is alive
+    /// after all, its replica stalls instead of sharing a host with another replica.
     Orphan((ReplicaId, u64)),
 }
 
-pub(super) fn cooldown_after(end: OrderOutcome, done: Duration) -> Duration {
-    match end {
+pub(super) fn cooldown_after(outcome: OrderOutcome, done: Duration) -> Duration {
+    match outcome {
         OrderOutcome::Done => done,
-        OrderOutcome::Stale | OrderOutcome::Unresponsive => RETRY_PAUSE,
+        OrderOutcome::Stale | OrderOutcome::Unresponsive => RETRY_DELAY,
     }
 }
