--- a/tests/gateway/bad_input.rs
+++ b/tests/gateway/bad_input.rs
@@ -5,9 +5,9 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::PRODUCT;
-use crate::call::TestCall;
-use crate::kit::{TestSite, configuration};
+use crate::BINARY;
+use crate::request::TestRequest;
+use crate::site::{TestSite, configuration};
 
 /// Another writer leaves entries that name no target, and one that is cut off. The others hold,
 /// and one line says which entry and field it was.
@@ -28,7 +28,7 @@
     );
     node.wait_line(&["entry_unreadable", "i-torn"]).await;
     for call in 0..6 {
-        let answer = TestCall::new("/look/x", &format!("l-{call}"))
+        let answer = TestRequest::new("/look/x", &format!("l-{call}"))
             .send(&node)
             .await;
         assert_eq!(answer.status, StatusCode::OK);
@@ -49,7 +49,7 @@
             .as_str()
             .is_some_and(|reason| reason.contains("routes[1]"))
     );
-    let answer = TestCall::new("/look/x", "l-1").send(&node).await;
+    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -65,7 +65,7 @@
     )
     .expect("a file");
     for command in ["gateway", "check"] {
-        let output = Command::new(PRODUCT)
+        let output = Command::new(BINARY)
             .args([command, "--settings"])
             .arg(&path)
             .output()
--- a/tests/gateway/crashing_request.rs
+++ b/tests/gateway/crashing_request.rs
@@ -5,9 +5,9 @@
 use http::StatusCode;
 use standin::site::ENDING_BODY;
 
-use crate::call::{TestAnswer, TestCall, read_rest, whole_stream};
-use crate::kit::TestSite;
 use crate::node::{TestNode, wait_for};
+use crate::request::{TestRequest, TestResponse, complete_stream, read_response};
+use crate::site::TestSite;
 
 /// Engines that may end under one request: it takes so many to know that it is the request.
 const MOST_ENDED: usize = 3;
@@ -15,14 +15,14 @@
 /// Time in which all nodes must know of a request that has ended three engines.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 
-fn ending(id: &str) -> TestCall {
-    TestCall::chat(id).body(ENDING_BODY.to_vec())
+fn ending(id: &str) -> TestRequest {
+    TestRequest::chat(id).body(ENDING_BODY.to_vec())
 }
 
 /// Sends a request and reads what comes; its connection may break.
-async fn send(call: &TestCall, node: &TestNode) -> Option<TestAnswer> {
+async fn send(call: &TestRequest, node: &TestNode) -> Option<TestResponse> {
     let (_link, answer) = call.try_begin(node).await?;
-    Some(read_rest(answer).await)
+    Some(read_response(answer).await)
 }
 
 async fn three_nodes(site: &TestSite) -> [TestNode; 3] {
@@ -64,9 +64,9 @@
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, StatusCode::BAD_REQUEST);
         assert!(!answer.headers.contains_key("retry-after"));
-        let other = TestCall::chat(&format!("z-{index}")).send(node).await;
+        let other = TestRequest::chat(&format!("z-{index}")).send(node).await;
         assert_eq!(other.status, StatusCode::OK);
-        assert_eq!(other.text, whole_stream(12));
+        assert_eq!(other.text, complete_stream(12));
     }
     assert_eq!(site.groups.crashed(), ended);
     assert_eq!(ended, MOST_ENDED);
@@ -79,7 +79,7 @@
     let nodes = three_nodes(&site).await;
     end_three(&site, &nodes).await;
     let ended = site.groups.crashed();
-    let later = site.later_node("n3").await;
+    let later = site.restarted_node("n3").await;
     tokio::time::sleep(KNOWN_WITHIN).await;
     let answer = send(&ending("y-0"), &later).await;
     assert_eq!(
@@ -96,7 +96,7 @@
     let site = TestSite::start(26, 0);
     site.store.put("ends", "torn", b"{");
     let nodes = three_nodes(&site).await;
-    let deaf = site.deaf_node("n3").await;
+    let deaf = site.node_without_hints("n3").await;
     deaf.wait_replicas(6).await;
     end_three(&site, &nodes).await;
     deaf.wait_line(&["request_barred"]).await;
@@ -119,7 +119,7 @@
     let nodes = three_nodes(&site).await;
     site.groups.set_events(80);
     let neighbour = |index: usize, try_: &str| {
-        TestCall::chat(&format!("n-{index}-{try_}")).body(format!("neighbour {index}").into())
+        TestRequest::chat(&format!("n-{index}-{try_}")).body(format!("neighbour {index}").into())
     };
     let mut running = Vec::new();
     for index in 0..24 {
@@ -127,7 +127,7 @@
     }
     end_three(&site, &nodes).await;
     for (_link, answer) in running {
-        drop(read_rest(answer).await);
+        drop(read_response(answer).await);
     }
     site.groups.set_events(4);
     for index in 0..24 {
@@ -142,7 +142,7 @@
 async fn plain_calls_barred() {
     let site = TestSite::start(0, 5);
     let node = site.node("n0").await;
-    let look = |id: &str, body: &[u8]| TestCall::new("/look/x", id).body(body.to_vec());
+    let look = |id: &str, body: &[u8]| TestRequest::new("/look/x", id).body(body.to_vec());
     for index in 0..2 {
         let answer = look(&format!("x-{index}"), ENDING_BODY).send(&node).await;
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
@@ -166,16 +166,16 @@
     site.groups.set_events(60);
     for index in 0..4 {
         let id = format!("x-{index}");
-        let (_link, answer) = TestCall::chat(&id).begin(&node).await;
+        let (_link, answer) = TestRequest::chat(&id).begin(&node).await;
         let head = site.replica_running(&id)[0].clone();
         site.groups.go_dark(&head);
-        let answer = read_rest(answer).await;
+        let answer = read_response(answer).await;
         assert_eq!(answer.status, StatusCode::OK);
         wait_for("the loss to be known", || {
             !node.lines(&["target_suspected", &head]).is_empty()
         })
         .await;
     }
-    let answer = TestCall::chat("y").send(&node).await;
+    let answer = TestRequest::chat("y").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
--- a/tests/gateway/failed_requests.rs
+++ b/tests/gateway/failed_requests.rs
@@ -3,8 +3,8 @@
 use http::StatusCode;
 use standin::site::PlainMode;
 
-use crate::call::{TestCall, read_rest};
-use crate::kit::TestSite;
+use crate::request::{TestRequest, read_response};
+use crate::site::TestSite;
 
 /// No replica of the model serves. The line of the refusal names the reason, and the lines of its
 /// hosts say what became of them.
@@ -17,7 +17,7 @@
     site.kill_engine(&member);
     site.groups.expire(&member);
     node.wait_line(&["target_gone", &member]).await;
-    let answer = TestCall::chat("failed-1").send(&node).await;
+    let answer = TestRequest::chat("failed-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let line = node.wait_line(&["gateway_refused", "failed-1"]).await;
     assert_eq!(line["reason"], "no target available");
@@ -39,11 +39,11 @@
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(100);
-    let (_link, answer) = TestCall::chat("failed-2").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("failed-2").begin(&node).await;
     let head = site.groups.serving()[0][0].clone();
     site.kill_engine(&head);
-    let answer = read_rest(answer).await;
-    assert!(!answer.whole, "a cut answer must look cut");
+    let answer = read_response(answer).await;
+    assert!(!answer.complete, "a cut answer must look cut");
     let line = node.wait_line(&["stream_cut", "failed-2"]).await;
     let reason = line["reason"].as_str().expect("a reason");
     assert!(reason.contains("no target available"), "{reason}");
@@ -59,7 +59,7 @@
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
     site.instances[0].set_mode(PlainMode::Crossed);
-    let answer = TestCall::new("/pay/fee", "failed-3").send(&node).await;
+    let answer = TestRequest::new("/pay/fee", "failed-3").send(&node).await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     let attempt = node
         .wait_line(&["gateway_attempt_failed", "failed-3"])
--- a/tests/gateway/kept_connection.rs
+++ b/tests/gateway/kept_connection.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::call::{TestCall, read_rest};
-use crate::kit::{TestSite, configuration};
+use crate::request::{TestRequest, read_response};
+use crate::site::{TestSite, configuration};
 
 /// Time for which the configuration lets a connection be idle, in milliseconds.
 const IDLE_MS: u64 = 1500;
@@ -29,11 +29,11 @@
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(STREAM_EVENTS);
-    let (mut link, answer) = TestCall::chat("c-1").begin(&node).await;
-    let answer = read_rest(answer).await;
-    assert!(answer.whole);
+    let (mut link, answer) = TestRequest::chat("c-1").begin(&node).await;
+    let answer = read_response(answer).await;
+    assert!(answer.complete);
     tokio::time::sleep(CALLER_PAUSE).await;
-    let again = TestCall::new("/look/x", "l-1").begin_on(&mut link).await;
+    let again = TestRequest::new("/look/x", "l-1").begin_on(&mut link).await;
     let again = again.expect("an answer on the kept connection");
     assert_eq!(again.status(), StatusCode::OK);
 }
--- a/tests/gateway/lost_hosts.rs
+++ b/tests/gateway/lost_hosts.rs
@@ -3,15 +3,15 @@
 use http::{Response, StatusCode};
 use hyper::body::Incoming;
 
-use crate::call::{TestCall, read_rest, whole_stream};
-use crate::kit::TestSite;
 use crate::node::{TestNode, wait_for};
+use crate::request::{TestRequest, complete_stream, read_response};
+use crate::site::TestSite;
 
 /// Reads the stream of 50 events that `c-1` began, which must come whole and from where it began.
 async fn expect_undisturbed(node: &TestNode, answer: Response<Incoming>) {
-    let answer = read_rest(answer).await;
-    assert!(answer.whole, "{}", answer.text);
-    assert_eq!(answer.text, whole_stream(50));
+    let answer = read_response(answer).await;
+    assert!(answer.complete, "{}", answer.text);
+    assert_eq!(answer.text, complete_stream(50));
     for event in ["stream_moved", "stream_stays"] {
         let lines = node.lines(&[event, "c-1"]);
         assert!(lines.is_empty(), "{lines:?}");
@@ -27,13 +27,13 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(60);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     assert_eq!(answer.status(), StatusCode::OK);
     let busy = site.replica_running("c-1");
     site.kill_engine(&busy[2]);
-    let answer = read_rest(answer).await;
-    assert!(answer.whole, "{}", answer.text);
-    assert_eq!(answer.text, whole_stream(60));
+    let answer = read_response(answer).await;
+    assert!(answer.complete, "{}", answer.text);
+    assert_eq!(answer.text, complete_stream(60));
     node.wait_line(&["stream_moved", "c-1"]).await;
     // The replica is formed anew with the spare host.
     site.wait_serving(2).await;
@@ -71,7 +71,7 @@
     site.kill_engine(&member);
     site.groups.expire(&member);
     node.wait_line(&["target_gone", &member]).await;
-    let answer = TestCall::chat("c-1").send(&node).await;
+    let answer = TestRequest::chat("c-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let wait: f64 = answer.headers["retry-after"]
         .to_str()
@@ -114,7 +114,7 @@
     site.groups.expire(&member);
     node.wait_line(&["target_unlisted", &member]).await;
     for call in 0..3 {
-        let answer = TestCall::chat(&format!("c-{call}")).send(&node).await;
+        let answer = TestRequest::chat(&format!("c-{call}")).send(&node).await;
         assert_eq!(answer.status, StatusCode::OK);
     }
     assert_eq!(site.groups.serving(), before);
@@ -141,20 +141,20 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.groups.expire(&head);
     node.wait_line(&["target_", &head]).await;
     // Nothing new goes there.
     for call in 0..4 {
         let id = format!("l-{call}");
-        let (_link, late) = TestCall::chat(&id).begin(&node).await;
+        let (_link, late) = TestRequest::chat(&id).begin(&node).await;
         assert_eq!(late.status(), StatusCode::OK);
         assert!(!site.groups.ran_at(&head, &id), "{id}");
     }
     expect_undisturbed(&node, answer).await;
     // Its members serve again, with the spare.
-    site.wait_without(&head, 2).await;
+    site.wait_serving_without(&head, 2).await;
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
 
@@ -172,7 +172,7 @@
         let node = site.node("n0").await;
         node.wait_replicas(2).await;
         site.groups.set_events(50);
-        let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+        let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
         let member = site.replica_running("c-1").remove(2);
         if is_announced {
             site.groups.drain(&member);
@@ -181,7 +181,7 @@
         }
         site.stop_listening(&member);
         expect_undisturbed(&node, answer).await;
-        site.wait_without(&member, 2).await;
+        site.wait_serving_without(&member, 2).await;
         assert_eq!(site.groups.violations(), Vec::<String>::new());
     }
 }
@@ -194,16 +194,16 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.groups.expire(&head);
     site.stop_listening(&head);
-    let (_link, other) = TestCall::chat("c-2").begin(&node).await;
+    let (_link, other) = TestRequest::chat("c-2").begin(&node).await;
     assert_eq!(other.status(), StatusCode::OK);
     expect_undisturbed(&node, answer).await;
     // Its process ends, and its members serve again with the spare.
     site.kill_engine(&head);
-    site.wait_without(&head, 2).await;
+    site.wait_serving_without(&head, 2).await;
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
 
@@ -221,16 +221,16 @@
     node.wait_replicas(2).await;
     let before = site.groups.serving();
     site.groups.set_events(60);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     let way = site.lose_connections(&head).await;
     for call in 0..4 {
-        let late = TestCall::chat(&format!("l-{call}"));
+        let late = TestRequest::chat(&format!("l-{call}"));
         let (_link, late) = late.begin(&node).await;
         assert_eq!(late.status(), StatusCode::OK);
     }
-    let answer = read_rest(answer).await;
-    assert!(answer.whole, "{}", answer.text);
+    let answer = read_response(answer).await;
+    assert!(answer.complete, "{}", answer.text);
     assert!(node.lines(&["stream_moved"]).is_empty());
     drop(way);
     assert_eq!(site.groups.serving(), before);
@@ -259,10 +259,10 @@
     site.groups.set_events(60);
     let mut streams = Vec::new();
     for number in 0..12 {
-        let (link, answer) = TestCall::chat(&format!("c-{number}")).begin(&node).await;
+        let (link, answer) = TestRequest::chat(&format!("c-{number}")).begin(&node).await;
         assert_eq!(answer.status(), StatusCode::OK, "c-{number}");
         streams.push(tokio::spawn(async move {
-            let answer = read_rest(answer).await;
+            let answer = read_response(answer).await;
             drop(link);
             answer
         }));
@@ -271,8 +271,8 @@
     site.kill_engine(&member);
     for stream in streams {
         let answer = stream.await.expect("a stream");
-        assert!(answer.whole, "{}", answer.text);
-        assert_eq!(answer.text, whole_stream(60));
+        assert!(answer.complete, "{}", answer.text);
+        assert_eq!(answer.text, complete_stream(60));
     }
 }
 
@@ -285,7 +285,7 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.store.put("servers", &head, b"{\"service\":");
     expect_undisturbed(&node, answer).await;
--- a/tests/gateway/node.rs
+++ b/tests/gateway/node.rs
@@ -1,4 +1,4 @@
-//! A running gateway as a test sees it: its ports, its log, its process.
+//! Handle to a running gateway: its addresses, log and process.
 
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use serde_json::Value;
 use web::HttpLink;
 
-use crate::call::read_rest;
+use crate::request::read_response;
 
-/// Longest wait for something that should come; only a failing test waits for it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for expected events; only failing tests reach it.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A running gateway; killed when it is dropped.
+/// A running gateway, killed on drop.
 pub struct TestNode {
     pub child: Option<Child>,
     pub requests: SocketAddr,
@@ -29,7 +29,7 @@
 
 impl Drop for TestNode {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         if let Some(child) = &mut self.child {
             drop(child.kill());
             drop(child.wait());
@@ -37,15 +37,15 @@
     }
 }
 
-/// Waits until something holds.
+/// Polls until a condition holds; fails after [`EVENT_TIMEOUT`].
 pub async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let waiting = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
-    assert!(waited.is_ok(), "waited in vain for {what}");
+    let waited = tokio::time::timeout(EVENT_TIMEOUT, waiting).await;
+    assert!(waited.is_ok(), "timed out waiting for {what}");
 }
 
 impl TestNode {
@@ -62,17 +62,17 @@
         }
     }
 
-    async fn question(&self, address: SocketAddr, path: &str) -> Option<(StatusCode, String)> {
+    async fn get(&self, address: SocketAddr, path: &str) -> Option<(StatusCode, String)> {
         let limit = Duration::from_secs(1);
         let mut link = HttpLink::connect(address, limit).await.ok()?;
         let request = Request::get(path).header("host", "node");
         let request = request.body(Full::default()).ok()?;
-        let answer = read_rest(link.send(request).await.ok()?).await;
+        let answer = read_response(link.send(request).await.ok()?).await;
         Some((answer.status, answer.text))
     }
 
     pub async fn is_ready(&self) -> bool {
-        let answer = self.question(self.readiness, "/ready").await;
+        let answer = self.get(self.readiness, "/ready").await;
         answer.is_some_and(|(status, _)| status == StatusCode::OK)
     }
 
@@ -82,16 +82,19 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let waited = tokio::time::timeout(PATIENCE, waiting).await;
-        assert!(waited.is_ok(), "readiness never became {ready}");
+        let waited = tokio::time::timeout(EVENT_TIMEOUT, waiting).await;
+        assert!(
+            waited.is_ok(),
+            "timed out waiting for readiness to be {ready}"
+        );
     }
 
     pub async fn metrics(&self) -> String {
-        let answer = self.question(self.metrics, "/metrics").await;
+        let answer = self.get(self.metrics, "/metrics").await;
         answer.expect("metrics").1
     }
 
-    /// Waits until the node itself knows `count` replicas that serve.
+    /// Waits until the node's metrics show `count` serving replicas.
     pub async fn wait_replicas(&self, count: usize) {
         let shows = |text: &str| {
             let mut lines = text.lines();
@@ -105,18 +108,18 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let waited = tokio::time::timeout(PATIENCE, waiting).await;
+        let waited = tokio::time::timeout(EVENT_TIMEOUT, waiting).await;
         assert!(
             waited.is_ok(),
-            "the node never knew {count} replicas that serve"
+            "timed out waiting for the node to see {count} serving replicas"
         );
     }
 
-    /// Lines of the log that hold all of `parts`.
+    /// Complete log lines that contain all of `parts`.
     pub fn lines(&self, parts: &[&str]) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).expect("the log");
-        let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-        let lines = whole
+        let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+        let lines = complete
             .lines()
             .filter(|line| parts.iter().all(|part| line.contains(part)));
         lines
@@ -124,7 +127,7 @@
             .collect()
     }
 
-    /// Waits for a line that holds all of `parts`.
+    /// Waits for a log line that contains all of `parts`.
     pub async fn wait_line(&self, parts: &[&str]) -> Value {
         wait_for(&format!("a line with {parts:?}"), || {
             !self.lines(parts).is_empty()
@@ -146,14 +149,14 @@
         );
     }
 
-    /// Whether the process has not ended yet.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         let child = self.child.as_mut().expect("a process");
         matches!(child.try_wait(), Ok(None))
     }
 
-    /// Waits for the end of the process; its exit code.
-    pub async fn wait_end(&mut self) -> Option<i32> {
+    /// Waits for the process to exit; returns its exit code.
+    pub async fn wait_exit(&mut self) -> Option<i32> {
         let child = self.child.as_mut().expect("a process");
         let mut code = None;
         wait_for("the end of the process", || match child.try_wait() {
--- a/tests/gateway/operator_calls.rs
+++ b/tests/gateway/operator_calls.rs
@@ -2,8 +2,8 @@
 
 use std::process::{Command, Stdio};
 
-use crate::PRODUCT;
-use crate::kit::TestSite;
+use crate::BINARY;
+use crate::site::TestSite;
 
 /// An engineer takes the address of a gateway's callers or metrics for an admin listener. The
 /// commands must say so and where to look instead, not that a record is missing or that the answer
@@ -16,7 +16,7 @@
         for command in ["status", "history", "timeline"] {
             let address = address.to_string();
             let output = tokio::task::spawn_blocking(move || {
-                Command::new(PRODUCT)
+                Command::new(BINARY)
                     .args([command, "--node", &address])
                     .env("BRAMLEYSPRING_KEY", "a-key-of-an-operator")
                     .stdin(Stdio::null())
--- a/tests/gateway/plain_calls.rs
+++ b/tests/gateway/plain_calls.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use standin::site::PlainMode;
 
-use crate::call::TestCall;
-use crate::kit::TestSite;
+use crate::request::TestRequest;
+use crate::site::TestSite;
 
 /// Both instances are full when a trader pays. The payment did not run, and the trader is told so
 /// and when to come back.
@@ -15,7 +15,7 @@
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
     site.set_modes(PlainMode::Full);
-    let answer = TestCall::new("/pay/fee", "p-1").send(&node).await;
+    let answer = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
 }
@@ -27,7 +27,7 @@
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
     site.set_modes(PlainMode::Mute);
-    let call = TestCall::new("/pay/fee", "p-1").header("x-deadline-ms", "600");
+    let call = TestRequest::new("/pay/fee", "p-1").header("x-deadline-ms", "600");
     let answer = call.send(&node).await;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(site.plain_runs("p-1"), 1);
@@ -41,7 +41,7 @@
     let node = site.node("n0").await;
     site.instances[0].set_mode(PlainMode::Mute);
     for call in 0..8 {
-        let answer = TestCall::new("/look/x", &format!("l-{call}"))
+        let answer = TestRequest::new("/look/x", &format!("l-{call}"))
             .send(&node)
             .await;
         assert_eq!(answer.status, StatusCode::OK);
@@ -55,10 +55,10 @@
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
     site.instances[0].set_mode(PlainMode::Failing);
-    let looked = TestCall::new("/look/x", "l-1").send(&node).await;
+    let looked = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(looked.status, StatusCode::OK);
     site.instances[1].set_mode(PlainMode::Failing);
-    let paid = TestCall::new("/pay/fee", "p-1").send(&node).await;
+    let paid = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(paid.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(paid.headers["x-response-signature"], "signed");
     assert_eq!(site.plain_runs("p-1"), 1);
@@ -71,7 +71,7 @@
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
     site.instances[0].set_mode(PlainMode::Crossed);
-    let answer = TestCall::new("/pay/fee", "p-1").send(&node).await;
+    let answer = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     assert!(answer.text.is_empty());
 }
@@ -85,7 +85,7 @@
     site.instances[0].set_mode(PlainMode::Closing);
     for call in 0..8 {
         let id = format!("p-{call}");
-        let paid = TestCall::new("/pay/fee", &id).send(&node).await;
+        let paid = TestRequest::new("/pay/fee", &id).send(&node).await;
         assert_eq!(paid.status, StatusCode::OK, "call {call}");
         assert_eq!(site.instances[0].runs(&id), 1);
         // Each call comes long after the close of the connection before.
--- a/tests/gateway/prompt_hints.rs
+++ b/tests/gateway/prompt_hints.rs
@@ -6,8 +6,8 @@
 use gateway::LoadHint;
 use http::StatusCode;
 
-use crate::call::{TestCall, read_rest};
-use crate::kit::TestSite;
+use crate::request::{TestRequest, read_response};
+use crate::site::TestSite;
 
 /// Time for a datagram on loopback.
 const HINT_TIME: Duration = Duration::from_millis(50);
@@ -27,12 +27,12 @@
     for node in [&first, &second] {
         node.wait_line(&["nodes_counted", "\"nodes\":2"]).await;
     }
-    let long = TestCall::chat("long").header("x-token-usage", "150000,10");
+    let long = TestRequest::chat("long").header("x-token-usage", "150000,10");
     let (_link, answer) = long.begin(&first).await;
     tokio::time::sleep(HINT_TIME).await;
     for number in 0..6 {
         let id = format!("short-{number}");
-        let answer = TestCall::chat(&id).send(&second).await;
+        let answer = TestRequest::chat(&id).send(&second).await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
         for engine in &site.engines {
             let shared =
@@ -40,7 +40,7 @@
             assert!(!shared, "{id} went behind the long prompt");
         }
     }
-    assert!(read_rest(answer).await.whole);
+    assert!(read_response(answer).await.complete);
 }
 
 /// One node finds no way to the head of a sound replica; the other nodes do, and tell that it answers
@@ -65,7 +65,7 @@
     for number in 0..30 {
         socket.send_to(&datagram, node.hints).expect("a datagram");
         if number == 2 {
-            let refused = TestCall::chat("c-1").send(&node).await;
+            let refused = TestRequest::chat("c-1").send(&node).await;
             assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         }
         tokio::time::sleep(HINT_PAUSE).await;
@@ -94,6 +94,6 @@
     ] {
         socket.send_to(bytes, node.hints).expect("a datagram");
     }
-    let answer = TestCall::chat("c-1").send(&node).await;
+    let answer = TestRequest::chat("c-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
 }
--- a/tests/gateway/call.rs
+++ b/tests/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's requests and the answers to them.
+//! Client requests and their responses.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 use hyper::body::Incoming;
 use web::HttpLink;
 
-use crate::kit::{HOST, KEY};
 use crate::node::TestNode;
+use crate::site::{HOST, KEY};
 
-/// Longest wait for a connection on loopback.
-const CONNECT_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for connecting over loopback.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer read to its end, or as far as it came.
+/// A response read to its end, or as far as it came.
 #[derive(Debug)]
-pub struct TestAnswer {
+pub struct TestResponse {
     pub status: StatusCode,
     pub headers: http::HeaderMap,
     pub text: String,
-    /// Whether the end of the answer was marked.
-    pub whole: bool,
+    /// Whether the body was complete rather than truncated.
+    pub complete: bool,
 }
 
-/// A caller's request in the making.
+/// Builder for a client request.
 #[derive(Clone)]
-pub struct TestCall {
+pub struct TestRequest {
     path: String,
     id: String,
     headers: Vec<(&'static str, String)>,
     body: Bytes,
 }
 
-impl TestCall {
+impl TestRequest {
     pub fn new(path: &str, id: &str) -> Self {
         let call = Self {
             path: path.to_owned(),
@@ -63,21 +63,21 @@
         self
     }
 
-    /// Sends it and returns the answer's head.
+    /// Sends the request and returns the response head.
     pub async fn begin(&self, node: &TestNode) -> (HttpLink, Response<Incoming>) {
         let began = self.try_begin(node).await;
         began.expect("a connection and an answer")
     }
 
-    /// Sends it and returns the answer's head; nothing where nobody listens or answers any more.
+    /// Sends the request and returns the response head; `None` if the connection fails or breaks.
     pub async fn try_begin(&self, node: &TestNode) -> Option<(HttpLink, Response<Incoming>)> {
-        let connected = HttpLink::connect(node.requests, CONNECT_LIMIT).await;
+        let connected = HttpLink::connect(node.requests, CONNECT_TIMEOUT).await;
         let mut link = connected.ok()?;
         let answer = self.begin_on(&mut link).await?;
         Some((link, answer))
     }
 
-    /// Sends it on an open connection and returns the answer's head, if one comes.
+    /// Sends the request on an open connection and returns the response head, if one comes.
     pub async fn begin_on(&self, link: &mut HttpLink) -> Option<Response<Incoming>> {
         let mut request = Request::post(&self.path)
             .header("host", HOST)
@@ -91,35 +91,35 @@
         link.send(request).await.ok()
     }
 
-    /// Sends it and reads the whole answer.
-    pub async fn send(&self, node: &TestNode) -> TestAnswer {
+    /// Sends the request and reads the whole response.
+    pub async fn send(&self, node: &TestNode) -> TestResponse {
         let (_link, answer) = self.begin(node).await;
-        read_rest(answer).await
+        read_response(answer).await
     }
 }
 
-/// Reads an answer as far as it comes.
-pub async fn read_rest(answer: Response<Incoming>) -> TestAnswer {
+/// Reads a response as far as it comes.
+pub async fn read_response(answer: Response<Incoming>) -> TestResponse {
     let (head, mut body) = answer.into_parts();
     let mut bytes = Vec::new();
-    let mut whole = true;
+    let mut complete = true;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            whole = false;
+            complete = false;
             break;
         };
         bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data.as_ref()));
     }
-    TestAnswer {
+    TestResponse {
         status: head.status,
         headers: head.headers,
         text: String::from_utf8_lossy(&bytes).into_owned(),
-        whole,
+        complete,
     }
 }
 
-/// The stream of a whole answer of `events` events.
-pub fn whole_stream(events: usize) -> String {
+/// Text of a complete stream of `events` events.
+pub fn complete_stream(events: usize) -> String {
     let mut text = String::new();
     for id in 1..=events {
         writeln!(text, "id: {id}\ndata: piece {id}\n").expect("a text takes all");
--- a/tests/gateway/restart_all.rs
+++ b/tests/gateway/restart_all.rs
@@ -2,8 +2,8 @@
 
 use http::StatusCode;
 
-use crate::call::TestCall;
-use crate::kit::TestSite;
+use crate::request::TestRequest;
+use crate::site::TestSite;
 
 /// All nodes lose power while replicas serve. The new ones find the replicas as they stand: none
 /// is formed again, and callers are served as soon as a node has read the store.
@@ -17,7 +17,7 @@
     drop((first, second));
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
-    let answer = TestCall::chat("c-1").send(&node).await;
+    let answer = TestRequest::chat("c-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     assert!(node.lines(&["step_taken", "form helper"]).is_empty());
     assert_eq!(site.groups.serving(), before);
--- a/tests/gateway/kit.rs
+++ b/tests/gateway/site.rs
@@ -1,4 +1,4 @@
-//! A site of stand-ins with gateways.
+//! Test environment: a simulated platform with gateways.
 
 use std::fs::File;
 use std::io::{BufRead as _, BufReader};
@@ -10,16 +10,16 @@
 use serde_json::{Value, json};
 use standin::site::{LostWay, PlainMode, SiteEngine, SiteGroups, SiteInstance, SiteStore};
 
-use crate::PRODUCT;
+use crate::BINARY;
 use crate::node::{TestNode, wait_for};
 
 /// Host name of all routes.
 pub const HOST: &str = "desk.example";
 
-/// Key of the site's customer.
+/// API key of the only customer.
 pub const KEY: &str = "key-of-the-desk";
 
-/// Stand-ins of a platform.
+/// Simulated platform: store, engines and instances of a plain service.
 pub struct TestSite {
     pub store: SiteStore,
     pub groups: SiteGroups,
@@ -32,12 +32,12 @@
 
 impl Drop for TestSite {
     fn drop(&mut self) {
-        // What can't be removed lies in the folder for temporary files.
+        // Leftovers are in the directory for temporary files, so errors don't matter.
         drop(std::fs::remove_dir_all(&self.folder));
     }
 }
 
-/// The configuration: one model of four hosts a replica, and a plain service.
+/// Configuration with one model that needs four hosts per replica, and a plain service.
 pub fn configuration(version: u64) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str| {
         json!({
@@ -69,14 +69,14 @@
     })
 }
 
-/// Addresses to listen at, all on ports that the system chooses.
+/// Listen addresses on ports chosen by the system.
 fn any_ports() -> Value {
     let any = "127.0.0.1:0";
     json!({"requests": any, "readiness": any, "metrics": any, "hints": any})
 }
 
 impl TestSite {
-    /// A site with `engines` engines in one fabric domain and `instances` instances.
+    /// Starts a site with `engines` engines in one fabric domain and `instances` instances.
     pub fn start(engines: usize, instances: usize) -> Self {
         let store = SiteStore::default();
         let store_address = store.serve().expect("the store");
@@ -108,14 +108,14 @@
         site
     }
 
-    /// Changes how all instances behave.
+    /// Sets the behavior of all instances.
     pub fn set_modes(&self, mode: PlainMode) {
         for instance in &self.instances {
             instance.set_mode(mode);
         }
     }
 
-    /// How often a call ran, at any instance.
+    /// How often a call was executed, over all instances.
     pub fn plain_runs(&self, id: &str) -> usize {
         self.instances
             .iter()
@@ -133,26 +133,26 @@
             .put("op", "config", config.to_string().as_bytes());
     }
 
-    /// Ends an engine's process; its entry goes when the platform notices.
+    /// Makes an engine unreachable without removing its registry entry.
     pub fn kill_engine(&mut self, id: &str) {
         self.groups.go_dark(id);
         self.engines.retain(|engine| engine.id != id);
     }
 
-    /// Lets an engine take no more connections; it works on for its replica.
+    /// Makes an engine refuse new connections while it keeps working for its replica.
     pub fn stop_listening(&self, id: &str) {
         let engine = self.engines.iter().find(|engine| engine.id == id);
         engine.expect("an engine").stop_listening();
     }
 
-    /// Loses new connections to an engine until what it returns is dropped.
+    /// Drops new connections to an engine until the returned guard is dropped.
     pub async fn lose_connections(&self, id: &str) -> LostWay {
         let engine = self.engines.iter().find(|engine| engine.id == id);
         engine.expect("an engine").lose_connections().await
     }
 
-    /// Waits until no replica has a host, and `count` serve.
-    pub async fn wait_without(&self, host: &str, count: usize) {
+    /// Waits until exactly `count` replicas serve and none contains `host`.
+    pub async fn wait_serving_without(&self, host: &str, count: usize) {
         wait_for("replicas without a host", || {
             let serving = self.groups.serving();
             let without = |members: &Vec<String>| members.iter().all(|member| member != host);
@@ -161,7 +161,7 @@
         .await;
     }
 
-    /// Members of the replica at which a request began to run, the head first.
+    /// Members of the replica that runs a request, head first.
     pub fn replica_running(&self, request: &str) -> Vec<String> {
         let serving = self.groups.serving();
         let mut serving = serving.into_iter();
@@ -177,14 +177,14 @@
     }
 
     /// Starts a gateway of a system that has served before, and waits until it is ready.
-    pub async fn later_node(&self, name: &str) -> TestNode {
+    pub async fn restarted_node(&self, name: &str) -> TestNode {
         let node = self.start_node(name, false, &any_ports()).await;
         node.wait_ready(true).await;
         node
     }
 
-    /// Starts a gateway that hears no hints, and waits until it is ready.
-    pub async fn deaf_node(&self, name: &str) -> TestNode {
+    /// Starts a gateway without a hint address, and waits until it is ready.
+    pub async fn node_without_hints(&self, name: &str) -> TestNode {
         let mut listen = any_ports();
         if let Some(listen) = listen.as_object_mut() {
             listen.remove("hints");
@@ -194,13 +194,13 @@
         node
     }
 
-    /// Starts a gateway on ports that the system chooses.
+    /// Starts a gateway without waiting until it is ready.
     pub async fn unready_node(&self, name: &str) -> TestNode {
         self.start_node(name, true, &any_ports()).await
     }
 
-    /// Starts a gateway whose log nobody reads after its first line.
-    pub fn unread_node(&self, name: &str) -> TestNode {
+    /// Starts a gateway whose log output is not read after the first line.
+    pub fn node_with_unread_log(&self, name: &str) -> TestNode {
         let (mut node, mut command) = self.prepare_node(name, true, &any_ports());
         let mut child = command.stdout(Stdio::piped()).spawn().expect("the product");
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
@@ -234,22 +234,22 @@
         std::fs::write(&path, settings.to_string()).expect("the settings");
         let number = self.started.fetch_add(1, Ordering::Relaxed);
         let log = self.folder.join(format!("{name}-{number}.log"));
-        let mut command = Command::new(PRODUCT);
+        let mut command = Command::new(BINARY);
         command.args(["gateway", "--settings"]).arg(&path);
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let node = TestNode {
             child: None,
-            requests: nowhere,
-            readiness: nowhere,
-            metrics: nowhere,
-            hints: nowhere,
+            requests: unset,
+            readiness: unset,
+            metrics: unset,
+            hints: unset,
             log,
             unread: None,
         };
         (node, command)
     }
 
-    /// Waits until `count` replicas serve.
+    /// Waits until `count` replicas serve, according to the engines.
     pub async fn wait_serving(&self, count: usize) {
         wait_for("replicas that serve", || {
             self.groups.serving().len() == count
--- a/tests/gateway/stop_signal.rs
+++ b/tests/gateway/stop_signal.rs
@@ -6,8 +6,8 @@
 
 use standin::site::PlainMode;
 
-use crate::call::{TestCall, read_rest, whole_stream};
-use crate::kit::TestSite;
+use crate::request::{TestRequest, complete_stream, read_response};
+use crate::site::TestSite;
 
 /// Events of a stream that lasts about two seconds, so that one taken late can't end in time.
 const STREAM_EVENTS: usize = 50;
@@ -26,17 +26,17 @@
     let mut node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(40);
-    let (_link, answer) = TestCall::chat("c-1").begin(&node).await;
+    let (_link, answer) = TestRequest::chat("c-1").begin(&node).await;
     node.signal("TERM");
     node.wait_ready(false).await;
     // A caller that has not heard of it yet is still answered, and told to leave.
-    let late = TestCall::new("/look/x", "l-1").send(&node).await;
+    let late = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(late.status, StatusCode::OK);
     assert_eq!(late.headers["connection"], "close");
-    let answer = read_rest(answer).await;
-    assert!(answer.whole);
-    assert_eq!(answer.text, whole_stream(40));
-    assert_eq!(node.wait_end().await, Some(0));
+    let answer = read_response(answer).await;
+    assert!(answer.complete);
+    assert_eq!(answer.text, complete_stream(40));
+    assert_eq!(node.wait_exit().await, Some(0));
     assert_eq!(node.lines(&["node_stopping"]).len(), 2);
 }
 
@@ -57,7 +57,7 @@
             break;
         }
         tokio::time::sleep(CALLER_PAUSE).await;
-        let call = TestCall::chat(&format!("c-{number}"));
+        let call = TestRequest::chat(&format!("c-{number}"));
         // A busy host takes a connection when its request is already there.
         node.signal("STOP");
         let resume = async {
@@ -75,19 +75,19 @@
         }
         // The connection stays open until its answer was read.
         streams.push(tokio::spawn(async move {
-            let answer = read_rest(answer).await;
+            let answer = read_response(answer).await;
             drop(link);
             answer
         }));
     }
-    assert_eq!(node.wait_end().await, Some(0));
+    assert_eq!(node.wait_exit().await, Some(0));
     assert!(!streams.is_empty(), "the first callers are still served");
     let sent_on = node.lines(&["gateway_refused", "node is shutting down"]);
     assert!(!sent_on.is_empty(), "the last ones are sent elsewhere");
     for stream in streams {
         let answer = stream.await.expect("a stream");
-        assert!(answer.whole, "cut off: {answer:?}");
-        assert_eq!(answer.text, whole_stream(STREAM_EVENTS));
+        assert!(answer.complete, "cut off: {answer:?}");
+        assert_eq!(answer.text, complete_stream(STREAM_EVENTS));
     }
 }
 
@@ -106,16 +106,16 @@
         }
         let id = format!("p-{number}");
         // Short enough to be over before the process must end.
-        let call = TestCall::new("/pay/x", &id).header("x-deadline-ms", "1000");
+        let call = TestRequest::new("/pay/x", &id).header("x-deadline-ms", "1000");
         let Some((_link, answer)) = call.try_begin(&node).await else {
             assert_eq!(site.instances[0].runs(&id), 0, "{id} was paid unanswered");
             continue;
         };
-        let answer = read_rest(answer).await;
+        let answer = read_response(answer).await;
         let refused = answer.status == StatusCode::SERVICE_UNAVAILABLE;
         assert!(refused || answer.status == StatusCode::OK, "{answer:?}");
     }
-    assert_eq!(node.wait_end().await, Some(0));
+    assert_eq!(node.wait_exit().await, Some(0));
 }
 
 /// The settings file changes while the process runs.
--- a/tests/gateway/store_faults.rs
+++ b/tests/gateway/store_faults.rs
@@ -3,9 +3,9 @@
 use http::StatusCode;
 use standin::site::StoreMode;
 
-use crate::call::TestCall;
-use crate::kit::{TestSite, configuration};
 use crate::node::wait_for;
+use crate::request::TestRequest;
+use crate::site::{TestSite, configuration};
 
 /// The store falls silent. The node serves on with what it knows, and takes what changed once
 /// the store is back.
@@ -15,7 +15,7 @@
     let node = site.node("n0").await;
     site.store.set_mode(StoreMode::Silent);
     node.wait_line(&["store_lost"]).await;
-    let answer = TestCall::new("/look/x", "l-1").send(&node).await;
+    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK);
     site.configure(&configuration(8));
     site.store.set_mode(StoreMode::Sound);
@@ -32,7 +32,7 @@
     let node = site.unready_node("n0").await;
     node.wait_line(&["store_lost"]).await;
     assert!(!node.is_ready().await);
-    let answer = TestCall::new("/look/x", "l-1").send(&node).await;
+    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     site.store.set_mode(StoreMode::Sound);
     node.wait_ready(true).await;
@@ -51,7 +51,7 @@
         node.lines(&["registry_read"]).len() > 1
     })
     .await;
-    let answer = TestCall::new("/look/x", "l-1").send(&node).await;
+    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -67,7 +67,7 @@
     let member = site.groups.serving()[0][1].clone();
     site.kill_engine(&member);
     // The caller whose request meets the loss is what shows it.
-    let first = TestCall::chat("c-1").send(&node).await;
+    let first = TestRequest::chat("c-1").send(&node).await;
     assert!(first.status == StatusCode::OK || first.status.is_server_error());
     wait_for("a successor", || {
         let serving = site.groups.serving();
@@ -75,7 +75,7 @@
     })
     .await;
     node.wait_replicas(1).await;
-    let answer = TestCall::chat("c-2").send(&node).await;
+    let answer = TestRequest::chat("c-2").send(&node).await;
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
@@ -91,7 +91,7 @@
     let serving = site.groups.serving();
     drop(first);
     site.groups.write_old_entry(&serving[0][2]);
-    let node = site.later_node("n1").await;
+    let node = site.restarted_node("n1").await;
     node.wait_replicas(1).await;
     // The plan had several rounds to act on the old entry.
     wait_for("some calls of the store", || site.store.calls() > 12).await;
--- a/tests/gateway/whole_path.rs
+++ b/tests/gateway/whole_path.rs
@@ -3,21 +3,21 @@
 use http::StatusCode;
 use serde_json::json;
 
-use crate::call::{TestCall, whole_stream};
-use crate::kit::{TestSite, configuration};
 use crate::node::wait_for;
+use crate::request::{TestRequest, complete_stream};
+use crate::site::{TestSite, configuration};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_and_call() {
     let site = TestSite::start(5, 2);
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
-    let stream = TestCall::chat("c-1").send(&node).await;
+    let stream = TestRequest::chat("c-1").send(&node).await;
     assert_eq!(stream.status, StatusCode::OK, "{stream:?}");
-    assert!(stream.whole);
-    assert_eq!(stream.text, whole_stream(12));
+    assert!(stream.complete);
+    assert_eq!(stream.text, complete_stream(12));
     assert_eq!(stream.headers["x-response-signature"], "signed");
-    let paid = TestCall::new("/pay/fee", "p-1").send(&node).await;
+    let paid = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(
         (paid.status, paid.text.as_str()),
         (StatusCode::OK, "receipt")
@@ -35,16 +35,16 @@
 async fn routes_and_keys() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    let unknown = TestCall::new("/nowhere/x", "r-1").send(&node).await;
+    let unknown = TestRequest::new("/nowhere/x", "r-1").send(&node).await;
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
-    let stranger = TestCall::new("/look/x", "r-2").header("x-credential", "wrong");
+    let stranger = TestRequest::new("/look/x", "r-2").header("x-credential", "wrong");
     assert_eq!(stranger.send(&node).await.status, StatusCode::UNAUTHORIZED);
-    let large = TestCall::new("/look/x", "r-3").body(vec![b'x'; 5000]);
+    let large = TestRequest::new("/look/x", "r-3").body(vec![b'x'; 5000]);
     assert_eq!(
         large.send(&node).await.status,
         StatusCode::PAYLOAD_TOO_LARGE
     );
-    let looked = TestCall::new("/look/x", "r-4").header("x-tenant", "somebody-else");
+    let looked = TestRequest::new("/look/x", "r-4").header("x-tenant", "somebody-else");
     assert_eq!(looked.send(&node).await.status, StatusCode::OK);
     let seen = site.instances[0].seen().join("\n");
     assert!(seen.contains("\"x-tenant\": \"desk\""), "{seen}");
@@ -64,7 +64,7 @@
     site.configure(&configuration(3));
     // A later version shows that the older one was read and not taken.
     site.configure(&newer);
-    let old_key = TestCall::new("/look/x", "r-1");
+    let old_key = TestRequest::new("/look/x", "r-1");
     wait_for("the feed", || site.store.calls() > 8).await;
     assert_eq!(old_key.send(&node).await.status, StatusCode::UNAUTHORIZED);
     let new_key = old_key.header("x-credential", "new-key");
