--- a/tests/gateway/bad_input.rs
+++ b/tests/gateway/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Forged rows, unreadable configurations and wrong settings.
+//! Invalid registry entries, configurations and settings.
 
 use std::process::Command;
 
@@ -9,67 +9,67 @@
 use crate::request::TestRequest;
 use crate::site::{TestSite, configuration};
 
-/// Another writer leaves entries that name no target, and one that is cut off. The others hold,
-/// and one line says which entry and field it was.
+/// An entry with an invalid field and a truncated one are written to the registry. Each is logged
+/// with its key and the cause, and valid entries stay in use.
 #[tokio::test(flavor = "multi_thread")]
-async fn forged_entries() {
+async fn invalid_entries() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    let forged = json!({"service": "records", "address": "127.0.0.1:1", "zone": "z0", "slots": 9,
+    let invalid = json!({"service": "records", "address": "127.0.0.1:1", "zone": "z0", "slots": 9,
         "state": "wonderful"});
     site.store
-        .put("servers", "i-forged", forged.to_string().as_bytes());
+        .put("servers", "i-forged", invalid.to_string().as_bytes());
     site.store.put("servers", "i-torn", b"{\"service\":\"rec");
-    let line = node.wait_line(&["entry_unreadable", "i-forged"]).await;
+    let line = node.wait_log_line(&["entry_unreadable", "i-forged"]).await;
     assert!(
         line["reason"]
             .as_str()
             .is_some_and(|reason| reason.contains("state"))
     );
-    node.wait_line(&["entry_unreadable", "i-torn"]).await;
-    for call in 0..6 {
-        let answer = TestRequest::new("/look/x", &format!("l-{call}"))
+    node.wait_log_line(&["entry_unreadable", "i-torn"]).await;
+    for number in 0..6 {
+        let response = TestRequest::new("/look/x", &format!("l-{number}"))
             .send(&node)
             .await;
-        assert_eq!(answer.status, StatusCode::OK);
+        assert_eq!(response.status, StatusCode::OK);
     }
 }
 
-/// A configuration that can't be read is not put into force; the one before it stays.
+/// An invalid configuration is rejected, and the previous one stays active.
 #[tokio::test(flavor = "multi_thread")]
-async fn unreadable_configuration() {
+async fn invalid_configuration() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    let mut wrong = configuration(9);
-    wrong["routes"][1]["route_type"] = json!("sometimes");
-    site.configure(&wrong);
-    let line = node.wait_line(&["config_unreadable"]).await;
+    let mut invalid = configuration(9);
+    invalid["routes"][1]["route_type"] = json!("sometimes");
+    site.configure(&invalid);
+    let line = node.wait_log_line(&["config_unreadable"]).await;
     assert!(
         line["reason"]
             .as_str()
             .is_some_and(|reason| reason.contains("routes[1]"))
     );
-    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = TestRequest::new("/look/x", "l-1").send(&node).await;
+    assert_eq!(response.status, StatusCode::OK);
 }
 
-/// Settings are missing or wrong. The program names all of them, each with its place and what
-/// belongs there, and ends; `check` says the same without starting.
+/// Settings are missing or invalid. Both `gateway` and `check` report every one with its path and
+/// the expected value, and fail.
 #[test]
-fn wrong_settings() {
+fn invalid_settings() {
     let path =
         std::env::temp_dir().join(format!("bramleyspring-wrong-{}.json", std::process::id()));
     std::fs::write(
         &path,
         "{\"node\": \"n0\", \"failure_domain\": 7, \"first_start\": true}",
     )
-    .expect("a file");
+    .expect("settings file is writable");
     for command in ["gateway", "check"] {
         let output = Command::new(BINARY)
             .args([command, "--settings"])
             .arg(&path)
             .output()
-            .expect("the product");
+            .expect("binary runs");
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success());
         for place in [
@@ -80,5 +80,5 @@
             assert!(error.contains(place), "{command}: {error}");
         }
     }
-    std::fs::remove_file(&path).expect("the file");
+    std::fs::remove_file(&path).expect("settings file exists");
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,21 +1,21 @@
 //! End-to-end tests: the built binary against a simulated platform, one module per feature.
 
-mod bad_input;
-mod crashing_request;
-mod failed_requests;
-mod kept_connection;
-mod log_reader;
+mod blocked_log;
+mod failure_diagnosis;
+mod full_restart;
+mod idle_connections;
+mod invalid_input;
+mod load_hints;
 mod lost_hosts;
 mod node;
-mod operator_calls;
-mod plain_calls;
-mod prompt_hints;
+mod normal_operation;
+mod operator_commands;
+mod plain_services;
+mod poison_requests;
 mod request;
-mod restart_all;
+mod shutdown;
 mod site;
-mod stop_signal;
 mod store_faults;
-mod whole_path;
 
 /// Path of the built binary.
 const BINARY: &str = env!("CARGO_BIN_EXE_bramleyspring");
--- a/tests/gateway/node.rs
+++ b/tests/gateway/node.rs
@@ -24,7 +24,7 @@
     pub metrics: SocketAddr,
     pub hints: SocketAddr,
     pub log: PathBuf,
-    pub unread: Option<BufReader<ChildStdout>>,
+    pub unread_output: Option<BufReader<ChildStdout>>,
 }
 
 impl Drop for TestNode {
@@ -38,9 +38,9 @@
 }
 
 /// Polls until a condition holds; fails after [`EVENT_TIMEOUT`].
-pub async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let waiting = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
@@ -49,10 +49,10 @@
 }
 
 impl TestNode {
-    pub fn take_addresses(&mut self, line: &Value) {
+    pub fn set_addresses(&mut self, line: &Value) {
         let address = |name: &str| {
-            let text = line[name].as_str().expect("an address");
-            text.parse().expect("an address")
+            let text = line[name].as_str().expect("valid address");
+            text.parse().expect("valid address")
         };
         self.requests = address("requests");
         self.readiness = address("readiness");
@@ -67,13 +67,13 @@
         let mut link = HttpLink::connect(address, limit).await.ok()?;
         let request = Request::get(path).header("host", "node");
         let request = request.body(Full::default()).ok()?;
-        let answer = read_response(link.send(request).await.ok()?).await;
-        Some((answer.status, answer.text))
+        let response = read_response(link.send(request).await.ok()?).await;
+        Some((response.status, response.text))
     }
 
     pub async fn is_ready(&self) -> bool {
-        let answer = self.get(self.readiness, "/ready").await;
-        answer.is_some_and(|(status, _)| status == StatusCode::OK)
+        let response = self.get(self.readiness, "/ready").await;
+        response.is_some_and(|(status, _)| status == StatusCode::OK)
     }
 
     pub async fn wait_ready(&self, ready: bool) {
@@ -90,13 +90,13 @@
     }
 
     pub async fn metrics(&self) -> String {
-        let answer = self.get(self.metrics, "/metrics").await;
-        answer.expect("metrics").1
+        let response = self.get(self.metrics, "/metrics").await;
+        response.expect("metrics listener responds").1
     }
 
     /// Waits until the node's metrics show `count` serving replicas.
     pub async fn wait_replicas(&self, count: usize) {
-        let shows = |text: &str| {
+        let has_count = |text: &str| {
             let mut lines = text.lines();
             lines.any(|line| {
                 let serving = line.starts_with("bramleyspring_gateway_replica_serving");
@@ -104,7 +104,7 @@
             })
         };
         let waiting = async {
-            while !shows(&self.metrics().await) {
+            while !has_count(&self.metrics().await) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
@@ -116,50 +116,54 @@
     }
 
     /// Complete log lines that contain all of `parts`.
-    pub fn lines(&self, parts: &[&str]) -> Vec<Value> {
-        let text = std::fs::read_to_string(&self.log).expect("the log");
+    pub fn log_lines(&self, parts: &[&str]) -> Vec<Value> {
+        let text = std::fs::read_to_string(&self.log).expect("log file is accessible");
         let complete = text.rfind('\n').map_or("", |end| &text[..end]);
         let lines = complete
             .lines()
             .filter(|line| parts.iter().all(|part| line.contains(part)));
         lines
-            .map(|line| serde_json::from_str(line).expect("a line of JSON"))
+            .map(|line| serde_json::from_str(line).expect("log line is JSON"))
             .collect()
     }
 
     /// Waits for a log line that contains all of `parts`.
-    pub async fn wait_line(&self, parts: &[&str]) -> Value {
-        wait_for(&format!("a line with {parts:?}"), || {
-            !self.lines(parts).is_empty()
+    pub async fn wait_log_line(&self, parts: &[&str]) -> Value {
+        wait_for(&format!("a log line with {parts:?}"), || {
+            !self.log_lines(parts).is_empty()
         })
         .await;
-        self.lines(parts).remove(0)
+        self.log_lines(parts).remove(0)
     }
 
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([
                 format!("-{name}"),
-                self.child.as_ref().expect("a process").id().to_string(),
+                self.child
+                    .as_ref()
+                    .expect("process was started")
+                    .id()
+                    .to_string(),
             ])
             .status();
         assert!(
             sent.is_ok_and(|status| status.success()),
-            "the signal was not sent"
+            "signal was not sent"
         );
     }
 
     /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
-        let child = self.child.as_mut().expect("a process");
+        let child = self.child.as_mut().expect("process was started");
         matches!(child.try_wait(), Ok(None))
     }
 
     /// Waits for the process to exit; returns its exit code.
     pub async fn wait_exit(&mut self) -> Option<i32> {
-        let child = self.child.as_mut().expect("a process");
+        let child = self.child.as_mut().expect("process was started");
         let mut code = None;
-        wait_for("the end of the process", || match child.try_wait() {
+        wait_for("the process to exit", || match child.try_wait() {
             Ok(Some(status)) => {
                 code = status.code();
                 true
--- a/tests/gateway/whole_path.rs
+++ b/tests/gateway/normal_operation.rs
@@ -1,4 +1,4 @@
-//! A calm day: replicas form, streams and calls are answered, a configuration comes into force.
+//! Normal operation: replicas form, streams and calls are served, and configuration changes apply.
 
 use http::StatusCode;
 use serde_json::json;
@@ -17,9 +17,9 @@
     assert!(stream.complete);
     assert_eq!(stream.text, complete_stream(12));
     assert_eq!(stream.headers["x-response-signature"], "signed");
-    let paid = TestRequest::new("/pay/fee", "p-1").send(&node).await;
+    let payment = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(
-        (paid.status, paid.text.as_str()),
+        (payment.status, payment.text.as_str()),
         (StatusCode::OK, "receipt")
     );
     let runs: usize = site
@@ -37,22 +37,25 @@
     let node = site.node("n0").await;
     let unknown = TestRequest::new("/nowhere/x", "r-1").send(&node).await;
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
-    let stranger = TestRequest::new("/look/x", "r-2").header("x-credential", "wrong");
-    assert_eq!(stranger.send(&node).await.status, StatusCode::UNAUTHORIZED);
+    let unauthorized = TestRequest::new("/look/x", "r-2").header("x-credential", "wrong");
+    assert_eq!(
+        unauthorized.send(&node).await.status,
+        StatusCode::UNAUTHORIZED
+    );
     let large = TestRequest::new("/look/x", "r-3").body(vec![b'x'; 5000]);
     assert_eq!(
         large.send(&node).await.status,
         StatusCode::PAYLOAD_TOO_LARGE
     );
-    let looked = TestRequest::new("/look/x", "r-4").header("x-tenant", "somebody-else");
-    assert_eq!(looked.send(&node).await.status, StatusCode::OK);
+    let lookup = TestRequest::new("/look/x", "r-4").header("x-tenant", "somebody-else");
+    assert_eq!(lookup.send(&node).await.status, StatusCode::OK);
     let seen = site.instances[0].seen().join("\n");
     assert!(seen.contains("\"x-tenant\": \"desk\""), "{seen}");
     assert!(!seen.contains("x-credential"), "{seen}");
 }
 
-/// An operator takes a key away and moves a route; an older copy of the configuration turns up
-/// afterwards. A caller whose key is gone must not be let in again.
+/// An API key is removed, and an older copy of the configuration is written afterwards. The older
+/// one must be ignored, so that the removed key stays invalid.
 #[tokio::test(flavor = "multi_thread")]
 async fn newer_configuration_stays() {
     let site = TestSite::start(0, 1);
@@ -60,21 +63,22 @@
     let mut newer = configuration(7);
     newer["tenants"] = json!([{"name": "desk", "api_keys": ["new-key"]}]);
     site.configure(&newer);
-    node.wait_line(&["config_applied", "\"revision\":7"]).await;
+    node.wait_log_line(&["config_applied", "\"revision\":7"])
+        .await;
     site.configure(&configuration(3));
-    // A later version shows that the older one was read and not taken.
+    // Rewriting the newer version gives a change that follows the older one.
     site.configure(&newer);
     let old_key = TestRequest::new("/look/x", "r-1");
-    wait_for("the feed", || site.store.calls() > 8).await;
+    wait_for("the change feed to be read", || site.store.calls() > 8).await;
     assert_eq!(old_key.send(&node).await.status, StatusCode::UNAUTHORIZED);
     let new_key = old_key.header("x-credential", "new-key");
     assert_eq!(new_key.send(&node).await.status, StatusCode::OK);
 }
 
-/// Several nodes plan at the same moment for the same hosts. Each replica forms once, and no host
-/// is in two.
+/// Several nodes plan for the same hosts at the same time. Each replica is formed once, and no host
+/// is in two replicas.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_share_work() {
+async fn concurrent_planners() {
     let site = TestSite::start(9, 0);
     let first = site.node("n0").await;
     let _second = site.node("n1").await;
--- a/tests/gateway/request.rs
+++ b/tests/gateway/request.rs
@@ -36,13 +36,14 @@
 
 impl TestRequest {
     pub fn new(path: &str, id: &str) -> Self {
-        let call = Self {
+        let request = Self {
             path: path.to_owned(),
             id: id.to_owned(),
             headers: Vec::new(),
             body: Bytes::from_static(b"{}"),
         };
-        call.header("x-credential", KEY)
+        request
+            .header("x-credential", KEY)
             .header("x-deadline-ms", "5000")
     }
 
@@ -66,15 +67,15 @@
     /// Sends the request and returns the response head.
     pub async fn begin(&self, node: &TestNode) -> (HttpLink, Response<Incoming>) {
         let began = self.try_begin(node).await;
-        began.expect("a connection and an answer")
+        began.expect("connection and response head")
     }
 
     /// Sends the request and returns the response head; `None` if the connection fails or breaks.
     pub async fn try_begin(&self, node: &TestNode) -> Option<(HttpLink, Response<Incoming>)> {
         let connected = HttpLink::connect(node.requests, CONNECT_TIMEOUT).await;
         let mut link = connected.ok()?;
-        let answer = self.begin_on(&mut link).await?;
-        Some((link, answer))
+        let response = self.begin_on(&mut link).await?;
+        Some((link, response))
     }
 
     /// Sends the request on an open connection and returns the response head, if one comes.
@@ -87,20 +88,20 @@
         }
         let request = request
             .body(Full::new(self.body.clone()))
-            .expect("a request");
+            .expect("valid request");
         link.send(request).await.ok()
     }
 
     /// Sends the request and reads the whole response.
     pub async fn send(&self, node: &TestNode) -> TestResponse {
-        let (_link, answer) = self.begin(node).await;
-        read_response(answer).await
+        let (_link, response) = self.begin(node).await;
+        read_response(response).await
     }
 }
 
 /// Reads a response as far as it comes.
-pub async fn read_response(answer: Response<Incoming>) -> TestResponse {
-    let (head, mut body) = answer.into_parts();
+pub async fn read_response(response: Response<Incoming>) -> TestResponse {
+    let (head, mut body) = response.into_parts();
     let mut bytes = Vec::new();
     let mut complete = true;
     while let Some(frame) = body.frame().await {
@@ -122,7 +123,7 @@
 pub fn complete_stream(events: usize) -> String {
     let mut text = String::new();
     for id in 1..=events {
-        writeln!(text, "id: {id}\ndata: piece {id}\n").expect("a text takes all");
+        writeln!(text, "id: {id}\ndata: piece {id}\n").expect("writing to a String can't fail");
     }
     text
 }
--- a/tests/gateway/site.rs
+++ b/tests/gateway/site.rs
@@ -26,14 +26,14 @@
     pub engines: Vec<SiteEngine>,
     pub instances: Vec<SiteInstance>,
     store_address: SocketAddr,
-    folder: PathBuf,
-    started: AtomicU32,
+    directory: PathBuf,
+    started_nodes: AtomicU32,
 }
 
 impl Drop for TestSite {
     fn drop(&mut self) {
         // Leftovers are in the directory for temporary files, so errors don't matter.
-        drop(std::fs::remove_dir_all(&self.folder));
+        drop(std::fs::remove_dir_all(&self.directory));
     }
 }
 
@@ -79,22 +79,22 @@
     /// Starts a site with `engines` engines in one fabric domain and `instances` instances.
     pub fn start(engines: usize, instances: usize) -> Self {
         let store = SiteStore::default();
-        let store_address = store.serve().expect("the store");
+        let store_address = store.serve().expect("store starts");
         let groups = SiteGroups::new(&store);
-        let folder = std::env::temp_dir().join(format!(
+        let directory = std::env::temp_dir().join(format!(
             "bramleyspring-gateway-{}-{}",
             std::process::id(),
             store_address.port()
         ));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&directory).expect("temporary directory is writable");
         let mut site = Self {
             store,
             groups,
             engines: Vec::new(),
             instances: Vec::new(),
             store_address,
-            folder,
-            started: AtomicU32::new(0),
+            directory,
+            started_nodes: AtomicU32::new(0),
         };
         for index in 0..engines {
             site.add_engine(&format!("e{index}"));
@@ -102,7 +102,7 @@
         for index in 0..instances {
             let id = format!("s{index}");
             let instance = SiteInstance::start(&site.store, &id, "z0");
-            site.instances.push(instance.expect("an instance"));
+            site.instances.push(instance.expect("instance starts"));
         }
         site.configure(&configuration(1));
         site
@@ -124,7 +124,7 @@
     }
 
     pub fn add_engine(&mut self, id: &str) {
-        let engine = self.groups.start(id, "f0", "z0").expect("an engine");
+        let engine = self.groups.start(id, "f0", "z0").expect("engine starts");
         self.engines.push(engine);
     }
 
@@ -142,13 +142,13 @@
     /// Makes an engine refuse new connections while it keeps working for its replica.
     pub fn stop_listening(&self, id: &str) {
         let engine = self.engines.iter().find(|engine| engine.id == id);
-        engine.expect("an engine").stop_listening();
+        engine.expect("engine exists").stop_listening();
     }
 
     /// Drops new connections to an engine until the returned guard is dropped.
     pub async fn lose_connections(&self, id: &str) -> LostWay {
         let engine = self.engines.iter().find(|engine| engine.id == id);
-        engine.expect("an engine").lose_connections().await
+        engine.expect("engine exists").lose_connections().await
     }
 
     /// Waits until exactly `count` replicas serve and none contains `host`.
@@ -166,7 +166,7 @@
         let serving = self.groups.serving();
         let mut serving = serving.into_iter();
         let running = serving.find(|members| self.groups.ran_at(&members[0], request));
-        running.expect("a replica that runs it")
+        running.expect("a serving replica runs the request")
     }
 
     /// Starts a gateway and waits until it is ready.
@@ -202,23 +202,23 @@
     /// Starts a gateway whose log output is not read after the first line.
     pub fn node_with_unread_log(&self, name: &str) -> TestNode {
         let (mut node, mut command) = self.prepare_node(name, true, &any_ports());
-        let mut child = command.stdout(Stdio::piped()).spawn().expect("the product");
-        let mut output = BufReader::new(child.stdout.take().expect("its output"));
+        let mut child = command.stdout(Stdio::piped()).spawn().expect("binary runs");
+        let mut output = BufReader::new(child.stdout.take().expect("stdout is piped"));
         node.child = Some(child);
         let mut first = String::new();
-        output.read_line(&mut first).expect("its first line");
-        node.take_addresses(&serde_json::from_str(&first).expect("a line of JSON"));
-        node.unread = Some(output);
+        output.read_line(&mut first).expect("log has a first line");
+        node.set_addresses(&serde_json::from_str(&first).expect("log line is JSON"));
+        node.unread_output = Some(output);
         node
     }
 
     async fn start_node(&self, name: &str, first_start: bool, listen: &Value) -> TestNode {
         let (mut node, mut command) = self.prepare_node(name, first_start, listen);
-        let log = File::create(&node.log).expect("the log");
+        let log = File::create(&node.log).expect("log file is accessible");
         let child = command.stdout(Stdio::from(log)).spawn();
-        node.child = Some(child.expect("the product"));
-        let line = node.wait_line(&["node_started"]).await;
-        node.take_addresses(&line);
+        node.child = Some(child.expect("binary runs"));
+        let line = node.wait_log_line(&["node_started"]).await;
+        node.set_addresses(&line);
         node
     }
 
@@ -230,10 +230,10 @@
             "bounds": {"stop_grace_s": 8, "repeat_ratio": 0.2, "repeat_window_s": 10,
                 "repeat_extra": 130, "load_window_s": 5, "fencing": false},
         });
-        let path = self.folder.join(format!("{name}.json"));
-        std::fs::write(&path, settings.to_string()).expect("the settings");
-        let number = self.started.fetch_add(1, Ordering::Relaxed);
-        let log = self.folder.join(format!("{name}-{number}.log"));
+        let path = self.directory.join(format!("{name}.json"));
+        std::fs::write(&path, settings.to_string()).expect("settings file is writable");
+        let number = self.started_nodes.fetch_add(1, Ordering::Relaxed);
+        let log = self.directory.join(format!("{name}-{number}.log"));
         let mut command = Command::new(BINARY);
         command.args(["gateway", "--settings"]).arg(&path);
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -244,16 +244,13 @@
             metrics: unset,
             hints: unset,
             log,
-            unread: None,
+            unread_output: None,
         };
         (node, command)
     }
 
     /// Waits until `count` replicas serve, according to the engines.
     pub async fn wait_serving(&self, count: usize) {
-        wait_for("replicas that serve", || {
-            self.groups.serving().len() == count
-        })
-        .await;
+        wait_for("serving replicas", || self.groups.serving().len() == count).await;
     }
 }
--- a/tests/gateway/store_faults.rs
+++ b/tests/gateway/store_faults.rs
@@ -1,4 +1,4 @@
-//! A store that is away, turns the node away, or forgets its history.
+//! The store is unreachable, rejects calls or has compacted its history.
 
 use http::StatusCode;
 use standin::site::StoreMode;
@@ -7,84 +7,85 @@
 use crate::request::TestRequest;
 use crate::site::{TestSite, configuration};
 
-/// The store falls silent. The node serves on with what it knows, and takes what changed once
-/// the store is back.
+/// The store stops responding. The node serves with the state it has, and applies the missed
+/// changes once the store is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_store() {
+async fn unresponsive_store() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
     site.store.set_mode(StoreMode::Silent);
-    node.wait_line(&["store_lost"]).await;
-    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    node.wait_log_line(&["store_lost"]).await;
+    let response = TestRequest::new("/look/x", "l-1").send(&node).await;
+    assert_eq!(response.status, StatusCode::OK);
     site.configure(&configuration(8));
     site.store.set_mode(StoreMode::Sound);
-    node.wait_line(&["store_regained"]).await;
-    node.wait_line(&["config_applied", "\"revision\":8"]).await;
+    node.wait_log_line(&["store_regained"]).await;
+    node.wait_log_line(&["config_applied", "\"revision\":8"])
+        .await;
 }
 
-/// A node starts while the store refuses calls. It knows no configuration: it is not ready, and
-/// whoever asks is told to come back rather than that there is no such route.
+/// A node starts while the store rejects calls. Without a configuration it is not ready, and
+/// requests get 503 rather than 404.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_store() {
     let site = TestSite::start(0, 1);
     site.store.set_mode(StoreMode::Busy);
     let node = site.unready_node("n0").await;
-    node.wait_line(&["store_lost"]).await;
+    node.wait_log_line(&["store_lost"]).await;
     assert!(!node.is_ready().await);
-    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+    let response = TestRequest::new("/look/x", "l-1").send(&node).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     site.store.set_mode(StoreMode::Sound);
     node.wait_ready(true).await;
 }
 
-/// The store drops its history between two calls. The node reads the tables whole again and
-/// misses nothing.
+/// The store compacts its history between two calls. The node reads the tables again completely and
+/// misses no change.
 #[tokio::test(flavor = "multi_thread")]
-async fn forgotten_history() {
+async fn compacted_history() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
     site.configure(&configuration(5));
     site.store.compact();
-    node.wait_line(&["config_applied", "\"revision\":5"]).await;
+    node.wait_log_line(&["config_applied", "\"revision\":5"])
+        .await;
     wait_for("a second whole read", || {
-        node.lines(&["registry_read"]).len() > 1
+        node.log_lines(&["registry_read"]).len() > 1
     })
     .await;
-    let answer = TestRequest::new("/look/x", "l-1").send(&node).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = TestRequest::new("/look/x", "l-1").send(&node).await;
+    assert_eq!(response.status, StatusCode::OK);
 }
 
-/// A replica loses a host while the store is away, so nothing is written about it. The nodes ask
-/// the hosts themselves: callers are served by the replica's successor before the store is back.
+/// A replica loses a host while the store is unreachable, so the registry does not show it. The
+/// node queries the hosts directly and forms a new replica before the store is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_without_store() {
     let mut site = TestSite::start(5, 0);
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.store.set_mode(StoreMode::Silent);
-    node.wait_line(&["store_lost", "servers"]).await;
+    node.wait_log_line(&["store_lost", "servers"]).await;
     let member = site.groups.serving()[0][1].clone();
     site.kill_engine(&member);
-    // The caller whose request meets the loss is what shows it.
+    // The loss is only noticed by a request that runs into it.
     let first = TestRequest::chat("c-1").send(&node).await;
     assert!(first.status == StatusCode::OK || first.status.is_server_error());
-    wait_for("a successor", || {
+    wait_for("a new replica", || {
         let serving = site.groups.serving();
         serving.len() == 1 && !serving[0].contains(&member)
     })
     .await;
     node.wait_replicas(1).await;
-    let answer = TestRequest::chat("c-2").send(&node).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = TestRequest::chat("c-2").send(&node).await;
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
 
-/// A node starts just after an outage and reads entries from before it: one host seems to be in
-/// no replica, though it serves in a whole one. The node asks the hosts before it acts, and the
-/// replica is not taken apart.
+/// A node starts after an outage and reads an outdated entry: a host of a working replica seems to
+/// be in none. The node queries the hosts before it acts, and the replica stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn old_entries_doubted() {
+async fn outdated_member_entry() {
     let site = TestSite::start(5, 0);
     let first = site.node("n0").await;
     first.wait_replicas(1).await;
@@ -93,23 +94,23 @@
     site.groups.write_old_entry(&serving[0][2]);
     let node = site.restarted_node("n1").await;
     node.wait_replicas(1).await;
-    // The plan had several rounds to act on the old entry.
-    wait_for("some calls of the store", || site.store.calls() > 12).await;
+    // Give the planner several rounds to act on the outdated entry.
+    wait_for("some store calls", || site.store.calls() > 12).await;
     assert_eq!(site.groups.serving(), serving);
-    assert!(node.lines(&["step_taken", "form"]).is_empty());
+    assert!(node.log_lines(&["step_taken", "form"]).is_empty());
 }
 
-/// An old entry of a head arrives while the store is sound: the head seems to be in no replica, though
-/// it serves. Its members must not join another replica under its streams; the head leaves first.
+/// An outdated entry of a serving head says that it is in no replica, while the store works. Its
+/// members must not join another replica under its streams; the head has to leave first.
 #[tokio::test(flavor = "multi_thread")]
-async fn old_head_entry() {
+async fn outdated_head_entry() {
     let site = TestSite::start(6, 0);
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     let serving = site.groups.serving();
     site.groups.write_old_entry(&serving[0][0]);
-    wait_for("a plan that goes by it", || {
-        node.lines(&["step_taken", "form helper"]).len() > 1
+    wait_for("a plan based on the entry", || {
+        node.log_lines(&["step_taken", "form helper"]).len() > 1
     })
     .await;
     node.wait_replicas(1).await;
