--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -9,7 +9,8 @@
 use http::{Method, StatusCode};
 use platform::TableStore;
 use web::{
-    WebAnswer, WebHandler, WebRequest, json_answer, parse_json, query_value, read_body, text_answer,
+    WebHandler, WebRequest, WebResponse, json_response, parse_json, query_value, read_body,
+    text_response,
 };
 use wire::admin::{AmendAnswer, AmendBody, ChangeBody, NO_CALL, NO_RECORD, NodeStatus, RecordBody};
 
@@ -64,26 +65,26 @@
         Self { parts }
     }
 
-    fn metrics(&self) -> WebAnswer {
+    fn metrics(&self) -> WebResponse {
         match self.parts.metrics.text() {
-            Ok(text) => text_answer(StatusCode::OK, &text),
-            Err(error) => text_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+            Ok(text) => text_response(StatusCode::OK, &text),
+            Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
     }
 
-    async fn amend(&self, request: WebRequest) -> WebAnswer {
+    async fn amend(&self, request: WebRequest) -> WebResponse {
         let bytes = match read_body(request.into_body(), MAX_AMEND_BYTES).await {
             Ok(bytes) => bytes,
-            Err(error) => return text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let body: AmendBody = match parse_json(&bytes) {
             Ok(body) => body,
-            Err(error) => return text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if let Some(reason) = self.parts.source.amend_hindrance() {
-            return json_answer(StatusCode::OK, &AmendAnswer::Unavailable { reason });
+            return json_response(StatusCode::OK, &AmendAnswer::Unavailable { reason });
         }
-        json_answer(StatusCode::OK, &self.amended(body).await)
+        json_response(StatusCode::OK, &self.amended(body).await)
     }
 
     async fn amended(&self, body: AmendBody) -> AmendAnswer {
@@ -116,13 +117,13 @@
         Ok(view)
     }
 
-    async fn records(&self, path: &str, query: &str) -> WebAnswer {
+    async fn records(&self, path: &str, query: &str) -> WebResponse {
         let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
         match parts.as_slice() {
             ["records"] => {
                 let kind = match parse_kind(query_value(query, "kind")) {
                     Ok(kind) => kind,
-                    Err(problem) => return text_answer(StatusCode::BAD_REQUEST, &problem),
+                    Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
                 let listed = list_records(&self.parts.table, kind).await;
                 let bodies = listed.map(|records| {
@@ -136,21 +137,21 @@
             ["records", kind, name] => {
                 let kind = match kind.parse::<RecordKind>() {
                     Ok(kind) => kind,
-                    Err(problem) => return text_answer(StatusCode::BAD_REQUEST, &problem),
+                    Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
                 match get_record(&self.parts.table, kind, name).await {
-                    Ok(None) => text_answer(StatusCode::NOT_FOUND, NO_RECORD),
+                    Ok(None) => text_response(StatusCode::NOT_FOUND, NO_RECORD),
                     found => table_answer(found.map(|stored| stored.map(record_body))),
                 }
             }
-            _ => text_answer(StatusCode::NOT_FOUND, NO_CALL),
+            _ => text_response(StatusCode::NOT_FOUND, NO_CALL),
         }
     }
 
-    async fn history(&self, query: &str) -> WebAnswer {
+    async fn history(&self, query: &str) -> WebResponse {
         let kind = match parse_kind(query_value(query, "kind")) {
             Ok(kind) => kind,
-            Err(problem) => return text_answer(StatusCode::BAD_REQUEST, &problem),
+            Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
         };
         let limit = query_value(query, "limit")
             .and_then(|text| text.parse().ok())
@@ -172,10 +173,10 @@
     }
 }
 
-fn table_answer<B: serde::Serialize>(read: Result<B, AmendError>) -> WebAnswer {
+fn table_answer<B: serde::Serialize>(read: Result<B, AmendError>) -> WebResponse {
     match read {
-        Ok(body) => json_answer(StatusCode::OK, &body),
-        Err(error) => text_answer(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
+        Ok(body) => json_response(StatusCode::OK, &body),
+        Err(error) => text_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
     }
 }
 
@@ -184,7 +185,7 @@
 }
 
 impl<T: TableStore, S: StatusSource> WebHandler for AdminServer<T, S> {
-    async fn answer(&self, request: WebRequest) -> WebAnswer {
+    async fn handle(&self, request: WebRequest) -> WebResponse {
         let path = request.uri().path().to_owned();
         if path == "/metrics" {
             return self.metrics();
@@ -196,16 +197,18 @@
             .is_some_and(|key| key.allows(request.headers()));
         if !allowed {
             let problem = "send the operators' key: 'Authorization: Bearer <key>'";
-            return text_answer(StatusCode::UNAUTHORIZED, problem);
+            return text_response(StatusCode::UNAUTHORIZED, problem);
         }
         let query = request.uri().query().unwrap_or_default().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/amend") => self.amend(request).await,
-            (Method::GET, "/status") => json_answer(StatusCode::OK, &self.parts.source.status()),
-            (Method::GET, "/events") => json_answer(StatusCode::OK, &self.parts.recorder.recent()),
+            (Method::GET, "/status") => json_response(StatusCode::OK, &self.parts.source.status()),
+            (Method::GET, "/events") => {
+                json_response(StatusCode::OK, &self.parts.recorder.recent())
+            }
             (Method::GET, "/history") => self.history(&query).await,
             (Method::GET, _) if path.starts_with("/records") => self.records(&path, &query).await,
-            _ => text_answer(StatusCode::NOT_FOUND, NO_CALL),
+            _ => text_response(StatusCode::NOT_FOUND, NO_CALL),
         }
     }
 }
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -8,7 +8,7 @@
 use target::EnginePort;
 use tokio::sync::oneshot;
 use web::body::channel_body;
-use web::{WebAnswer, json_answer};
+use web::{WebResponse, json_response};
 use wire::caller::{ErrorCode, LAST_EVENT_HEADER};
 
 use crate::completion::{CompletionEnd, CompletionRun};
@@ -48,7 +48,7 @@
 pub async fn answer_completion<E: EnginePort>(
     parts: &EntryParts<E>,
     call: CompletionCall<'_>,
-) -> Result<WebAnswer, CallerFailure> {
+) -> Result<WebResponse, CallerFailure> {
     let deadline = request_deadline(call.headers, &parts.settings)?;
     let resume = opened_token(parts, &call)?;
     let stream = call.ask.stream;
@@ -115,13 +115,13 @@
 async fn answer_whole<E: EnginePort>(
     parts: &EntryParts<E>,
     order: &CompletionOrder,
-) -> Result<WebAnswer, CallerFailure> {
+) -> Result<WebResponse, CallerFailure> {
     let mut sink = TextSink::default();
     match CompletionRun::new(parts, order).run(&mut sink).await {
         CompletionEnd::Finished(end) => {
             note_answered(parts, order, &end);
             let body = AnswerFrame::new(order).whole(sink.text, &end);
-            Ok(json_answer(StatusCode::OK, &body))
+            Ok(json_response(StatusCode::OK, &body))
         }
         CompletionEnd::Failed(failure) => Err(failure),
         CompletionEnd::CallerGone | CompletionEnd::HandOver => {
@@ -136,7 +136,7 @@
     order: CompletionOrder,
     resume: Option<ResumeToken>,
     include_usage: bool,
-) -> Result<WebAnswer, CallerFailure> {
+) -> Result<WebResponse, CallerFailure> {
     let (events, body) = channel_body(EVENT_BUFFER);
     let (head, begun) = oneshot::channel();
     let frame = AnswerFrame::new(&order);
--- a/crates/entry/src/failure.rs
+++ b/crates/entry/src/failure.rs
@@ -4,7 +4,7 @@
 
 use domain::RequestId;
 use http::{HeaderValue, Method, StatusCode, header};
-use web::{WebAnswer, json_answer};
+use web::{WebResponse, json_response};
 use wire::caller::{ErrorBody, ErrorCode, ErrorDetail, ExecutionState};
 
 /// A request's failure.
@@ -123,8 +123,8 @@
 
     /// The answer.
     #[must_use]
-    pub fn answer(&self, request: &RequestId) -> WebAnswer {
-        let mut answer = json_answer(self.status(), &self.body(request));
+    pub fn answer(&self, request: &RequestId) -> WebResponse {
+        let mut answer = json_response(self.status(), &self.body(request));
         if let Some(after) = self.retry_after {
             let value = HeaderValue::from(whole_seconds(after));
             answer.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -2,7 +2,7 @@
 
 use domain::record::CustomerRecord;
 use http::StatusCode;
-use web::{WebAnswer, json_answer};
+use web::{WebResponse, json_response};
 use wire::caller::ErrorCode;
 use wire::openai::{ModelEntry, ModelList};
 
@@ -30,12 +30,12 @@
 
 /// All of them.
 #[must_use]
-pub fn list_models(customer: &CustomerRecord) -> WebAnswer {
+pub fn list_models(customer: &CustomerRecord) -> WebResponse {
     let list = ModelList {
         object: "list".to_owned(),
         data: entries(customer),
     };
-    json_answer(StatusCode::OK, &list)
+    json_response(StatusCode::OK, &list)
 }
 
 /// One of them.
@@ -43,10 +43,10 @@
 /// # Errors
 ///
 /// [`ErrorCode::NotFound`].
-pub fn show_model(customer: &CustomerRecord, name: &str) -> Result<WebAnswer, CallerFailure> {
+pub fn show_model(customer: &CustomerRecord, name: &str) -> Result<WebResponse, CallerFailure> {
     for entry in entries(customer) {
         if entry.id == name {
-            return Ok(json_answer(StatusCode::OK, &entry));
+            return Ok(json_response(StatusCode::OK, &entry));
         }
     }
     let message = format!("the customer has no model {name:?}");
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -12,7 +12,7 @@
 use hyper::body::Body;
 use platform::TableStore;
 use target::{EnginePort, ServicePort};
-use web::{BodyError, WebAnswer, WebHandler, WebRequest, parse_json, read_body, text_answer};
+use web::{BodyError, WebHandler, WebRequest, WebResponse, parse_json, read_body, text_response};
 use wire::caller::ErrorCode;
 use wire::openai::{ChatRequest, CompletionRequest};
 
@@ -56,11 +56,11 @@
         &self,
         call: &CallerCall,
         body: impl RequestBody,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         let route = find_route(&call.method, &call.path)?;
         let view = Arc::clone(&self.parts.config.borrow());
         match route {
-            CallerRoute::Health => return Ok(text_answer(StatusCode::OK, "live\n")),
+            CallerRoute::Health => return Ok(text_response(StatusCode::OK, "live\n")),
             CallerRoute::Ready => return self.ready(&view),
             _ => {}
         }
@@ -92,7 +92,7 @@
         customer: &CustomerRecord,
         call: &CallerCall,
         ask: CompletionAsk,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         let completion = CompletionCall {
             view,
             customer,
@@ -103,14 +103,14 @@
         answer_completion(&self.parts, completion).await
     }
 
-    fn ready(&self, view: &ConfigView) -> Result<WebAnswer, CallerFailure> {
+    fn ready(&self, view: &ConfigView) -> Result<WebResponse, CallerFailure> {
         if self.parts.stop.is_stopping() {
             let message = "this node stops";
             let failure = CallerFailure::not_run(ErrorCode::NotReady, message);
             return Err(failure.retry(NOT_READY_RETRY));
         }
         known_config(view)?;
-        Ok(text_answer(StatusCode::OK, "ready\n"))
+        Ok(text_response(StatusCode::OK, "ready\n"))
     }
 
     async fn read_limited(&self, body: impl RequestBody) -> Result<Bytes, CallerFailure> {
@@ -128,7 +128,7 @@
     }
 
     /// Answers one request, whatever its body is read from.
-    pub async fn answer_parts<B: RequestBody>(&self, request: http::Request<B>) -> WebAnswer {
+    pub async fn answer_parts<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
         let (head, body) = request.into_parts();
         let call = CallerCall {
             request: self.parts.names.request(),
@@ -148,7 +148,7 @@
         answer
     }
 
-    fn fail(&self, request: &RequestId, failure: &CallerFailure) -> WebAnswer {
+    fn fail(&self, request: &RequestId, failure: &CallerFailure) -> WebResponse {
         let subject = EventSubject::request(request);
         let code = match failure.code {
             ErrorCode::Overloaded => EventCode::RequestRefused,
@@ -203,7 +203,7 @@
 }
 
 impl<E: EnginePort, T: TableStore, S: ServicePort> WebHandler for EntryServer<E, T, S> {
-    async fn answer(&self, request: WebRequest) -> WebAnswer {
+    async fn handle(&self, request: WebRequest) -> WebResponse {
         self.answer_parts(request).await
     }
 }
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -29,7 +29,7 @@
 use policy::service::CallOutcome;
 use target::service::LookupOrder;
 use target::{ServiceAnswer, ServiceError, ServicePort};
-use web::WebAnswer;
+use web::WebResponse;
 use wire::caller::ErrorCode;
 
 use super::{
@@ -55,7 +55,7 @@
         &self,
         run: &ServiceRun,
         key: &str,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         if run.found.service.targets.is_empty() {
             return Err(no_instance(run));
         }
@@ -94,7 +94,7 @@
         &self,
         run: &ServiceRun,
         ticket: ClaimTicket,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         match self.send_once(run, &ticket).await {
             SendOutcome::Answered(answer) => {
                 self.note_settled(
@@ -168,7 +168,7 @@
         key: &str,
         claim_key: &ClaimKey,
         claim: &CallClaim,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         if let ClaimState::Answered {
             status,
             content_type,
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -15,7 +15,7 @@
 use platform::TableStore;
 use target::service::ServiceCallOrder;
 use target::{ServiceAnswer, ServicePort};
-use web::WebAnswer;
+use web::WebResponse;
 use web::body::full_body;
 use wire::caller::ErrorCode;
 
@@ -123,7 +123,7 @@
         found: FoundCall,
         caller: &CallerCall,
         body: Bytes,
-    ) -> Result<WebAnswer, CallerFailure> {
+    ) -> Result<WebResponse, CallerFailure> {
         let deadline = request_deadline(&caller.headers, &self.settings)?;
         let key = idempotency_key(&caller.headers)?;
         let order = ServiceCallOrder {
@@ -181,7 +181,7 @@
     CallerFailure::not_run(ErrorCode::NoReplica, message).retry(CALL_RETRY)
 }
 
-fn answer_from_service(answer: &ServiceAnswer) -> WebAnswer {
+fn answer_from_service(answer: &ServiceAnswer) -> WebResponse {
     let mut out = http::Response::new(full_body(answer.body.clone()));
     *out.status_mut() = answer.status;
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
--- a/crates/entry/src/services/repeated.rs
+++ b/crates/entry/src/services/repeated.rs
@@ -9,7 +9,7 @@
 use policy::retry::RetryDecision;
 use policy::service::CallOutcome;
 use target::{ServiceAnswer, ServiceError, ServicePort};
-use web::WebAnswer;
+use web::WebResponse;
 use wire::caller::ErrorCode;
 
 use super::{CALL_RETRY, ServiceDispatcher, ServiceRun, answer_from_service, no_instance};
@@ -27,7 +27,10 @@
     /// A clerk's look-up must not fail because one of three instances is down, so it goes to
     /// another one. The budget keeps a service that fails as a whole from getting a multiple of
     /// its load.
-    pub(super) async fn call_repeated(&self, run: &ServiceRun) -> Result<WebAnswer, CallerFailure> {
+    pub(super) async fn call_repeated(
+        &self,
+        run: &ServiceRun,
+    ) -> Result<WebResponse, CallerFailure> {
         let addresses = &run.found.service.targets;
         let mut tried = FastSet::default();
         let mut may_have_run = false;
@@ -71,7 +74,7 @@
 fn final_answer(
     outcome: Result<ServiceAnswer, ServiceError>,
     may_have_run: bool,
-) -> Result<WebAnswer, CallerFailure> {
+) -> Result<WebResponse, CallerFailure> {
     let error = match outcome {
         Ok(answer) => return Ok(answer_from_service(&answer)),
         Err(error) => error,
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -18,7 +18,7 @@
 use http_body_util::{BodyExt, Full};
 use serde_json::Value;
 use tokio::sync::watch;
-use web::WebAnswer;
+use web::WebResponse;
 use wire::engine::EngineLoad;
 
 use crate::fake_engine::FakeEngine;
@@ -252,7 +252,7 @@
         .expect("a request")
 }
 
-async fn read_answer(answer: WebAnswer) -> FakeAnswer {
+async fn read_answer(answer: WebResponse) -> FakeAnswer {
     let status = answer.status();
     let header = |name: &str| {
         let value = answer.headers().get(name)?;
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -113,7 +113,7 @@
             ClientError::TimedOut(_) | ClientError::Broken(..) => {
                 Self::AnswerLost(error.to_string())
             }
-            ClientError::BadAnswer(..) => Self::Malformed(error.to_string()),
+            ClientError::InvalidResponse(..) => Self::Malformed(error.to_string()),
         }
     }
 }
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -6,8 +6,8 @@
 use domain::{AttemptId, BootNumber, HostId, LeaseEpoch};
 use http::{HeaderValue, StatusCode, header};
 use tokio::sync::Notify;
-use web::answer::typed_answer;
-use web::{WebAnswer, WebClient, json_answer, parse_json, text_answer};
+use web::response::bytes_response;
+use web::{WebClient, WebResponse, json_response, parse_json, text_response};
 use wire::engine::{CachePage, EngineAssignment, EngineOrder, EngineState, StreamOrder};
 
 use super::batch::StepCosts;
@@ -152,7 +152,7 @@
     }
 
     /// Starts a stream.
-    pub fn start(&self, order: StreamOrder) -> WebAnswer {
+    pub fn start(&self, order: StreamOrder) -> WebResponse {
         let now = Instant::now();
         let mut inner = self.inner();
         let meant = inner.assignment.as_ref().is_some_and(|assignment| {
@@ -161,7 +161,7 @@
                 && assignment.rank == 0
         });
         if !meant {
-            return text_answer(StatusCode::CONFLICT, "another replica or incarnation");
+            return text_response(StatusCode::CONFLICT, "another replica or incarnation");
         }
         if !inner.ready || self.lost_peer(&inner) {
             return busy("not ready");
@@ -179,10 +179,10 @@
     }
 
     /// Goes on with a stream.
-    pub fn resume(&self, attempt: &AttemptId, from: u32) -> WebAnswer {
+    pub fn resume(&self, attempt: &AttemptId, from: u32) -> WebResponse {
         let resumed = self.inner().pool.resume(attempt, from, Instant::now());
         self.wake.notify_one();
-        resumed.unwrap_or_else(|| text_answer(StatusCode::NOT_FOUND, "no such stream"))
+        resumed.unwrap_or_else(|| text_response(StatusCode::NOT_FOUND, "no such stream"))
     }
 
     /// Cancels a stream.
@@ -198,11 +198,11 @@
 
     /// The KV cache of a stream.
     #[must_use]
-    pub fn export_kv(&self, attempt: &AttemptId) -> WebAnswer {
+    pub fn export_kv(&self, attempt: &AttemptId) -> WebResponse {
         let exported = self.inner().pool.export(attempt);
         match exported.map(|kv| serde_json::to_vec(&kv)) {
-            Some(Ok(bytes)) => typed_answer(StatusCode::OK, "application/octet-stream", bytes),
-            _ => text_answer(
+            Some(Ok(bytes)) => bytes_response(StatusCode::OK, "application/octet-stream", bytes),
+            _ => text_response(
                 StatusCode::NOT_FOUND,
                 "no such stream, or its prompt is unread",
             ),
@@ -210,13 +210,13 @@
     }
 
     /// Takes a KV cache for a stream that is still to start.
-    pub fn import_kv(&self, attempt: AttemptId, bytes: &[u8]) -> WebAnswer {
+    pub fn import_kv(&self, attempt: AttemptId, bytes: &[u8]) -> WebResponse {
         match parse_json::<KvCache>(bytes) {
             Ok(kv) => {
                 self.inner().pool.import(attempt, kv);
-                text_answer(StatusCode::OK, "")
+                text_response(StatusCode::OK, "")
             }
-            Err(error) => text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
@@ -229,8 +229,8 @@
     }
 }
 
-fn busy(text: &str) -> WebAnswer {
-    let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, text);
+fn busy(text: &str) -> WebResponse {
+    let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
     answer
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
@@ -238,11 +238,11 @@
 }
 
 /// Follows an order; loading goes on behind the answer.
-pub fn follow(core: &Arc<EngineCore>, order: EngineOrder) -> WebAnswer {
+pub fn follow(core: &Arc<EngineCore>, order: EngineOrder) -> WebResponse {
     let mut inner = core.inner();
     if core.options.fencing && order.epoch < inner.highest_epoch {
         drop(inner);
-        return json_answer(StatusCode::CONFLICT, &core.state());
+        return json_response(StatusCode::CONFLICT, &core.state());
     }
     inner.highest_epoch = inner.highest_epoch.max(order.epoch);
     let before = inner.assignment.clone();
@@ -269,7 +269,7 @@
             });
         }
     }
-    json_answer(StatusCode::OK, &core.state())
+    json_response(StatusCode::OK, &core.state())
 }
 
 /// Steps the batch for ever; sleeps while there is nothing to do.
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -21,7 +21,7 @@
 use domain::{AttemptId, HostId};
 use eyre::WrapErr;
 use http::{Method, Request, StatusCode};
-use web::{WebAnswer, json_answer, parse_json, query_value, text_answer};
+use web::{WebResponse, json_response, parse_json, query_value, text_response};
 use wire::engine::ResumeOrder;
 
 use crate::engine::core::EngineCore;
@@ -52,55 +52,55 @@
 }
 
 impl EngineServer {
-    fn follow(&self, body: &[u8]) -> WebAnswer {
+    fn follow(&self, body: &[u8]) -> WebResponse {
         match parse_json(body) {
             Ok(order) => core::follow(&self.core, order),
-            Err(error) => text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    fn start(&self, body: &[u8]) -> WebAnswer {
+    fn start(&self, body: &[u8]) -> WebResponse {
         match parse_json(body) {
             Ok(order) => self.core.start(order),
-            Err(error) => text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    fn answer_stream(&self, method: &Method, path: &str, body: &[u8]) -> WebAnswer {
+    fn answer_stream(&self, method: &Method, path: &str, body: &[u8]) -> WebResponse {
         let (name, resume) = match path.strip_suffix("/resume") {
             Some(name) => (name, true),
             None => (path, false),
         };
         let Ok(attempt) = name.parse::<AttemptId>() else {
-            return text_answer(StatusCode::NOT_FOUND, "no such stream");
+            return text_response(StatusCode::NOT_FOUND, "no such stream");
         };
         if *method == Method::DELETE {
             self.core.cancel(&attempt);
-            return text_answer(StatusCode::OK, "");
+            return text_response(StatusCode::OK, "");
         }
         if !resume || *method != Method::POST {
-            return text_answer(StatusCode::NOT_FOUND, "no such call");
+            return text_response(StatusCode::NOT_FOUND, "no such call");
         }
         match parse_json::<ResumeOrder>(body) {
             Ok(order) => self.core.resume(&attempt, order.from),
-            Err(error) => text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    fn answer_kv(&self, method: &Method, name: &str, body: &[u8]) -> WebAnswer {
+    fn answer_kv(&self, method: &Method, name: &str, body: &[u8]) -> WebResponse {
         let Ok(attempt) = name.parse::<AttemptId>() else {
-            return text_answer(StatusCode::NOT_FOUND, "no such stream");
+            return text_response(StatusCode::NOT_FOUND, "no such stream");
         };
         match *method {
             Method::GET => self.core.export_kv(&attempt),
             Method::PUT => self.core.import_kv(attempt, body),
-            _ => text_answer(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
+            _ => text_response(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
         }
     }
 }
 
 impl StandinHandler for EngineServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
         let method = request.method().clone();
         let uri = request.uri().clone();
         let body = request.into_body();
@@ -111,16 +111,16 @@
             return self.answer_kv(&method, name, &body);
         }
         match (method, uri.path()) {
-            (Method::GET, "/state") => json_answer(StatusCode::OK, &self.core.state()),
+            (Method::GET, "/state") => json_response(StatusCode::OK, &self.core.state()),
             (Method::GET, "/cache/events") => {
                 let after = query_value(uri.query().unwrap_or_default(), "after")
                     .and_then(|text| text.parse().ok())
                     .unwrap_or(0);
-                json_answer(StatusCode::OK, &self.core.cache_events(after))
+                json_response(StatusCode::OK, &self.core.cache_events(after))
             }
             (Method::POST, "/orders") => self.follow(&body),
             (Method::POST, "/streams") => self.start(&body),
-            _ => text_answer(StatusCode::NOT_FOUND, "no such call"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 }
--- a/crates/standin/src/engine/peers.rs
+++ b/crates/standin/src/engine/peers.rs
@@ -9,7 +9,7 @@
 
 use futures::future::join_all;
 use http::Method;
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 use wire::engine::{EngineAssignment, EngineState};
 
 use super::core::EngineCore;
@@ -45,11 +45,11 @@
 }
 
 async fn check(core: &EngineCore, assignment: &EngineAssignment, address: SocketAddr) -> PeerState {
-    let asked: Result<JsonAnswer<EngineState>, _> = core
+    let asked: Result<JsonResponse<EngineState>, _> = core
         .client
         .json(Method::GET, address, "/state", None::<&()>, CHECK_TIMEOUT)
         .await;
-    let Ok(JsonAnswer { value, .. }) = asked else {
+    let Ok(JsonResponse { value, .. }) = asked else {
         return PeerState::Gone;
     };
     let same = value.assignment.as_ref().is_some_and(|theirs| {
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -6,7 +6,7 @@
 
 use domain::AttemptId;
 use serde::{Deserialize, Serialize};
-use web::WebAnswer;
+use web::WebResponse;
 use wire::engine::{EngineLoad, PREFIX_BLOCK_BYTES, StreamOrder, prefix_hashes};
 
 use super::batch::BatchStep;
@@ -77,7 +77,7 @@
     }
 
     /// Takes a stream.
-    pub fn start(&mut self, order: StreamOrder, now: Instant) -> WebAnswer {
+    pub fn start(&mut self, order: StreamOrder, now: Instant) -> WebResponse {
         self.arrivals += 1;
         let attempt = order.attempt.clone();
         let from = u32::try_from(order.resume.len()).unwrap_or(u32::MAX);
@@ -88,7 +88,7 @@
     }
 
     /// Goes on with a stream that is still kept.
-    pub fn resume(&mut self, attempt: &AttemptId, from: u32, now: Instant) -> Option<WebAnswer> {
+    pub fn resume(&mut self, attempt: &AttemptId, from: u32, now: Instant) -> Option<WebResponse> {
         let stream = self.streams.get_mut(attempt)?;
         Some(stream.attach(from, now))
     }
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 use web::body::channel_body;
-use web::{WebAnswer, text_answer};
+use web::{WebResponse, text_response};
 use wire::engine::{StreamEvent, StreamOrder};
 
 /// Events that wait for a slow reader on the connection; the rest waits in the stream.
@@ -71,9 +71,9 @@
     }
 
     /// Answers with the events from an index on; an earlier reader gets no more.
-    pub fn attach(&mut self, from: u32, now: Instant) -> WebAnswer {
+    pub fn attach(&mut self, from: u32, now: Instant) -> WebResponse {
         if from as usize > self.tokens.len() {
-            return text_answer(http::StatusCode::NOT_FOUND, "no such token yet");
+            return text_response(http::StatusCode::NOT_FOUND, "no such token yet");
         }
         let (sender, body) = channel_body(READER_BUFFER);
         self.sent = from as usize;
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
-use web::{WebAnswer, json_answer, parse_json, text_answer};
+use web::{WebResponse, json_response, parse_json, text_response};
 
 /// Path of the switches.
 pub const FAULTS_PATH: &str = "/faults";
@@ -184,18 +184,18 @@
     }
 
     /// Answers a request to [`FAULTS_PATH`].
-    pub fn answer(&self, request: &Request<Bytes>) -> WebAnswer {
+    pub fn answer(&self, request: &Request<Bytes>) -> WebResponse {
         if request.method() == Method::GET {
-            return json_answer(StatusCode::OK, &self.state().report);
+            return json_response(StatusCode::OK, &self.state().report);
         }
         let plan: FaultPlan = match parse_json(request.body()) {
             Ok(plan) => plan,
-            Err(error) => return text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let mut state = self.state();
         state.random = StdRng::seed_from_u64(plan.seed);
         state.report.plan = plan;
-        json_answer(StatusCode::OK, &state.report)
+        json_response(StatusCode::OK, &state.report)
     }
 
     /// Decides what becomes of a request, and counts it.
--- a/crates/standin/src/hostlist.rs
+++ b/crates/standin/src/hostlist.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use eyre::WrapErr;
 use http::{Request, StatusCode};
-use web::{WebAnswer, json_answer, parse_json, text_answer};
+use web::{WebResponse, json_response, parse_json, text_response};
 use wire::hostlist::HostListBody;
 
 use crate::faults::FaultSwitch;
@@ -76,10 +76,10 @@
 }
 
 impl StandinHandler for HostListServer {
-    async fn answer(&self, _request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, _request: Request<Bytes>) -> WebResponse {
         match self.shown() {
-            Some(list) => json_answer(StatusCode::OK, &list),
-            None => text_answer(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
+            Some(list) => json_response(StatusCode::OK, &list),
+            None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
         }
     }
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 use tokio::sync::mpsc;
 use web::WebClient;
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 use wire::service::LookupBody;
 
 use crate::options::LoadOptions;
@@ -92,7 +92,7 @@
 }
 
 async fn read_executions(service: SocketAddr) -> eyre::Result<Vec<LookupBody>> {
-    let answer: JsonAnswer<Vec<LookupBody>> = WebClient::default()
+    let answer: JsonResponse<Vec<LookupBody>> = WebClient::default()
         .json(
             Method::GET,
             service,
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode};
-use web::answer::typed_answer;
-use web::{WebAnswer, text_answer};
+use web::response::bytes_response;
+use web::{WebResponse, text_response};
 
 use crate::faults::FaultSwitch;
 use crate::options::TableOptions;
@@ -30,34 +30,36 @@
 }
 
 impl ObjectServer {
-    fn get(&self, key: &str) -> WebAnswer {
+    fn get(&self, key: &str) -> WebResponse {
         let objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         match objects.get(key) {
-            Some(bytes) => typed_answer(StatusCode::OK, "application/octet-stream", bytes.to_vec()),
-            None => text_answer(StatusCode::NOT_FOUND, "no such object"),
+            Some(bytes) => {
+                bytes_response(StatusCode::OK, "application/octet-stream", bytes.to_vec())
+            }
+            None => text_response(StatusCode::NOT_FOUND, "no such object"),
         }
     }
 
-    fn put_new(&self, key: &str, bytes: Bytes) -> WebAnswer {
+    fn put_new(&self, key: &str, bytes: Bytes) -> WebResponse {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         if objects.contains_key(key) {
-            return text_answer(StatusCode::PRECONDITION_FAILED, "there is such an object");
+            return text_response(StatusCode::PRECONDITION_FAILED, "there is such an object");
         }
         objects.insert(key.to_owned(), bytes);
-        text_answer(StatusCode::CREATED, "")
+        text_response(StatusCode::CREATED, "")
     }
 }
 
 impl StandinHandler for ObjectServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         let Some(key) = path.strip_prefix("/objects/") else {
-            return text_answer(StatusCode::NOT_FOUND, "no such call");
+            return text_response(StatusCode::NOT_FOUND, "no such call");
         };
         match *request.method() {
             Method::GET => self.get(key),
             Method::PUT => self.put_new(key, request.into_body()),
-            _ => text_answer(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
+            _ => text_response(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
         }
     }
 }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto::Builder;
 use tokio::net::{TcpListener, TcpStream};
-use web::{WebAnswer, read_body, text_answer};
+use web::{WebResponse, read_body, text_response};
 
 use crate::faults::{FAULTS_PATH, FaultCourse, FaultSwitch};
 
@@ -21,7 +21,7 @@
 /// Answers whole requests.
 pub trait StandinHandler: Send + Sync + 'static {
     /// Answers one request; every failure is an answer too.
-    fn answer(&self, request: Request<Bytes>) -> impl Future<Output = WebAnswer> + Send;
+    fn answer(&self, request: Request<Bytes>) -> impl Future<Output = WebResponse> + Send;
 }
 
 /// The connection is closed without an answer.
@@ -86,11 +86,11 @@
     request: Request<Incoming>,
     handler: Arc<H>,
     faults: Arc<FaultSwitch>,
-) -> Result<WebAnswer, AnswerLost> {
+) -> Result<WebResponse, AnswerLost> {
     let (head, body) = request.into_parts();
     let bytes = match read_body(body, MAX_REQUEST_BYTES).await {
         Ok(bytes) => bytes,
-        Err(error) => return Ok(text_answer(StatusCode::BAD_REQUEST, &error.to_string())),
+        Err(error) => return Ok(text_response(StatusCode::BAD_REQUEST, &error.to_string())),
     };
     let request = Request::from_parts(head, bytes);
     if request.uri().path() == FAULTS_PATH {
@@ -99,7 +99,10 @@
     match faults.decide(&request) {
         FaultCourse::Hang => std::future::pending().await,
         FaultCourse::Drop => Err(AnswerLost),
-        FaultCourse::Refuse => Ok(text_answer(StatusCode::SERVICE_UNAVAILABLE, "out of order")),
+        FaultCourse::Refuse => Ok(text_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "out of order",
+        )),
         FaultCourse::Throttle => Ok(throttled()),
         FaultCourse::Run {
             latency,
@@ -122,8 +125,8 @@
     }
 }
 
-fn throttled() -> WebAnswer {
-    let mut answer = text_answer(StatusCode::TOO_MANY_REQUESTS, "over the limit");
+fn throttled() -> WebResponse {
+    let mut answer = text_response(StatusCode::TOO_MANY_REQUESTS, "over the limit");
     answer
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -15,7 +15,7 @@
 use http::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use web::{WebAnswer, json_answer, parse_json, text_answer};
+use web::{WebResponse, json_response, parse_json, text_response};
 use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_HEADER, LookupBody, ServiceLoad};
 
 use crate::faults::FaultSwitch;
@@ -141,8 +141,8 @@
     }
 }
 
-fn broken(error: &std::io::Error) -> WebAnswer {
-    text_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
+fn broken(error: &std::io::Error) -> WebResponse {
+    text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
 }
 
 impl PlainService {
@@ -152,22 +152,22 @@
         Ok(read(&book))
     }
 
-    fn lookup(&self, name: &CallName) -> WebAnswer {
+    fn lookup(&self, name: &CallName) -> WebResponse {
         let found = self.read_book(|book| book.entries.get(name).cloned());
         match found {
-            Ok(entry) => json_answer(StatusCode::OK, &entry.unwrap_or_else(|| name.absent())),
+            Ok(entry) => json_response(StatusCode::OK, &entry.unwrap_or_else(|| name.absent())),
             Err(error) => broken(&error),
         }
     }
 
-    fn list(&self) -> WebAnswer {
+    fn list(&self) -> WebResponse {
         match self.read_book(|book| book.entries.values().cloned().collect::<Vec<_>>()) {
-            Ok(entries) => json_answer(StatusCode::OK, &entries),
+            Ok(entries) => json_response(StatusCode::OK, &entries),
             Err(error) => broken(&error),
         }
     }
 
-    fn execute(&self, path: &str, request: &Request<Bytes>) -> WebAnswer {
+    fn execute(&self, path: &str, request: &Request<Bytes>) -> WebResponse {
         let key = request
             .headers()
             .get(IDEMPOTENCY_HEADER)
@@ -180,7 +180,7 @@
                 return broken(&error);
             }
         }
-        json_answer(StatusCode::OK, &receipt)
+        json_response(StatusCode::OK, &receipt)
     }
 
     fn load(&self) -> ServiceLoad {
@@ -192,16 +192,16 @@
 }
 
 impl StandinHandler for PlainService {
-    async fn answer(&self, request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         if let Some(key) = path.strip_prefix("/executions/") {
             return self.lookup(&CallName::new(key, &request));
         }
         match (request.method().clone(), path.as_str()) {
-            (Method::GET, "/load") => json_answer(StatusCode::OK, &self.load()),
+            (Method::GET, "/load") => json_response(StatusCode::OK, &self.load()),
             (Method::GET, "/executions") => self.list(),
             (Method::POST, _) => self.execute(&path, &request),
-            _ => text_answer(StatusCode::NOT_FOUND, "no such call"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 }
--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::groups::{EngineState, SiteGroups};
-use super::http::{LostWay, SiteAnswer, SiteRequest, SiteServer, json as json_answer, plain};
+use super::http::{LostWay, SiteAnswer, SiteRequest, SiteServer, json as json_response, plain};
 use super::run::Run;
 
 /// What a request's body holds that ends the engine which begins to run it.
@@ -195,7 +195,7 @@
                     report["sequence"] = json!(engine.orders);
                     report
                 });
-                json_answer(&report.unwrap_or_default())
+                json_response(&report.unwrap_or_default())
             }
             "/order" => self.order(id, &request),
             _ => self.generate(id, &request),
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use super::http::{SiteAnswer, SiteRequest, SiteServer, json as json_answer, plain};
+use super::http::{SiteAnswer, SiteRequest, SiteServer, json as json_response, plain};
 
 /// How the store answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -224,7 +224,7 @@
     fn page(&self, rows: &[Value], more: bool) -> SiteAnswer {
         let now = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
         let version = self.with(|state| state.version);
-        json_answer(&json!({
+        json_response(&json!({
             "rows": rows, "has_more": more, "row_version": version, "now_ms": now,
         }))
     }
--- a/crates/standin/src/stack/caller.rs
+++ b/crates/standin/src/stack/caller.rs
@@ -92,7 +92,7 @@
         let address = self.entries[entry].address;
         let body = read_body(answer.into_body(), MAX_BODY)
             .await
-            .map_err(|error| ClientError::BadAnswer(address, error))?;
+            .map_err(|error| ClientError::InvalidResponse(address, error))?;
         Ok(CallerAnswer {
             status,
             retry_after,
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -6,7 +6,7 @@
 use domain::ReplicaId;
 use http::Method;
 use serde::de::DeserializeOwned;
-use web::client::{JsonAnswer, json_request};
+use web::client::{JsonResponse, json_request};
 use web::read_body;
 use wire::engine::EngineState;
 use wire::service::LookupBody;
@@ -19,7 +19,7 @@
 
 impl TestStack {
     async fn get<A: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> A {
-        let answer: JsonAnswer<A> = self
+        let answer: JsonResponse<A> = self
             .client
             .json(Method::GET, address, path, None::<&()>, PATIENCE)
             .await
@@ -41,7 +41,7 @@
 
     /// Replaces the faults of the stand-in at an address; the default plan ends all of them.
     pub async fn set_faults(&self, address: SocketAddr, plan: &FaultPlan) {
-        let answer: JsonAnswer<FaultReport> = self
+        let answer: JsonResponse<FaultReport> = self
             .client
             .json(Method::POST, address, FAULTS_PATH, Some(plan), PATIENCE)
             .await
@@ -101,7 +101,7 @@
     pub async fn replica_engines(&self) -> BTreeMap<ReplicaId, Vec<usize>> {
         let mut ranks: BTreeMap<ReplicaId, Vec<(u32, usize)>> = BTreeMap::new();
         for (index, engine) in self.engines.iter().enumerate() {
-            let answer: Result<JsonAnswer<EngineState>, _> = self
+            let answer: Result<JsonResponse<EngineState>, _> = self
                 .client
                 .json(
                     Method::GET,
@@ -111,7 +111,7 @@
                     super::PROBE,
                 )
                 .await;
-            let Ok(JsonAnswer { value, .. }) = answer else {
+            let Ok(JsonResponse { value, .. }) = answer else {
                 continue;
             };
             let Some(assignment) = value.assignment else {
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, StatusCode, header};
 use serde_json::Value;
-use web::{WebAnswer, json_answer, parse_json, query_value, text_answer};
+use web::{WebResponse, json_response, parse_json, query_value, text_response};
 use wire::table::{
     BatchBody, BatchDone, BatchRefused, ChangeBody, ExpectBody, RowBody, ScanPage,
     WRITE_TOKEN_HEADER,
@@ -114,17 +114,17 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn read_row(&self, key: &str, request: &Request<Bytes>) -> WebAnswer {
+    fn read_row(&self, key: &str, request: &Request<Bytes>) -> WebResponse {
         let store = self.store();
         let Some(row) = store.rows.get(key) else {
-            return text_answer(StatusCode::NOT_FOUND, "no such row");
+            return text_response(StatusCode::NOT_FOUND, "no such row");
         };
         let tag = format!("\"{}\"", row.version);
         let known = request.headers().get(header::IF_NONE_MATCH);
         if known.is_some_and(|value| value.as_bytes() == tag.as_bytes()) {
-            return text_answer(StatusCode::NOT_MODIFIED, "");
+            return text_response(StatusCode::NOT_MODIFIED, "");
         }
-        let mut answer = json_answer(StatusCode::OK, &row.value);
+        let mut answer = json_response(StatusCode::OK, &row.value);
         if let Ok(value) = HeaderValue::from_str(&tag) {
             answer.headers_mut().insert(header::ETAG, value);
         }
@@ -134,32 +134,32 @@
         answer
     }
 
-    fn commit(&self, request: &Request<Bytes>) -> WebAnswer {
+    fn commit(&self, request: &Request<Bytes>) -> WebResponse {
         let batch: BatchBody = match parse_json(request.body()) {
             Ok(batch) => batch,
-            Err(error) => return text_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let mut store = self.store();
         let conflicts = store.conflicts(&batch);
         if conflicts.is_empty() {
             let version = store.apply(batch);
-            return json_answer(StatusCode::OK, &BatchDone { version });
+            return json_response(StatusCode::OK, &BatchDone { version });
         }
-        json_answer(StatusCode::PRECONDITION_FAILED, &BatchRefused { conflicts })
+        json_response(StatusCode::PRECONDITION_FAILED, &BatchRefused { conflicts })
     }
 
-    fn scan(&self, query: &str) -> WebAnswer {
+    fn scan(&self, query: &str) -> WebResponse {
         let prefix = query_value(query, "prefix").unwrap_or_default();
         let after = query_value(query, "after").unwrap_or_default();
         let limit = query_value(query, "limit")
             .and_then(|text| text.parse().ok())
             .unwrap_or(1000);
-        json_answer(StatusCode::OK, &self.store().scan(prefix, after, limit))
+        json_response(StatusCode::OK, &self.store().scan(prefix, after, limit))
     }
 }
 
 impl StandinHandler for TableServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         if let Some(key) = path.strip_prefix("/rows/")
@@ -170,7 +170,7 @@
         match (method, path.as_str()) {
             (Method::GET, "/scan") => self.scan(request.uri().query().unwrap_or_default()),
             (Method::POST, "/batch") => self.commit(&request),
-            _ => text_answer(StatusCode::NOT_FOUND, "no such call"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -8,7 +8,7 @@
 use http::{Request, StatusCode};
 use tokio::sync::mpsc;
 use web::body::channel_body;
-use web::{WebAnswer, text_answer};
+use web::{WebResponse, text_response};
 
 use crate::faults::FaultSwitch;
 use crate::options::WeightsOptions;
@@ -74,9 +74,9 @@
 }
 
 impl StandinHandler for WeightServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebAnswer {
+    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
         if !request.uri().path().starts_with("/weights/") {
-            return text_answer(StatusCode::NOT_FOUND, "no such call");
+            return text_response(StatusCode::NOT_FOUND, "no such call");
         }
         let (sender, body) = channel_body(CHUNK_BUFFER);
         tokio::spawn(send_weights(Arc::clone(&self.rate), self.bytes, sender));
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -9,7 +9,7 @@
 use http::{Method, Response, StatusCode, header};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use web::client::{JsonAnswer, json_request};
+use web::client::{JsonResponse, json_request};
 use web::{ClientError, WebClient, parse_json};
 use wire::engine::{EngineOrder, EngineState, ResumeOrder, StreamEvent, StreamOrder};
 
@@ -143,7 +143,7 @@
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<EngineState, ClientError> {
-        let answer: JsonAnswer<EngineState> = self
+        let answer: JsonResponse<EngineState> = self
             .client
             .json(Method::GET, address, "/state", NO_BODY, timeout)
             .await?;
@@ -156,7 +156,7 @@
         order: &EngineOrder,
         timeout: Duration,
     ) -> Result<OrderOutcome, ClientError> {
-        let answer: JsonAnswer<EngineState> = self
+        let answer: JsonResponse<EngineState> = self
             .client
             .json(Method::POST, address, "/orders", Some(order), timeout)
             .await?;
@@ -260,7 +260,7 @@
         loop {
             if let Some(line) = self.take_line() {
                 let event = parse_json(&line)
-                    .map_err(|error| ClientError::BadAnswer(self.address, error))?;
+                    .map_err(|error| ClientError::InvalidResponse(self.address, error))?;
                 return Ok(Some(event));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -9,7 +9,7 @@
 use domain::CustomerId;
 use http::{HeaderValue, Method, Request, StatusCode, header};
 use web::body::full_body;
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 use web::{ClientError, WebClient, parse_json, read_body};
 use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_HEADER, LookupBody, ServiceLoad};
 
@@ -222,7 +222,7 @@
         let body = read_body(answer.into_body(), MAX_SERVICE_ANSWER)
             .await
             .map_err(|error| ClientError::Broken(address, error.to_string()))?;
-        parse_json(&body).map_err(|error| ClientError::BadAnswer(address, error))
+        parse_json(&body).map_err(|error| ClientError::InvalidResponse(address, error))
     }
 
     async fn load(
@@ -230,7 +230,7 @@
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<ServiceLoad, ClientError> {
-        let answer: JsonAnswer<ServiceLoad> = self
+        let answer: JsonResponse<ServiceLoad> = self
             .client
             .json(Method::GET, address, "/load", None::<&()>, timeout)
             .await?;
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -15,7 +15,7 @@
 use crate::body::{BodyError, WebBody, full_body, parse_json, read_body};
 
 /// Largest answer that is read whole, in bytes: a whole scan of the table at letter 1's size.
-pub const MAX_ANSWER_BYTES: usize = 64 << 20;
+pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Longest wait for a TCP connection; a host that is gone answers nothing at all.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
     Broken(SocketAddr, String),
     /// The answer's body can't be used.
     #[error("the answer of {0} can't be used: {1}")]
-    BadAnswer(SocketAddr, BodyError),
+    InvalidResponse(SocketAddr, BodyError),
 }
 
 impl ClientError {
@@ -53,7 +53,7 @@
 
 /// A status with its JSON body.
 #[derive(Debug)]
-pub struct JsonAnswer<T> {
+pub struct JsonResponse<T> {
     /// The status.
     pub status: StatusCode,
     /// The body.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// As [`WebClient::send`], and [`ClientError::BadAnswer`].
+    /// As [`WebClient::send`], and [`ClientError::InvalidResponse`].
     pub async fn json<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
@@ -128,17 +128,17 @@
         path: &str,
         body: Option<&Q>,
         timeout: Duration,
-    ) -> Result<JsonAnswer<A>, ClientError> {
+    ) -> Result<JsonResponse<A>, ClientError> {
         let call = async {
             let request = json_request(method, address, path, body)?;
             let answer = self.send(address, request, timeout).await?;
             let status = answer.status();
-            let bytes = read_body(answer.into_body(), MAX_ANSWER_BYTES)
+            let bytes = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
                 .await
                 .map_err(|error| ClientError::Broken(address, error.to_string()))?;
             let value =
-                parse_json(&bytes).map_err(|error| ClientError::BadAnswer(address, error))?;
-            Ok(JsonAnswer { status, value })
+                parse_json(&bytes).map_err(|error| ClientError::InvalidResponse(address, error))?;
+            Ok(JsonResponse { status, value })
         };
         match tokio::time::timeout(timeout, call).await {
             Ok(result) => result,
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,17 +1,17 @@
 //! HTTP plumbing shared by servers and clients, on `hyper` on both sides.
 
-pub mod answer;
 pub mod body;
 pub mod client;
 pub mod link;
 pub mod query;
+pub mod response;
 pub mod server;
 pub mod tls;
 
-pub use answer::{WebAnswer, json_answer, text_answer};
 pub use body::{BodyError, WebBody, parse_json, read_body};
 pub use client::{ClientError, WebClient};
 pub use link::{HttpLink, LinkError};
 pub use query::query_value;
+pub use response::{WebResponse, json_response, text_response};
 pub use server::{WebHandler, WebRequest, serve_listener, serve_opened};
 pub use tls::{TlsError, TlsFiles, TlsSource};
--- a/crates/web/src/answer.rs
+++ b/crates/web/src/response.rs
@@ -6,21 +6,21 @@
 use crate::body::{WebBody, full_body};
 
 /// An answer whose body may be a stream.
-pub type WebAnswer = http::Response<WebBody>;
+pub type WebResponse = http::Response<WebBody>;
 
 /// An answer with a JSON body.
 #[must_use]
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> WebAnswer {
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     match serde_json::to_vec(value) {
-        Ok(bytes) => typed_answer(status, "application/json", bytes),
-        Err(error) => text_answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Ok(bytes) => bytes_response(status, "application/json", bytes),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
 /// An answer with a plain text body.
 #[must_use]
-pub fn text_answer(status: StatusCode, text: &str) -> WebAnswer {
-    typed_answer(
+pub fn text_response(status: StatusCode, text: &str) -> WebResponse {
+    bytes_response(
         status,
         "text/plain; charset=utf-8",
         text.to_owned().into_bytes(),
@@ -29,7 +29,11 @@
 
 /// An answer with a body of the given content type.
 #[must_use]
-pub fn typed_answer(status: StatusCode, content_type: &'static str, bytes: Vec<u8>) -> WebAnswer {
+pub fn bytes_response(
+    status: StatusCode,
+    content_type: &'static str,
+    bytes: Vec<u8>,
+) -> WebResponse {
     let mut answer = http::Response::new(full_body(bytes));
     *answer.status_mut() = status;
     answer
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_rustls::server::TlsStream;
 
-use crate::answer::WebAnswer;
+use crate::response::WebResponse;
 use crate::tls::TlsSource;
 
 /// A request whose body is still arriving.
@@ -32,7 +32,7 @@
 /// Answers requests.
 pub trait WebHandler: Send + Sync + 'static {
     /// Answers one request; every failure is an answer too.
-    fn answer(&self, request: WebRequest) -> impl Future<Output = WebAnswer> + Send;
+    fn handle(&self, request: WebRequest) -> impl Future<Output = WebResponse> + Send;
 }
 
 /// Makes the stream that HTTP is spoken on out of a TCP connection.
@@ -112,7 +112,7 @@
 {
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
-        async move { Ok::<_, Infallible>(handler.answer(request).await) }
+        async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
     let mut builder = Builder::new(TokioExecutor::new());
     builder
--- a/crates/web/tests/tls_reload.rs
+++ b/crates/web/tests/tls_reload.rs
@@ -11,15 +11,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_rustls::TlsConnector;
 use web::body::full_body;
-use web::{TlsFiles, TlsSource, WebAnswer, WebHandler, WebRequest, serve_opened, text_answer};
+use web::{TlsFiles, TlsSource, WebHandler, WebRequest, WebResponse, serve_opened, text_response};
 
 const NAME: &str = "entry.test";
 
 struct Greeter;
 
 impl WebHandler for Greeter {
-    async fn answer(&self, _: WebRequest) -> WebAnswer {
-        text_answer(StatusCode::OK, "whole")
+    async fn handle(&self, _: WebRequest) -> WebResponse {
+        text_response(StatusCode::OK, "whole")
     }
 }
 
--- a/tests/system/engine_load.rs
+++ b/tests/system/engine_load.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 use standin::stack::{StackPlan, TestStack};
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 use wire::engine::{CachePage, StreamEvent, prefix_hashes};
 
 use crate::PRODUCT;
@@ -69,7 +69,7 @@
     assert!(cached[1] > 5, "{cached:?}");
     let address = stack.engines[0].address;
     let path = "/cache/events?after=0";
-    let page: JsonAnswer<CachePage> = stack
+    let page: JsonResponse<CachePage> = stack
         .client
         .json(Method::GET, address, path, None::<&()>, SILENCE)
         .await
--- a/tests/system/host_list.rs
+++ b/tests/system/host_list.rs
@@ -4,14 +4,14 @@
 
 use http::Method;
 use standin::stack::{PATIENCE, StackPlan, TestStack};
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 use wire::hostlist::HostListBody;
 
 use crate::PRODUCT;
 
 async fn is_leaving(stack: &TestStack) -> bool {
     let address = stack.hostlist.address;
-    let list: JsonAnswer<HostListBody> = stack
+    let list: JsonResponse<HostListBody> = stack
         .client
         .json(Method::GET, address, "/hosts", None::<&()>, PATIENCE)
         .await
--- a/tests/system/lease_pause.rs
+++ b/tests/system/lease_pause.rs
@@ -5,7 +5,7 @@
 use http::Method;
 use serde_json::Value;
 use standin::stack::{StackPlan, TestStack};
-use web::client::JsonAnswer;
+use web::client::JsonResponse;
 
 use crate::PRODUCT;
 use crate::outage::{report, wait_served, wait_until};
@@ -14,7 +14,7 @@
 
 async fn row(stack: &TestStack, key: &str) -> Value {
     let path = format!("/rows/{key}");
-    let answer: Result<JsonAnswer<Value>, _> = stack
+    let answer: Result<JsonResponse<Value>, _> = stack
         .client
         .json(Method::GET, stack.table.address, &path, None::<&()>, ASK)
         .await;
