--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -11,7 +11,7 @@
 use domain::{BootNumber, FastMap, HostId};
 use events::{EventCode, EventLine};
 use serving::{CrashedRequest, TargetCrash};
-use web::{HttpLink, LinkError};
+use web::{ConnectionError, HttpConnection};
 
 use crate::admitted::AdmittedRequest;
 use crate::crash_records::publish_crash;
@@ -93,8 +93,8 @@
     if now != boot {
         return true;
     }
-    let connected = HttpLink::connect(address, CONNECT_TIMEOUT).await;
-    matches!(connected, Err(LinkError::Refused))
+    let connected = HttpConnection::connect(address, CONNECT_TIMEOUT).await;
+    matches!(connected, Err(ConnectionError::Refused))
 }
 
 fn log_crash(node: &GatewayNode, host: &HostId, boot: BootNumber, requests: &[CrashedRequest]) {
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -11,7 +11,7 @@
 use serving::stall::StallDetector;
 use serving::{ReplicaView, TargetState};
 use tokio::sync::Notify;
-use web::LinkError;
+use web::ConnectionError;
 
 use super::GatewayNode;
 
@@ -24,13 +24,13 @@
     Refused,
 }
 
-impl From<&LinkError> for FailureKind {
-    fn from(error: &LinkError) -> Self {
+impl From<&ConnectionError> for FailureKind {
+    fn from(error: &ConnectionError) -> Self {
         match error {
-            LinkError::Refused => Self::Refused,
-            LinkError::NotConnected(_) | LinkError::Unsent | LinkError::Broken(_) => {
-                Self::Unresponsive
-            }
+            ConnectionError::Refused => Self::Refused,
+            ConnectionError::NotConnected(_)
+            | ConnectionError::Unsent
+            | ConnectionError::Broken(_) => Self::Unresponsive,
         }
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -6,7 +6,7 @@
 use domain::{FastMap, HostId};
 use serving::TargetEntry;
 use tokio::time::Instant;
-use web::{HttpLink, LinkError};
+use web::{ConnectionError, HttpConnection};
 
 /// Timeout for connecting to a target. Targets are less than a millisecond away; one that is gone
 /// does not answer at all, and the request should be tried elsewhere while its client still waits.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    link: HttpLink,
+    connection: HttpConnection,
     expires_at: Instant,
 }
 
@@ -40,10 +40,10 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] from opening the connection; nothing was sent.
-    pub async fn acquire(&self, target: &TargetEntry) -> Result<HttpLink, LinkError> {
-        if let Some(link) = self.take_idle(&target.id) {
-            return Ok(link);
+    /// [`ConnectionError`] from opening the connection; nothing was sent.
+    pub async fn acquire(&self, target: &TargetEntry) -> Result<HttpConnection, ConnectionError> {
+        if let Some(connection) = self.take_idle(&target.id) {
+            return Ok(connection);
         }
         self.connect(target).await
     }
@@ -52,26 +52,26 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`]; nothing was sent.
-    pub async fn connect(&self, target: &TargetEntry) -> Result<HttpLink, LinkError> {
-        HttpLink::connect(target.address, CONNECT_TIMEOUT).await
+    /// [`ConnectionError`]; nothing was sent.
+    pub async fn connect(&self, target: &TargetEntry) -> Result<HttpConnection, ConnectionError> {
+        HttpConnection::connect(target.address, CONNECT_TIMEOUT).await
     }
 
     /// Returns the most recently used connection, so that the others can expire.
-    fn take_idle(&self, id: &HostId) -> Option<HttpLink> {
+    fn take_idle(&self, id: &HostId) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(id)?;
         let now = Instant::now();
         while let Some(last) = links.pop() {
-            if last.expires_at > now && last.link.is_open() {
-                return Some(last.link);
+            if last.expires_at > now && last.connection.is_open() {
+                return Some(last.connection);
             }
         }
         None
     }
 
     /// Returns a connection to the pool after its response was read completely.
-    pub fn release(&self, id: &HostId, link: HttpLink, allowed: Option<Duration>) {
+    pub fn release(&self, id: &HostId, connection: HttpConnection, allowed: Option<Duration>) {
         let allowed = allowed.unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let Some(time) = allowed.checked_sub(IDLE_MARGIN) else {
             return;
@@ -82,7 +82,7 @@
             links.remove(0);
         }
         links.push(IdleConnection {
-            link,
+            connection,
             expires_at: Instant::now() + time,
         });
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use serving::TargetEntry;
-use web::{HttpLink, LinkError};
+use web::{ConnectionError, HttpConnection};
 
 use crate::admitted::AdmittedRequest;
 use crate::crash::record_interrupted;
@@ -108,7 +108,7 @@
     /// Unread response body.
     pub body: Incoming,
     /// Connection of the response, returned to the pool at the end of the body.
-    pub link: HttpLink,
+    pub connection: HttpConnection,
     /// Counts the request as in flight at the target.
     pub in_flight: InFlightGuard,
 }
@@ -170,7 +170,7 @@
 }
 
 struct Exchange {
-    link: HttpLink,
+    connection: HttpConnection,
     response: http::Response<Incoming>,
 }
 
@@ -180,8 +180,8 @@
     target: &TargetEntry,
     last_event: Option<u64>,
 ) -> Result<Exchange, AttemptOutcome> {
-    let mut link = match acquire_connection(node, target).await {
-        Ok(link) => link,
+    let mut connection = match acquire_connection(node, target).await {
+        Ok(connection) => connection,
         Err(error) => return Err(record_unreachable(node, target, &error)),
     };
     let forward_headers = ForwardHeaders {
@@ -200,19 +200,22 @@
         outgoing
     };
     let sent_at = node.now();
-    let mut sent = link.send(outgoing()).await;
-    if matches!(sent, Err(LinkError::Unsent)) {
+    let mut sent = connection.send(outgoing()).await;
+    if matches!(sent, Err(ConnectionError::Unsent)) {
         // The target had closed the idle connection. Nothing was written, so a new connection is
         // used. If this counted as a failure, a target that closes connections early would fail
         // every request that reuses one.
-        link = match node.pool.connect(target).await {
-            Ok(link) => link,
+        connection = match node.pool.connect(target).await {
+            Ok(connection) => connection,
             Err(error) => return Err(record_unreachable(node, target, &error)),
         };
-        sent = link.send(outgoing()).await;
+        sent = connection.send(outgoing()).await;
     }
     match sent {
-        Ok(response) => Ok(Exchange { link, response }),
+        Ok(response) => Ok(Exchange {
+            connection,
+            response,
+        }),
         Err(error) if error.is_unsent() => Err(AttemptOutcome::Unsent(error.to_string())),
         Err(error) => {
             // A call to a plain service runs from the moment it is sent, a stream from its first
@@ -231,7 +234,7 @@
 async fn acquire_connection(
     node: &Rc<GatewayNode>,
     target: &TargetEntry,
-) -> Result<HttpLink, LinkError> {
+) -> Result<HttpConnection, ConnectionError> {
     let acquiring = node.pool.acquire(target);
     tokio::pin!(acquiring);
     if let Ok(acquired) = tokio::time::timeout(SLOW_CONNECT_THRESHOLD, acquiring.as_mut()).await {
@@ -248,7 +251,7 @@
 fn record_unreachable(
     node: &Rc<GatewayNode>,
     target: &TargetEntry,
-    error: &LinkError,
+    error: &ConnectionError,
 ) -> AttemptOutcome {
     let failure = FailureKind::from(error);
     // The engine is being probed already, and suspecting it affects a whole replica, so the probe
@@ -359,7 +362,7 @@
         headers: adapter::headers::without_hop_by_hop_headers(&head.headers),
         parsed_headers,
         body,
-        link: exchange.link,
+        connection: exchange.connection,
         in_flight,
     }))
 }
@@ -376,7 +379,7 @@
         if !self.parsed_headers.connection_close {
             node.pool.release(
                 &self.host,
-                self.link,
+                self.connection,
                 self.parsed_headers.keep_alive_timeout,
             );
         }
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::task::JoinHandle;
-use web::HttpLink;
+use web::HttpConnection;
 
 use super::RoundSpread;
 use super::process::{processor_seconds, resident_kib};
@@ -226,7 +226,7 @@
     })
 }
 
-async fn ask(link: &mut HttpLink, path: &str, id: &str) -> eyre::Result<Response<Incoming>> {
+async fn ask(link: &mut HttpConnection, path: &str, id: &str) -> eyre::Result<Response<Incoming>> {
     let request = Request::post(path)
         .header("host", "desk.example")
         .header("x-request-id", id)
@@ -268,7 +268,7 @@
 async fn measure_plain(forwarder: &Forwarder) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, PLAIN_CALLERS, |number, end| async move {
-        let mut link = HttpLink::connect(address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(address, PATIENCE).await?;
         let mut calls = 0;
         while Instant::now() < end {
             let answer = ask(&mut link, "/look/x", &format!("p{number}-{calls}")).await?;
@@ -283,7 +283,7 @@
 async fn measure_events(forwarder: &Forwarder) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, STREAM_CALLERS, |number, end| async move {
-        let mut link = HttpLink::connect(address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(address, PATIENCE).await?;
         let mut events = 0;
         while Instant::now() < end {
             let answer = ask(&mut link, "/chat/x", &format!("e{number}-{events}")).await?;
@@ -299,7 +299,7 @@
     let before = resident_kib(forwarder.child.id())?;
     let mut open: Vec<JoinHandle<()>> = Vec::new();
     for number in 0..OPEN_STREAMS {
-        let mut link = HttpLink::connect(forwarder.address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(forwarder.address, PATIENCE).await?;
         let answer = ask(&mut link, "/chat/x", &format!("m{number}")).await?;
         open.push(tokio::spawn(async move {
             // The connection must live as long as its answer is read.
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -20,7 +20,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Builder;
 use tokio::task::{LocalSet, spawn_local};
-use web::{HttpLink, LinkError};
+use web::{ConnectionError, HttpConnection};
 
 use crate::options::RelayOptions;
 
@@ -28,7 +28,7 @@
 const CONNECT_LIMIT: Duration = Duration::from_secs(5);
 
 /// Idle connections to the server.
-type LinkStore = Rc<RefCell<Vec<HttpLink>>>;
+type LinkStore = Rc<RefCell<Vec<HttpConnection>>>;
 
 /// Relays until the process is ended, and says on standard output where.
 ///
@@ -69,7 +69,7 @@
     #[error("the request broke off")]
     Request(#[from] hyper::Error),
     #[error("the server gave no answer")]
-    Server(#[from] LinkError),
+    Server(#[from] ConnectionError),
 }
 
 async fn pass_on(
@@ -79,10 +79,10 @@
 ) -> Result<Response<impl Body<Data = Bytes, Error = hyper::Error>>, RelayError> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let kept = links.borrow_mut().pop().filter(HttpLink::is_open);
+    let kept = links.borrow_mut().pop().filter(HttpConnection::is_open);
     let mut link = match kept {
         Some(link) => link,
-        None => HttpLink::connect(server, CONNECT_LIMIT).await?,
+        None => HttpConnection::connect(server, CONNECT_LIMIT).await?,
     };
     let answer = link
         .send(Request::from_parts(head, Full::new(body)))
--- a/crates/web/src/link.rs
+++ b/crates/web/src/connection.rs
@@ -17,7 +17,7 @@
 
 /// Why a connection brought no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum LinkError {
+pub enum ConnectionError {
     /// Nothing listens at the address.
     #[error("the connection was refused")]
     Refused,
@@ -32,7 +32,7 @@
     Broken(String),
 }
 
-impl LinkError {
+impl ConnectionError {
     /// Whether it is certain that the server did not get the request.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
@@ -42,30 +42,30 @@
 
 /// One connection. It carries one request at a time.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Connects.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Refused`] or [`LinkError::NotConnected`].
-    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, LinkError> {
+    /// [`ConnectionError::Refused`] or [`ConnectionError::NotConnected`].
+    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, ConnectionError> {
         let connecting = TcpStream::connect(address);
         let stream = match tokio::time::timeout(limit, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                return Err(LinkError::Refused);
+                return Err(ConnectionError::Refused);
             }
-            Ok(Err(_)) | Err(_) => return Err(LinkError::NotConnected(limit)),
+            Ok(Err(_)) | Err(_) => return Err(ConnectionError::NotConnected(limit)),
         };
         // Only a delay is lost where the option can't be set.
         drop(stream.set_nodelay(true));
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| LinkError::NotConnected(limit))?;
+            .map_err(|_| ConnectionError::NotConnected(limit))?;
         tokio::spawn(async move {
             // Its end shows at the sender, with the request that it concerns.
             drop(connection.await);
@@ -83,19 +83,19 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`]; see [`LinkError::is_unsent`].
+    /// [`ConnectionError`]; see [`ConnectionError::is_unsent`].
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, LinkError> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         if self.sender.ready().await.is_err() {
-            return Err(LinkError::Unsent);
+            return Err(ConnectionError::Unsent);
         }
         match self.sender.try_send_request(request).await {
             Ok(answer) => Ok(answer),
             Err(mut error) => match error.take_message() {
-                Some(_) => Err(LinkError::Unsent),
-                None => Err(LinkError::Broken(error.into_error().to_string())),
+                Some(_) => Err(ConnectionError::Unsent),
+                None => Err(ConnectionError::Broken(error.into_error().to_string())),
             },
         }
     }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod body;
 pub mod client;
-pub mod link;
+pub mod connection;
 pub mod query;
 pub mod response;
 pub mod server;
@@ -10,7 +10,7 @@
 
 pub use body::{BodyError, WebBody, parse_json, read_body};
 pub use client::{ClientError, WebClient};
-pub use link::{HttpLink, LinkError};
+pub use connection::{ConnectionError, HttpConnection};
 pub use query::query_value;
 pub use response::{WebResponse, json_response, text_response};
 pub use server::{WebHandler, WebRequest, serve_listener, serve_opened};
--- a/tests/gateway/failure_diagnosis.rs
+++ b/tests/gateway/failure_diagnosis.rs
@@ -39,7 +39,7 @@
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(100);
-    let (_link, response) = TestRequest::chat("failed-2").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("failed-2").begin(&node).await;
     let head = site.groups.serving()[0][0].clone();
     site.kill_engine(&head);
     let response = read_response(response).await;
--- a/tests/gateway/idle_connections.rs
+++ b/tests/gateway/idle_connections.rs
@@ -29,11 +29,13 @@
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(STREAM_EVENTS);
-    let (mut link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (mut connection, response) = TestRequest::chat("c-1").begin(&node).await;
     let response = read_response(response).await;
     assert!(response.complete);
     tokio::time::sleep(REQUEST_INTERVAL).await;
-    let again = TestRequest::new("/look/x", "l-1").begin_on(&mut link).await;
+    let again = TestRequest::new("/look/x", "l-1")
+        .begin_on(&mut connection)
+        .await;
     let again = again.expect("response on the idle connection");
     assert_eq!(again.status(), StatusCode::OK);
 }
--- a/tests/gateway/load_hints.rs
+++ b/tests/gateway/load_hints.rs
@@ -27,7 +27,7 @@
         node.wait_log_line(&["nodes_counted", "\"nodes\":2"]).await;
     }
     let long = TestRequest::chat("long").header("x-token-usage", "150000,10");
-    let (_link, response) = long.begin(&first).await;
+    let (_connection, response) = long.begin(&first).await;
     tokio::time::sleep(HINT_DELIVERY_TIME).await;
     for number in 0..6 {
         let id = format!("short-{number}");
--- a/tests/gateway/lost_hosts.rs
+++ b/tests/gateway/lost_hosts.rs
@@ -28,7 +28,7 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(60);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     assert_eq!(response.status(), StatusCode::OK);
     let lost_replica = site.replica_running("c-1");
     site.kill_engine(&lost_replica[2]);
@@ -142,14 +142,14 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.groups.expire(&head);
     node.wait_log_line(&["target_", &head]).await;
     // New requests are sent elsewhere.
     for number in 0..4 {
         let id = format!("l-{number}");
-        let (_link, late) = TestRequest::chat(&id).begin(&node).await;
+        let (_connection, late) = TestRequest::chat(&id).begin(&node).await;
         assert_eq!(late.status(), StatusCode::OK);
         assert!(!site.groups.ran_at(&head, &id), "{id}");
     }
@@ -173,7 +173,7 @@
         let node = site.node("n0").await;
         node.wait_replicas(2).await;
         site.groups.set_events(50);
-        let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+        let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
         let member = site.replica_running("c-1").remove(2);
         if is_announced {
             site.groups.drain(&member);
@@ -196,11 +196,11 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.groups.expire(&head);
     site.stop_listening(&head);
-    let (_link, other) = TestRequest::chat("c-2").begin(&node).await;
+    let (_connection, other) = TestRequest::chat("c-2").begin(&node).await;
     assert_eq!(other.status(), StatusCode::OK);
     expect_uninterrupted(&node, response).await;
     // Once its process has exited, its members serve again with the spare.
@@ -223,12 +223,12 @@
     node.wait_replicas(2).await;
     let before = site.groups.serving();
     site.groups.set_events(60);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     let guard = site.lose_connections(&head).await;
     for number in 0..4 {
         let late = TestRequest::chat(&format!("l-{number}"));
-        let (_link, late) = late.begin(&node).await;
+        let (_connection, late) = late.begin(&node).await;
         assert_eq!(late.status(), StatusCode::OK);
     }
     let response = read_response(response).await;
@@ -261,11 +261,11 @@
     site.groups.set_events(60);
     let mut streams = Vec::new();
     for number in 0..12 {
-        let (link, response) = TestRequest::chat(&format!("c-{number}")).begin(&node).await;
+        let (connection, response) = TestRequest::chat(&format!("c-{number}")).begin(&node).await;
         assert_eq!(response.status(), StatusCode::OK, "c-{number}");
         streams.push(tokio::spawn(async move {
             let response = read_response(response).await;
-            drop(link);
+            drop(connection);
             response
         }));
     }
@@ -287,7 +287,7 @@
     let node = site.node("n0").await;
     node.wait_replicas(2).await;
     site.groups.set_events(50);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     let head = site.replica_running("c-1").remove(0);
     site.store.put("servers", &head, b"{\"service\":");
     expect_uninterrupted(&node, response).await;
--- a/tests/gateway/node.rs
+++ b/tests/gateway/node.rs
@@ -9,7 +9,7 @@
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde_json::Value;
-use web::HttpLink;
+use web::HttpConnection;
 
 use crate::request::read_response;
 
@@ -64,10 +64,10 @@
 
     async fn get(&self, address: SocketAddr, path: &str) -> Option<(StatusCode, String)> {
         let limit = Duration::from_secs(1);
-        let mut link = HttpLink::connect(address, limit).await.ok()?;
+        let mut connection = HttpConnection::connect(address, limit).await.ok()?;
         let request = Request::get(path).header("host", "node");
         let request = request.body(Full::default()).ok()?;
-        let response = read_response(link.send(request).await.ok()?).await;
+        let response = read_response(connection.send(request).await.ok()?).await;
         Some((response.status, response.text))
     }
 
--- a/tests/gateway/poison_requests.rs
+++ b/tests/gateway/poison_requests.rs
@@ -21,7 +21,7 @@
 
 /// Sends a request and reads what comes; the connection may break.
 async fn send(request: &TestRequest, node: &TestNode) -> Option<TestResponse> {
-    let (_link, response) = request.try_begin(node).await?;
+    let (_connection, response) = request.try_begin(node).await?;
     Some(read_response(response).await)
 }
 
@@ -127,7 +127,7 @@
         running.push(concurrent(index, "a").begin(&nodes[index % 3]).await);
     }
     crash_three(&site, &nodes).await;
-    for (_link, response) in running {
+    for (_connection, response) in running {
         drop(read_response(response).await);
     }
     site.groups.set_events(4);
@@ -176,7 +176,7 @@
     site.groups.set_events(60);
     for index in 0..4 {
         let id = format!("x-{index}");
-        let (_link, response) = TestRequest::chat(&id).begin(&node).await;
+        let (_connection, response) = TestRequest::chat(&id).begin(&node).await;
         let head = site.replica_running(&id)[0].clone();
         site.groups.go_dark(&head);
         let response = read_response(response).await;
--- a/tests/gateway/request.rs
+++ b/tests/gateway/request.rs
@@ -7,7 +7,7 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use web::HttpLink;
+use web::HttpConnection;
 
 use crate::node::TestNode;
 use crate::site::{HOST, KEY};
@@ -65,21 +65,21 @@
     }
 
     /// Sends the request and returns the response head.
-    pub async fn begin(&self, node: &TestNode) -> (HttpLink, Response<Incoming>) {
+    pub async fn begin(&self, node: &TestNode) -> (HttpConnection, Response<Incoming>) {
         let began = self.try_begin(node).await;
         began.expect("connection and response head")
     }
 
     /// Sends the request and returns the response head; `None` if the connection fails or breaks.
-    pub async fn try_begin(&self, node: &TestNode) -> Option<(HttpLink, Response<Incoming>)> {
-        let connected = HttpLink::connect(node.requests, CONNECT_TIMEOUT).await;
-        let mut link = connected.ok()?;
-        let response = self.begin_on(&mut link).await?;
-        Some((link, response))
+    pub async fn try_begin(&self, node: &TestNode) -> Option<(HttpConnection, Response<Incoming>)> {
+        let connected = HttpConnection::connect(node.requests, CONNECT_TIMEOUT).await;
+        let mut connection = connected.ok()?;
+        let response = self.begin_on(&mut connection).await?;
+        Some((connection, response))
     }
 
     /// Sends the request on an open connection and returns the response head, if one comes.
-    pub async fn begin_on(&self, link: &mut HttpLink) -> Option<Response<Incoming>> {
+    pub async fn begin_on(&self, connection: &mut HttpConnection) -> Option<Response<Incoming>> {
         let mut request = Request::post(&self.path)
             .header("host", HOST)
             .header("x-request-id", &self.id);
@@ -89,12 +89,12 @@
         let request = request
             .body(Full::new(self.body.clone()))
             .expect("valid request");
-        link.send(request).await.ok()
+        connection.send(request).await.ok()
     }
 
     /// Sends the request and reads the whole response.
     pub async fn send(&self, node: &TestNode) -> TestResponse {
-        let (_link, response) = self.begin(node).await;
+        let (_connection, response) = self.begin(node).await;
         read_response(response).await
     }
 }
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -26,7 +26,7 @@
     let mut node = site.node("n0").await;
     node.wait_replicas(1).await;
     site.groups.set_events(40);
-    let (_link, response) = TestRequest::chat("c-1").begin(&node).await;
+    let (_connection, response) = TestRequest::chat("c-1").begin(&node).await;
     node.signal("TERM");
     node.wait_ready(false).await;
     // A client that still connects is served and told to close the connection.
@@ -65,7 +65,7 @@
             node.signal("CONT");
         };
         let (began, ()) = tokio::join!(request.try_begin(&node), resume);
-        let Some((link, response)) = began else {
+        let Some((connection, response)) = began else {
             continue;
         };
         if response.status() != StatusCode::OK {
@@ -76,7 +76,7 @@
         // The connection stays open until the response was read.
         streams.push(tokio::spawn(async move {
             let response = read_response(response).await;
-            drop(link);
+            drop(connection);
             response
         }));
     }
@@ -107,7 +107,7 @@
         let id = format!("p-{number}");
         // Short enough to finish before the process must exit.
         let request = TestRequest::new("/pay/x", &id).header("x-deadline-ms", "1000");
-        let Some((_link, response)) = request.try_begin(&node).await else {
+        let Some((_connection, response)) = request.try_begin(&node).await else {
             assert_eq!(
                 site.instances[0].runs(&id),
                 0,
