--- a/crates/control/tests/rules/table_budget.rs
+++ b/crates/control/tests/rules/table_budget.rs
@@ -25,11 +25,11 @@
 async fn runaway_node_throttled() {
     let fake = FakeTable::new(1, FaultRates::default());
     let table = BudgetedTable::new(fake.clone(), settings());
-    table.share_among(410);
+    table.set_node_count(410);
     let started = Instant::now();
     let mut refused = 0_u32;
     for _ in 0..500 {
-        let result = write(&table.urgent()).await;
+        let result = write(&table.with_high_priority()).await;
         refused += u32::from(matches!(result, Err(StoreError::Throttled { .. })));
     }
     let allowed = 3 + 3 * (started.elapsed().as_secs() + 1);
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -10,7 +10,7 @@
 
 use domain::RowVersion;
 
-use crate::circuit::{CircuitState, StoreCircuit};
+use crate::circuit::{CircuitBreaker, CircuitState};
 use crate::error::StoreError;
 use crate::limits::BudgetSettings;
 use crate::table::{CommitOutcome, RowRead, TableRow, TableStore, WriteBatch};
@@ -23,14 +23,14 @@
 
 /// Who goes first when the budget is short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallUrgency {
+pub enum CallPriority {
     /// Operators' amendments: rare, and never refused for an open circuit, because the person
     /// behind one must not guess whether to repeat it.
     Operator,
     /// Claims and leases.
-    Urgent,
+    High,
     /// Polling and housekeeping.
-    Routine,
+    Normal,
 }
 
 /// A bucket of tokens that fills at a steady rate.
@@ -73,14 +73,14 @@
     /// # Errors
     ///
     /// The time until there may be one.
-    pub fn take(&mut self, urgency: CallUrgency, now: Instant) -> Result<(), Duration> {
+    pub fn take(&mut self, priority: CallPriority, now: Instant) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         self.tokens = (self.tokens + passed * self.rate).min(self.capacity);
         self.filled = self.filled.max(now);
         // At most what leaves room for one token, or routine calls of a small budget would starve.
-        let kept = match urgency {
-            CallUrgency::Operator | CallUrgency::Urgent => 0.0,
-            CallUrgency::Routine => self.reserve.min(self.capacity - 1.0),
+        let kept = match priority {
+            CallPriority::Operator | CallPriority::High => 0.0,
+            CallPriority::Normal => self.reserve.min(self.capacity - 1.0),
         };
         if self.tokens - kept >= 1.0 {
             self.tokens -= 1.0;
@@ -95,15 +95,15 @@
 struct SharedBudget {
     reads: Mutex<TokenBucket>,
     writes: Mutex<TokenBucket>,
-    circuit: Mutex<StoreCircuit>,
+    circuit: Mutex<CircuitBreaker>,
     settings: BudgetSettings,
 }
 
-/// A table within a budget. Clones share the budget, whatever their urgency.
+/// A table within a budget. Clones share the budget, whatever their priority.
 #[derive(Debug, Clone)]
 pub struct BudgetedTable<T> {
     table: T,
-    urgency: CallUrgency,
+    priority: CallPriority,
     shared: Arc<SharedBudget>,
 }
 
@@ -119,37 +119,37 @@
                 settings,
                 now,
             )),
-            circuit: Mutex::new(StoreCircuit::new(settings)),
+            circuit: Mutex::new(CircuitBreaker::new(settings)),
             settings,
         };
         Self {
             table,
-            urgency: CallUrgency::Routine,
+            priority: CallPriority::Normal,
             shared: Arc::new(shared),
         }
     }
 
     /// The same table and budget for urgent calls.
     #[must_use]
-    pub fn urgent(&self) -> Self {
-        self.with_urgency(CallUrgency::Urgent)
+    pub fn with_high_priority(&self) -> Self {
+        self.with_priority(CallPriority::High)
     }
 
     /// The same table and budget for operators' amendments.
     #[must_use]
-    pub fn for_operators(&self) -> Self {
-        self.with_urgency(CallUrgency::Operator)
+    pub fn with_operator_priority(&self) -> Self {
+        self.with_priority(CallPriority::Operator)
     }
 
-    fn with_urgency(&self, urgency: CallUrgency) -> Self {
+    fn with_priority(&self, priority: CallPriority) -> Self {
         Self {
-            urgency,
+            priority,
             ..self.clone()
         }
     }
 
     /// Shares the limits among so many nodes, this one included.
-    pub fn share_among(&self, nodes: usize) {
+    pub fn set_node_count(&self, nodes: usize) {
         let settings = self.shared.settings;
         let reads = node_share(settings.reads_a_second, settings, nodes).max(LEAST_READS);
         let writes = node_share(settings.writes_a_second, settings, nodes).max(LEAST_WRITES);
@@ -168,10 +168,10 @@
         let limit = Instant::now() + Duration::from_millis(self.shared.settings.wait_ms);
         loop {
             let now = Instant::now();
-            if self.urgency != CallUrgency::Operator {
+            if self.priority != CallPriority::Operator {
                 lock(&self.shared.circuit).admit(now)?;
             }
-            let taken = lock(bucket).take(self.urgency, now);
+            let taken = lock(bucket).take(self.priority, now);
             let Err(wait) = taken else { return Ok(()) };
             if now + wait > limit {
                 return Err(StoreError::Throttled { retry_after: wait });
@@ -183,8 +183,8 @@
     fn note<R>(&self, result: Result<R, StoreError>) -> Result<R, StoreError> {
         let mut circuit = lock(&self.shared.circuit);
         match &result {
-            Ok(_) => circuit.note_success(),
-            Err(error) => circuit.note_failure(error, Instant::now(), rand::random()),
+            Ok(_) => circuit.record_success(),
+            Err(error) => circuit.record_failure(error, Instant::now(), rand::random()),
         }
         result
     }
--- a/crates/platform/src/circuit.rs
+++ b/crates/platform/src/circuit.rs
@@ -13,7 +13,7 @@
     /// They are refused at once.
     Open,
     /// One passes, to find out.
-    Trying,
+    HalfOpen,
 }
 
 /// Refuses calls for a while after several failures in a row.
@@ -22,15 +22,15 @@
 /// to hear what is known already. And when the store returns, 410 nodes must not come back in the
 /// same moment: each opens for a time of its own, then sends one call to find out.
 #[derive(Debug, Clone)]
-pub struct StoreCircuit {
+pub struct CircuitBreaker {
     settings: BudgetSettings,
     failures: u32,
     openings: u32,
     open_until: Option<Instant>,
-    trying_until: Option<Instant>,
+    probe_until: Option<Instant>,
 }
 
-impl StoreCircuit {
+impl CircuitBreaker {
     /// A closed circuit.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
@@ -39,7 +39,7 @@
             failures: 0,
             openings: 0,
             open_until: None,
-            trying_until: None,
+            probe_until: None,
         }
     }
 
@@ -49,7 +49,7 @@
         match self.open_until {
             None => CircuitState::Closed,
             Some(until) if now < until => CircuitState::Open,
-            Some(_) => CircuitState::Trying,
+            Some(_) => CircuitState::HalfOpen,
         }
     }
 
@@ -62,30 +62,30 @@
     pub fn admit(&mut self, now: Instant) -> Result<(), StoreError> {
         match self.state(now) {
             CircuitState::Closed => Ok(()),
-            CircuitState::Trying if self.trying_until.is_none_or(|until| now >= until) => {
+            CircuitState::HalfOpen if self.probe_until.is_none_or(|until| now >= until) => {
                 let longest = Duration::from_millis(self.settings.longest_open_ms);
-                self.trying_until = Some(now + longest);
+                self.probe_until = Some(now + longest);
                 Ok(())
             }
-            CircuitState::Open | CircuitState::Trying => Err(StoreError::Unavailable(
+            CircuitState::Open | CircuitState::HalfOpen => Err(StoreError::Unavailable(
                 "it failed several times in a row".to_owned(),
             )),
         }
     }
 
     /// Notes an answer.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.openings = 0;
         self.open_until = None;
-        self.trying_until = None;
+        self.probe_until = None;
     }
 
     /// Notes a failure; `chance` from 0 to 1 spreads the opening.
     ///
     /// An answer that makes no sense is an answer, and a refusal for the limit is no sign that the
     /// store is down.
-    pub fn note_failure(&mut self, error: &StoreError, now: Instant, chance: f64) {
+    pub fn record_failure(&mut self, error: &StoreError, now: Instant, chance: f64) {
         match error {
             StoreError::Malformed(_) | StoreError::Throttled { .. } => return,
             StoreError::Unavailable(_) | StoreError::AnswerLost(_) => {}
@@ -104,6 +104,6 @@
         let open = whole.min(longest).mul_f64(1.0 - chance / 2.0);
         self.openings = self.openings.saturating_add(1);
         self.open_until = Some(now + open);
-        self.trying_until = None;
+        self.probe_until = None;
     }
 }
--- a/crates/platform/tests/store_budget.rs
+++ b/crates/platform/tests/store_budget.rs
@@ -4,8 +4,8 @@
 
 use platform::BudgetSettings;
 use platform::StoreError;
-use platform::budget::{CallUrgency, TokenBucket};
-use platform::circuit::{CircuitState, StoreCircuit};
+use platform::budget::{CallPriority, TokenBucket};
+use platform::circuit::{CircuitBreaker, CircuitState};
 use quickcheck::{Gen, QuickCheck};
 
 fn settings() -> BudgetSettings {
@@ -34,12 +34,12 @@
         let mut passed = 0.0;
         for (wait, urgent) in calls {
             now += Duration::from_millis(u64::from(wait));
-            let urgency = if urgent {
-                CallUrgency::Urgent
+            let priority = if urgent {
+                CallPriority::High
             } else {
-                CallUrgency::Routine
+                CallPriority::Normal
             };
-            if bucket.take(urgency, now).is_ok() {
+            if bucket.take(priority, now).is_ok() {
                 passed += 1.0;
             }
             let allowed = 50.0 + (now - start).as_secs_f64() * 50.0;
@@ -61,15 +61,15 @@
     let now = Instant::now();
     let mut bucket = TokenBucket::new(50, settings(), now);
     let mut routine = 0;
-    while bucket.take(CallUrgency::Routine, now).is_ok() {
+    while bucket.take(CallPriority::Normal, now).is_ok() {
         routine += 1;
     }
     assert_eq!(routine, 25);
     for _ in 0..25 {
-        assert!(bucket.take(CallUrgency::Urgent, now).is_ok());
+        assert!(bucket.take(CallPriority::High, now).is_ok());
     }
-    let wait = bucket.take(CallUrgency::Urgent, now).expect_err("empty");
-    assert!(bucket.take(CallUrgency::Urgent, now + wait * 2).is_ok());
+    let wait = bucket.take(CallPriority::High, now).expect_err("empty");
+    assert!(bucket.take(CallPriority::High, now + wait * 2).is_ok());
 }
 
 /// The store is down. After a few failures calls are refused without waiting for it; now and then
@@ -77,22 +77,22 @@
 #[test]
 fn circuit_opens() {
     let mut now = Instant::now();
-    let mut circuit = StoreCircuit::new(settings());
+    let mut circuit = CircuitBreaker::new(settings());
     for _ in 0..3 {
         assert!(circuit.admit(now).is_ok());
-        circuit.note_failure(&down(), now, 0.5);
+        circuit.record_failure(&down(), now, 0.5);
     }
     assert_eq!(circuit.state(now), CircuitState::Open);
     assert!(circuit.admit(now).is_err());
     now += Duration::from_millis(110);
     assert!(circuit.admit(now).is_ok());
     assert!(circuit.admit(now).is_err(), "one finds out, not all");
-    circuit.note_failure(&down(), now, 0.0);
+    circuit.record_failure(&down(), now, 0.0);
     now += Duration::from_millis(110);
     assert_eq!(circuit.state(now), CircuitState::Open, "twice as long");
     now += Duration::from_millis(110);
     assert!(circuit.admit(now).is_ok());
-    circuit.note_success();
+    circuit.record_success();
     assert_eq!(circuit.state(now), CircuitState::Closed);
 }
 
@@ -103,7 +103,7 @@
     let start = Instant::now();
     let mut slots = [0_u32; 20];
     for node in 0_u32..410 {
-        let mut circuit = StoreCircuit::new(settings());
+        let mut circuit = CircuitBreaker::new(settings());
         let mut now = start;
         let mut seed = u64::from(node) * 0x9e37_79b9 + 1;
         while now < start + Duration::from_mins(1) {
@@ -111,7 +111,7 @@
                 seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 let chance =
                     f64::from(u32::try_from(seed >> 33).expect("31 bits")) / f64::from(1_u32 << 31);
-                circuit.note_failure(&down(), now, chance);
+                circuit.record_failure(&down(), now, chance);
             }
             now += Duration::from_millis(10);
         }
@@ -130,12 +130,12 @@
 #[test]
 fn limit_no_outage() {
     let now = Instant::now();
-    let mut circuit = StoreCircuit::new(settings());
+    let mut circuit = CircuitBreaker::new(settings());
     for _ in 0..20 {
         let limit = StoreError::Throttled {
             retry_after: Duration::from_secs(1),
         };
-        circuit.note_failure(&limit, now, 0.5);
+        circuit.record_failure(&limit, now, 0.5);
     }
     assert_eq!(circuit.state(now), CircuitState::Closed);
 }
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -54,7 +54,7 @@
     let Some(bound) = bound else { return Ok(()) };
     let key = context.settings.secrets.operator_key()?;
     let server = AdminServer::new(AdminParts {
-        table: context.table.for_operators(),
+        table: context.table.with_operator_priority(),
         source: report,
         recorder: context.recorder.clone(),
         metrics: context.metrics.clone(),
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -97,7 +97,7 @@
     let listed = directory.clone();
     let settings = context.control;
     let assembly = AssemblyContext {
-        table: context.table.urgent(),
+        table: context.table.with_high_priority(),
         engine: context.engine.clone(),
         chooser: FirstHosts,
         evidence_store: context.evidence_store.clone(),
@@ -131,7 +131,7 @@
 async fn follow_share(table: NodeTable, mut members: watch::Receiver<Arc<MemberView>>) {
     loop {
         let nodes = members.borrow_and_update().members.len();
-        table.share_among(nodes);
+        table.set_node_count(nodes);
         if members.changed().await.is_err() {
             return;
         }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -69,7 +69,7 @@
         .settings(Arc::clone(&settings))
         .build();
     let ledger = CallLedger::with_settings(
-        context.table.urgent(),
+        context.table.with_high_priority(),
         context.settings.node.clone(),
         context.control.ledger,
     );
