--- a/crates/control/src/amend/attempt.rs
+++ b/crates/control/src/amend/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to commit an amendment.
 
 use domain::{ConfigRevision, WriteToken};
-use platform::{CommitOutcome, RowExpectation, TableStore, WriteBatch, keys, settled_commit};
+use platform::{CommitOutcome, RowExpectation, TableStore, WriteBatch, commit_with_retries, keys};
 
 use super::rows::{HeadRead, RecordRead, read_change, read_head, to_value};
 use super::{AmendError, ChangeEntry, ConfigHead, RecordAmendment, StoredRecord};
@@ -76,10 +76,10 @@
         &self,
         table: &T,
     ) -> Result<AttemptOutcome, AmendError> {
-        let conflicts = match settled_commit(table, &self.batch, COMMIT_ATTEMPTS).await {
+        let conflicts = match commit_with_retries(table, &self.batch, COMMIT_ATTEMPTS).await {
             Ok(CommitOutcome::Committed(_)) => return Ok(AttemptOutcome::Accepted),
             Ok(CommitOutcome::Conflict(conflicts)) => conflicts,
-            Err(error) if error.is_unwritten() => return Err(error.into()),
+            Err(error) if error.is_not_applied() => return Err(error.into()),
             Err(error) => return Err(self.unsettled(error.to_string())),
         };
         let log_conflict = conflicts
--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -8,8 +8,8 @@
     ReplicaPlan, RowVersion, VersionName,
 };
 use platform::{
-    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch, keys,
-    settled_commit,
+    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch,
+    commit_with_retries, keys,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -222,7 +222,7 @@
             let key = keys::census_key(&name.0, &name.1);
             batch = batch.put(key, expectation(version), to_value(count)?);
         }
-        match settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
+        match commit_with_retries(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
             CommitOutcome::Committed(version) => self.apply(change, version),
             CommitOutcome::Conflict(_) => return Err(StepError::Conflict),
         }
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use domain::{ConfigRevision, WriteToken};
 use platform::{
-    CommitOutcome, ObjectStore, RowExpectation, StoreError, TableStore, WriteBatch, keys,
-    settled_commit,
+    CommitOutcome, ObjectStore, RowExpectation, StoreError, TableStore, WriteBatch,
+    commit_with_retries, keys,
 };
 
 use super::load::{SnapshotPointer, read_pointer};
@@ -95,6 +95,6 @@
             RowExpectation::Any,
         );
     }
-    let outcome = settled_commit(table, &batch, COMMIT_ATTEMPTS).await?;
+    let outcome = commit_with_retries(table, &batch, COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)))
 }
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -9,8 +9,8 @@
 use domain::{CallClaim, ClaimState, LeaseEpoch, RetentionLog, RowVersion};
 use events::{EventCode, EventRecorder, EventSubject};
 use platform::{
-    CommitOutcome, RowExpectation, RowRead, StoreError, TableRow, TableStore, WriteBatch, keys,
-    settled_commit,
+    CommitOutcome, RowExpectation, RowRead, StoreError, TableRow, TableStore, WriteBatch,
+    commit_with_retries, keys,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -107,7 +107,7 @@
     };
     let value = serde_json::to_value(&log).map_err(malformed)?;
     let batch = WriteBatch::new(random_token("housekeeping")?).put(keys::RETENTION, expect, value);
-    let outcome = settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await?;
+    let outcome = commit_with_retries(table, &grant.fence(batch), COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)).then_some(log))
 }
 
@@ -168,7 +168,7 @@
     if count == 0 {
         return Ok(0);
     }
-    match settled_commit(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
+    match commit_with_retries(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
         CommitOutcome::Committed(_) => Ok(count),
         CommitOutcome::Conflict(_) => Ok(0),
     }
--- a/crates/control/src/lease/actor.rs
+++ b/crates/control/src/lease/actor.rs
@@ -5,8 +5,8 @@
 use domain::{LeaseRecord, NodeId, RowVersion};
 use events::{EventCode, EventRecorder, EventSubject, log_skipped};
 use platform::{
-    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch, keys,
-    settled_commit,
+    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch,
+    commit_with_retries, keys,
 };
 use tokio::sync::watch;
 use xtra::{Address, Context, Handler, Mailbox};
@@ -217,7 +217,7 @@
             let value = serde_json::to_value(row).map_err(malformed)?;
             batch = batch.put(keys::epoch_key(self.tracker.name()), expect, value);
         }
-        match settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await? {
+        match commit_with_retries(&self.table, &batch, COMMIT_ATTEMPTS).await? {
             CommitOutcome::Committed(version) => Ok(Some(version)),
             CommitOutcome::Conflict(_) => Ok(None),
         }
--- a/crates/control/src/ledger/lookup.rs
+++ b/crates/control/src/ledger/lookup.rs
@@ -2,7 +2,7 @@
 
 use domain::{CallClaim, ClaimState};
 use platform::{
-    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch, settled_commit,
+    CommitOutcome, RowExpectation, RowRead, StoreError, TableStore, WriteBatch, commit_with_retries,
 };
 
 use super::{CallLedger, ClaimKey, read_claim};
@@ -45,7 +45,7 @@
             .map_err(|error| StoreError::Malformed(error.to_string()))?;
         let expect = RowExpectation::Version(version);
         let batch = WriteBatch::new(random_token("found")?).put(key.row(), expect, value);
-        match settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await? {
+        match commit_with_retries(&self.table, &batch, COMMIT_ATTEMPTS).await? {
             // A conflict means that the claimant or another request settled the claim first.
             CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => Ok(()),
         }
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -215,7 +215,7 @@
                 }
                 Ok(RowOutcome::Conflict(row)) => row,
                 Err(error) => {
-                    if !error.is_unwritten() {
+                    if !error.is_not_applied() {
                         tokio::spawn(withdraw_claim(self.table.clone(), key.row(), claim));
                     }
                     return Err(error);
@@ -280,7 +280,7 @@
         };
         match tokio::time::timeout(limit, waiting).await {
             Ok(result) => result,
-            Err(_) => Err(StoreError::AnswerLost(
+            Err(_) => Err(StoreError::ResponseLost(
                 "the ledger write timed out".to_owned(),
             )),
         }
--- a/crates/control/src/ledger/outcome.rs
+++ b/crates/control/src/ledger/outcome.rs
@@ -5,7 +5,7 @@
 use domain::{CallClaim, ClaimState, RowVersion};
 use platform::{
     CommitOutcome, RowExpectation, RowRead, StoreError, TableRow, TableStore, WriteBatch,
-    settled_commit,
+    commit_with_retries,
 };
 use serde_json::Value;
 
@@ -54,7 +54,7 @@
         let expect = RowExpectation::Version(outcome.version);
         let batch = WriteBatch::new(token).put(outcome.key.clone(), expect, outcome.value.clone());
         // A conflict means that an earlier send took effect or that another writer changed the row.
-        if settled_commit(&table, &batch, COMMIT_ATTEMPTS)
+        if commit_with_retries(&table, &batch, COMMIT_ATTEMPTS)
             .await
             .is_ok()
         {
@@ -109,6 +109,6 @@
     let value = serde_json::to_value(&withdrawn)
         .map_err(|error| StoreError::Malformed(error.to_string()))?;
     let batch = WriteBatch::new(random_token("withdraw")?).put(key, expect, value);
-    let outcome = settled_commit(table, &batch, COMMIT_ATTEMPTS).await?;
+    let outcome = commit_with_retries(table, &batch, COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)))
 }
--- a/crates/control/src/ledger/writer.rs
+++ b/crates/control/src/ledger/writer.rs
@@ -6,7 +6,7 @@
 use events::log_skipped;
 use platform::{
     CommitOutcome, RowConflict, RowExpectation, StoreError, TableRow, TableStore, WriteBatch,
-    settled_commit,
+    commit_with_retries,
 };
 use serde_json::Value;
 use tokio::sync::oneshot;
@@ -179,7 +179,7 @@
             return;
         }
         let outcome = match batch_of(&rows, &format!("{prefix}.{attempt}")) {
-            Ok(batch) => settled_commit(table, &batch, COMMIT_ATTEMPTS).await,
+            Ok(batch) => commit_with_retries(table, &batch, COMMIT_ATTEMPTS).await,
             Err(error) => Err(error),
         };
         match outcome {
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -5,7 +5,7 @@
 use domain::{FastSet, NodeId, WriteToken};
 use events::{EventCode, EventRecorder, EventSubject, log_skipped};
 use platform::{
-    RowExpectation, StoreError, TableRow, TableStore, WriteBatch, keys, settled_commit,
+    RowExpectation, StoreError, TableRow, TableStore, WriteBatch, commit_with_retries, keys,
 };
 
 use crate::config::poll::jittered;
@@ -74,7 +74,7 @@
         let key = keys::member_key(self.membership.node());
         let batch = WriteBatch::new(token).delete(key, RowExpectation::Any);
         // If this fails, the row is deleted after it expires.
-        let result = settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await;
+        let result = commit_with_retries(&self.table, &batch, COMMIT_ATTEMPTS).await;
         log_skipped("delete member row", result);
     }
 
@@ -140,7 +140,7 @@
         if cleaned.is_empty() {
             return Ok(());
         }
-        settled_commit(&self.table, &batch, COMMIT_ATTEMPTS).await?;
+        commit_with_retries(&self.table, &batch, COMMIT_ATTEMPTS).await?;
         self.recorder.note(
             EventCode::MemberExpired,
             EventSubject::default(),
--- a/crates/control/tests/rules/fake/mod.rs
+++ b/crates/control/tests/rules/fake/mod.rs
@@ -79,7 +79,7 @@
 }
 
 fn lost() -> StoreError {
-    StoreError::AnswerLost("injected response loss".to_owned())
+    StoreError::ResponseLost("injected response loss".to_owned())
 }
 
 impl TableStore for FakeTable {
--- a/crates/control/tests/rules/sim/table.rs
+++ b/crates/control/tests/rules/sim/table.rs
@@ -96,7 +96,7 @@
 }
 
 fn lost() -> StoreError {
-    StoreError::AnswerLost("injected response loss".to_owned())
+    StoreError::ResponseLost("injected response loss".to_owned())
 }
 
 impl TableStore for FakeTable {
--- a/crates/platform/src/circuit.rs
+++ b/crates/platform/src/circuit.rs
@@ -88,7 +88,7 @@
     pub fn record_failure(&mut self, error: &StoreError, now: Instant, chance: f64) {
         match error {
             StoreError::Malformed(_) | StoreError::Throttled { .. } => return,
-            StoreError::Unavailable(_) | StoreError::AnswerLost(_) => {}
+            StoreError::Unavailable(_) | StoreError::ResponseLost(_) => {}
         }
         self.failures = self.failures.saturating_add(1);
         if self.failures < self.settings.open_after {
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -16,7 +16,7 @@
     },
     /// The answer is lost; a write may have taken effect or may still do so.
     #[error("the store's answer is lost: {0}")]
-    AnswerLost(String),
+    ResponseLost(String),
     /// The store answered something that this program does not understand.
     #[error("the store's answer can't be used: {0}")]
     Malformed(String),
@@ -25,7 +25,7 @@
 impl StoreError {
     /// Whether it is certain that a write did not and will not take effect.
     #[must_use]
-    pub fn is_unwritten(&self) -> bool {
+    pub fn is_not_applied(&self) -> bool {
         matches!(self, Self::Unavailable(_) | Self::Throttled { .. })
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -111,7 +111,7 @@
                 Self::Unavailable(error.to_string())
             }
             ClientError::TimedOut(_) | ClientError::Broken(..) => {
-                Self::AnswerLost(error.to_string())
+                Self::ResponseLost(error.to_string())
             }
             ClientError::InvalidResponse(..) => Self::Malformed(error.to_string()),
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod keys;
 pub mod limits;
 pub mod objects;
-pub mod settle;
+pub mod retry;
 pub mod table;
 
 pub use budget::BudgetedTable;
@@ -20,7 +20,7 @@
 pub use hostlist::{HostEntry, HostListPort, HostListing};
 pub use limits::BudgetSettings;
 pub use objects::ObjectStore;
-pub use settle::settled_commit;
+pub use retry::commit_with_retries;
 pub use table::{
     CommitOutcome, RowChange, RowConflict, RowExpectation, RowRead, TableRow, TableStore,
     WriteBatch,
--- a/crates/platform/src/settle.rs
+++ b/crates/platform/src/retry.rs
@@ -25,9 +25,9 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::AnswerLost`] when it could not be settled within `tries`, any other
+/// [`StoreError::ResponseLost`] when it could not be settled within `tries`, any other
 /// [`StoreError`] when the first send certainly did not take effect.
-pub async fn settled_commit<T: TableStore>(
+pub async fn commit_with_retries<T: TableStore>(
     table: &T,
     batch: &WriteBatch,
     tries: u32,
@@ -45,8 +45,8 @@
                 return Ok(judge_conflict(batch, conflicts));
             }
             Ok(outcome) => return Ok(outcome),
-            Err(error) if error.is_unwritten() && !in_doubt => return Err(error),
-            Err(error) if error.is_unwritten() => {}
+            Err(error) if error.is_not_applied() && !in_doubt => return Err(error),
+            Err(error) if error.is_not_applied() => {}
             Err(error) => {
                 in_doubt = true;
                 last = error;
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Commits a batch. After [`StoreError::AnswerLost`] use [`crate::settled_commit`].
+    /// Commits a batch. After [`StoreError::ResponseLost`] use [`crate::commit_with_retries`].
     ///
     /// # Errors
     ///
--- a/src/client.rs
+++ b/src/client.rs
@@ -28,7 +28,7 @@
     Unreached(String),
     /// A node was reached and its answer is lost.
     #[error("the answer of {0} is lost")]
-    AnswerLost(SocketAddr),
+    ResponseLost(SocketAddr),
     /// A node refused the call.
     #[error("{address} refused: {problem}")]
     Refused {
@@ -171,7 +171,7 @@
         path: &str,
         body: Option<&Q>,
     ) -> Result<A, AdminError> {
-        let lost = |_| AdminError::AnswerLost(address);
+        let lost = |_| AdminError::ResponseLost(address);
         let mut request = json_request(method, address, path, body).map_err(lost)?;
         request
             .headers_mut()
@@ -181,7 +181,7 @@
             Err(error @ (ClientError::NotConnected(_) | ClientError::Refused(_))) => {
                 return Err(AdminError::Unreached(error.to_string()));
             }
-            Err(_) => return Err(AdminError::AnswerLost(address)),
+            Err(_) => return Err(AdminError::ResponseLost(address)),
         };
         let status = answer.status();
         let read = tokio::time::timeout(
@@ -189,7 +189,7 @@
             read_body(answer.into_body(), MAX_ANSWER_BYTES),
         );
         let Ok(Ok(bytes)) = read.await else {
-            return Err(AdminError::AnswerLost(address));
+            return Err(AdminError::ResponseLost(address));
         };
         match status {
             // A gateway's callers, readiness and metrics addresses answer too, with other texts.
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -133,7 +133,7 @@
             }
             Ok(judge_answer(&answer))
         }
-        Err(AdminError::AnswerLost(address)) => {
+        Err(AdminError::ResponseLost(address)) => {
             eprintln!("{what}: the answer of {address} is lost; looking into the history");
             Ok(settle_lost(client, body, &what).await)
         }
