--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -98,8 +98,8 @@
         table: &T,
     ) -> Result<(), StoreError> {
         self.replica_counts.clear();
-        for row in table.scan(keys::CENSUS).await? {
-            let name = row.key.trim_start_matches(keys::CENSUS);
+        for row in table.scan(keys::REPLICA_COUNTS).await? {
+            let name = row.key.trim_start_matches(keys::REPLICA_COUNTS);
             let Some((model, version)) = name.split_once('/') else {
                 continue;
             };
@@ -219,7 +219,7 @@
                 .replica_counts
                 .get(name)
                 .and_then(|(_, version)| *version);
-            let key = keys::census_key(&name.0, &name.1);
+            let key = keys::replica_count_key(&name.0, &name.1);
             batch = batch.put(key, expectation(version), to_value(count)?);
         }
         match commit_with_retries(table, &grant.fence(batch), COMMIT_ATTEMPTS).await? {
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -39,7 +39,7 @@
     let bytes =
         serde_json::to_vec(snapshot).map_err(|error| StoreError::Malformed(error.to_string()))?;
     objects
-        .put_new(&keys::snapshot_key(snapshot.revision), Bytes::from(bytes))
+        .put_if_absent(&keys::snapshot_key(snapshot.revision), Bytes::from(bytes))
         .await?;
     advance_pointer(table, snapshot.revision, 0, seed).await?;
     compact_log(table, retained, seed).await
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use domain::{FabricId, FastMap, HostId, RegionId};
-use platform::{HostEntry, HostListPort};
+use platform::{HostEntry, HostListSource};
 use tokio::sync::watch;
 
 use crate::backoff::{Backoff, with_jitter};
@@ -39,7 +39,7 @@
 /// The last list stays in use while the list can't be read. With a conditional read every second,
 /// 410 nodes send 410 requests a second and receive the 225 KB of 1,500 hosts only when something
 /// changed.
-pub async fn poll_hosts<L: HostListPort>(
+pub async fn poll_hosts<L: HostListSource>(
     list: L,
     sender: watch::Sender<Arc<HostDirectory>>,
     period: Duration,
@@ -47,7 +47,7 @@
     let mut known = None;
     let mut backoff = Backoff::new(period, MAX_RETRY_DELAY.max(period));
     loop {
-        match list.list_newer(known).await {
+        match list.list_if_changed(known).await {
             Ok(Some(listing)) => {
                 known = Some(listing.revision);
                 let hosts = listing
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -97,7 +97,7 @@
     elapsed: Duration,
 ) -> Result<Option<RetentionLog>, StoreError> {
     let malformed = |error: serde_json::Error| StoreError::Malformed(error.to_string());
-    let (log, expect) = match table.read(keys::RETENTION, None).await? {
+    let (log, expect) = match table.read(keys::RETENTION_LOG, None).await? {
         RowRead::Found(row) => {
             let log: RetentionLog = serde_json::from_value(row.value).map_err(malformed)?;
             let log = log.advanced(elapsed, row.version);
@@ -106,7 +106,8 @@
         RowRead::Absent | RowRead::Unchanged => (RetentionLog::default(), RowExpectation::Absent),
     };
     let value = serde_json::to_value(&log).map_err(malformed)?;
-    let batch = WriteBatch::new(random_token("housekeeping")?).put(keys::RETENTION, expect, value);
+    let batch =
+        WriteBatch::new(random_token("housekeeping")?).put(keys::RETENTION_LOG, expect, value);
     let outcome = commit_with_retries(table, &grant.fence(batch), COMMIT_ATTEMPTS).await?;
     Ok(matches!(outcome, CommitOutcome::Committed(_)).then_some(log))
 }
--- a/crates/control/tests/rules/fake/mod.rs
+++ b/crates/control/tests/rules/fake/mod.rs
@@ -137,7 +137,7 @@
         Ok(objects.get(key).cloned())
     }
 
-    async fn put_new(&self, key: &str, bytes: Bytes) -> Result<bool, StoreError> {
+    async fn put_if_absent(&self, key: &str, bytes: Bytes) -> Result<bool, StoreError> {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         if objects.contains_key(key) {
             return Ok(false);
--- a/crates/platform/src/hostlist.rs
+++ b/crates/platform/src/hostlist.rs
@@ -34,7 +34,7 @@
 }
 
 /// The host list.
-pub trait HostListPort: Clone + Send + Sync + 'static {
+pub trait HostListSource: Clone + Send + Sync + 'static {
     /// Reads the list.
     ///
     /// # Errors
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// [`StoreError`].
-    fn list_newer(
+    fn list_if_changed(
         &self,
         known: Option<u64>,
     ) -> impl Future<Output = Result<Option<HostListing>, StoreError>> + Send {
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::error::StoreError;
-use crate::hostlist::{HostEntry, HostListPort, HostListing};
+use crate::hostlist::{HostEntry, HostListSource, HostListing};
 use crate::objects::ObjectStore;
 use crate::table::{
     CommitOutcome, RowChange, RowConflict, RowExpectation, RowRead, TableRow, TableStore,
@@ -310,7 +310,7 @@
         }
     }
 
-    async fn put_new(&self, key: &str, bytes: Bytes) -> Result<bool, StoreError> {
+    async fn put_if_absent(&self, key: &str, bytes: Bytes) -> Result<bool, StoreError> {
         let path = format!("/objects/{key}");
         let mut request = json_request(Method::PUT, self.endpoint.address, &path, NO_BODY)?;
         *request.body_mut() = full_body(bytes);
@@ -340,13 +340,13 @@
     }
 }
 
-impl HostListPort for HttpHostList {
+impl HostListSource for HttpHostList {
     async fn list(&self) -> Result<HostListing, StoreError> {
         let body: HostListBody = self.endpoint.get_json("/hosts").await?;
         Ok(HostListing::from(body))
     }
 
-    async fn list_newer(&self, known: Option<u64>) -> Result<Option<HostListing>, StoreError> {
+    async fn list_if_changed(&self, known: Option<u64>) -> Result<Option<HostListing>, StoreError> {
         let mut request = json_request(Method::GET, self.endpoint.address, "/hosts", NO_BODY)?;
         if let Some(revision) = known
             && let Ok(value) = HeaderValue::from_str(&format!("\"{revision}\""))
--- a/crates/platform/src/keys.rs
+++ b/crates/platform/src/keys.rs
@@ -29,14 +29,14 @@
 pub const FLEETS: &str = "fleet/plans/";
 
 /// Prefix of the counts of replicas, one row a version of a model.
-pub const CENSUS: &str = "census/";
+pub const REPLICA_COUNTS: &str = "census/";
 
 /// Prefix of the lease epochs. They lie beside the leases, because a renewal changes the lease's
 /// row and would fail every transaction that checks it.
 pub const LEASE_EPOCHS: &str = "lease-epoch/";
 
 /// Row with the time that housekeeping counted.
-pub const RETENTION: &str = "housekeeping/retention";
+pub const RETENTION_LOG: &str = "housekeeping/retention";
 
 /// Prefix of the members.
 pub const MEMBERS: &str = "member/";
@@ -79,8 +79,8 @@
 
 /// Row with the count of replicas of a model's version.
 #[must_use]
-pub fn census_key(model: &ModelName, version: &VersionName) -> String {
-    format!("{CENSUS}{model}/{version}")
+pub fn replica_count_key(model: &ModelName, version: &VersionName) -> String {
+    format!("{REPLICA_COUNTS}{model}/{version}")
 }
 
 /// Row of a lease's epoch.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -17,7 +17,7 @@
 pub use budget::BudgetedTable;
 pub use circuit::CircuitState;
 pub use error::StoreError;
-pub use hostlist::{HostEntry, HostListPort, HostListing};
+pub use hostlist::{HostEntry, HostListSource, HostListing};
 pub use limits::BudgetSettings;
 pub use objects::ObjectStore;
 pub use retry::commit_with_retries;
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -20,7 +20,7 @@
     /// # Errors
     ///
     /// [`StoreError`].
-    fn put_new(
+    fn put_if_absent(
         &self,
         key: &str,
         bytes: Bytes,
