--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,4 +5,4 @@
 pub mod server;
 
 pub use access::OperatorKey;
-pub use server::{AdminParts, AdminServer, StatusSource};
+pub use server::{AdminContext, AdminServer, StatusSource};
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -34,12 +34,12 @@
     fn status(&self) -> NodeStatus;
 
     /// Why no amendment can be taken through this node now; none when it can.
-    fn amend_hindrance(&self) -> Option<String>;
+    fn amend_unavailable_reason(&self) -> Option<String>;
 }
 
 /// What the listener works with.
 #[derive(Debug)]
-pub struct AdminParts<T, S> {
+pub struct AdminContext<T, S> {
     /// The table.
     pub table: T,
     /// Status.
@@ -55,18 +55,18 @@
 /// The admin listener.
 #[derive(Debug)]
 pub struct AdminServer<T, S> {
-    parts: AdminParts<T, S>,
+    context: AdminContext<T, S>,
 }
 
 impl<T: TableStore, S: StatusSource> AdminServer<T, S> {
     /// A listener.
     #[must_use]
-    pub fn new(parts: AdminParts<T, S>) -> Self {
-        Self { parts }
+    pub fn new(context: AdminContext<T, S>) -> Self {
+        Self { context }
     }
 
     fn metrics(&self) -> WebResponse {
-        match self.parts.metrics.text() {
+        match self.context.metrics.text() {
             Ok(text) => text_response(StatusCode::OK, &text),
             Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         }
@@ -81,7 +81,7 @@
             Ok(body) => body,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        if let Some(reason) = self.parts.source.amend_hindrance() {
+        if let Some(reason) = self.context.source.amend_unavailable_reason() {
             return json_response(StatusCode::OK, &AmendAnswer::Unavailable { reason });
         }
         json_response(StatusCode::OK, &self.amended(body).await)
@@ -101,14 +101,17 @@
             return AmendAnswer::Refused { findings: errors };
         }
         let amendment = amendment_from(body);
-        answer_from(amend_record(&self.parts.table, &amendment).await, warnings)
+        answer_from(
+            amend_record(&self.context.table, &amendment).await,
+            warnings,
+        )
     }
 
     /// The records as the table has them: what is in force here may lag behind the record that
     /// the operator wrote a moment ago, and a warning about its absence would be wrong.
     async fn stored_view(&self) -> Result<ConfigView, AmendError> {
         let mut view = ConfigView::default();
-        for stored in list_records(&self.parts.table, None).await? {
+        for stored in list_records(&self.context.table, None).await? {
             let Ok(record) = RecordSpec::try_from(stored.record) else {
                 continue;
             };
@@ -125,7 +128,7 @@
                     Ok(kind) => kind,
                     Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
-                let listed = list_records(&self.parts.table, kind).await;
+                let listed = list_records(&self.context.table, kind).await;
                 let bodies = listed.map(|records| {
                     records
                         .into_iter()
@@ -139,7 +142,7 @@
                     Ok(kind) => kind,
                     Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
-                match get_record(&self.parts.table, kind, name).await {
+                match get_record(&self.context.table, kind, name).await {
                     Ok(None) => text_response(StatusCode::NOT_FOUND, NO_RECORD),
                     found => table_answer(found.map(|stored| stored.map(record_body))),
                 }
@@ -164,7 +167,7 @@
             before: None,
             limit,
         };
-        let read = read_history(&self.parts.table, &wanted).await;
+        let read = read_history(&self.context.table, &wanted).await;
         table_answer(read.map(|rows| {
             rows.into_iter()
                 .map(change_body)
@@ -191,7 +194,7 @@
             return self.metrics();
         }
         let allowed = self
-            .parts
+            .context
             .key
             .as_ref()
             .is_some_and(|key| key.allows(request.headers()));
@@ -202,9 +205,11 @@
         let query = request.uri().query().unwrap_or_default().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/amend") => self.amend(request).await,
-            (Method::GET, "/status") => json_response(StatusCode::OK, &self.parts.source.status()),
+            (Method::GET, "/status") => {
+                json_response(StatusCode::OK, &self.context.source.status())
+            }
             (Method::GET, "/events") => {
-                json_response(StatusCode::OK, &self.parts.recorder.recent())
+                json_response(StatusCode::OK, &self.context.recorder.recent())
             }
             (Method::GET, "/history") => self.history(&query).await,
             (Method::GET, _) if path.starts_with("/records") => self.records(&path, &query).await,
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use admin::{AdminParts, AdminServer, OperatorKey};
+use admin::{AdminContext, AdminServer, OperatorKey};
 use entry::RequestDispatcher;
 use eyre::WrapErr;
 use tokio::net::TcpListener;
@@ -53,7 +53,7 @@
     tokio::spawn(report.clone().sample_forever(context.metrics.clone()));
     let Some(bound) = bound else { return Ok(()) };
     let key = context.settings.secrets.operator_key()?;
-    let server = AdminServer::new(AdminParts {
+    let server = AdminServer::new(AdminContext {
         table: context.table.with_operator_priority(),
         source: report,
         recorder: context.recorder.clone(),
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -215,7 +215,7 @@
     /// Why this node takes no amendments: the small side of a partition must not change what the
     /// large side can't hear of. Whoever amends there would be told that it is in force within
     /// seconds, while most callers are still served by the old configuration.
-    fn amend_hindrance(&self) -> Option<String> {
+    fn amend_unavailable_reason(&self) -> Option<String> {
         // A node that has just started has heard nobody yet and would refuse for no reason.
         if self.started.elapsed() < self.settle {
             return None;
