--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -13,5 +13,5 @@
 pub use connection::{ConnectionError, HttpConnection};
 pub use query::query_value;
 pub use response::{WebResponse, json_response, text_response};
-pub use server::{WebHandler, WebRequest, serve_listener, serve_opened};
-pub use tls::{TlsError, TlsFiles, TlsSource};
+pub use server::{WebHandler, WebRequest, serve_listener, serve_with_acceptor};
+pub use tls::{ReloadableTlsConfig, TlsError, TlsFiles};
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -17,7 +17,7 @@
 use tokio_rustls::server::TlsStream;
 
 use crate::response::WebResponse;
-use crate::tls::TlsSource;
+use crate::tls::ReloadableTlsConfig;
 
 /// A request whose body is still arriving.
 pub type WebRequest = Request<Incoming>;
@@ -36,30 +36,30 @@
 }
 
 /// Makes the stream that HTTP is spoken on out of a TCP connection.
-pub trait StreamOpener: Clone + Send + Sync + 'static {
+pub trait StreamAcceptor: Clone + Send + Sync + 'static {
     /// The stream.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static;
 
     /// Opens the stream.
-    fn open(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>> + Send;
+    fn accept(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 }
 
 /// Speaks HTTP on the connection itself.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PlainOpener;
+pub struct PlainAcceptor;
 
-impl StreamOpener for PlainOpener {
+impl StreamAcceptor for PlainAcceptor {
     type Stream = TcpStream;
 
-    async fn open(&self, stream: TcpStream) -> io::Result<TcpStream> {
+    async fn accept(&self, stream: TcpStream) -> io::Result<TcpStream> {
         Ok(stream)
     }
 }
 
-impl StreamOpener for TlsSource {
+impl StreamAcceptor for ReloadableTlsConfig {
     type Stream = TlsStream<TcpStream>;
 
-    async fn open(&self, stream: TcpStream) -> io::Result<Self::Stream> {
+    async fn accept(&self, stream: TcpStream) -> io::Result<Self::Stream> {
         self.acceptor().accept(stream).await
     }
 }
@@ -70,13 +70,13 @@
     handler: Arc<H>,
     stop: impl Future<Output = ()> + Send,
 ) {
-    serve_opened(listener, PlainOpener, handler, stop).await;
+    serve_with_acceptor(listener, PlainAcceptor, handler, stop).await;
 }
 
-/// Like [`serve_listener`], on streams that `opener` makes of the connections.
-pub async fn serve_opened<H: WebHandler, O: StreamOpener>(
+/// Like [`serve_listener`], on streams that `acceptor` makes of the connections.
+pub async fn serve_with_acceptor<H: WebHandler, A: StreamAcceptor>(
     listener: TcpListener,
-    opener: O,
+    acceptor: A,
     handler: Arc<H>,
     stop: impl Future<Output = ()> + Send,
 ) {
@@ -92,11 +92,11 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (opener, handler) = (opener.clone(), Arc::clone(&handler));
+        let (acceptor, handler) = (acceptor.clone(), Arc::clone(&handler));
         let watcher = graceful.watcher();
         tokio::spawn(async move {
             // A caller that never ends its handshake would hold a file descriptor for ever.
-            let handshake = tokio::time::timeout(HEAD_TIMEOUT, opener.open(stream)).await;
+            let handshake = tokio::time::timeout(HEAD_TIMEOUT, acceptor.accept(stream)).await;
             if let Ok(Ok(stream)) = handshake {
                 serve_stream(stream, handler, watcher).await;
             }
--- a/crates/web/src/tls.rs
+++ b/crates/web/src/tls.rs
@@ -33,38 +33,38 @@
     },
     /// Certificate and key don't belong together.
     #[error("certificate and key can't be used together: {0}")]
-    Pair(String),
+    InvalidPair(String),
 }
 
 /// The certificate in use. Clones share it.
 #[derive(Debug, Clone)]
-pub struct TlsSource {
-    inner: Arc<SourceInner>,
+pub struct ReloadableTlsConfig {
+    inner: Arc<SharedTlsConfig>,
 }
 
 #[derive(Debug)]
-struct SourceInner {
+struct SharedTlsConfig {
     files: TlsFiles,
-    current: RwLock<LoadedPair>,
+    current: RwLock<LoadedCertificate>,
 }
 
 #[derive(Debug, Clone)]
-struct LoadedPair {
+struct LoadedCertificate {
     certificate: Vec<u8>,
     key: Vec<u8>,
     config: Arc<ServerConfig>,
 }
 
-impl TlsSource {
+impl ReloadableTlsConfig {
     /// Loads a certificate.
     ///
     /// # Errors
     ///
     /// [`TlsError`].
     pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
-        let current = RwLock::new(load_pair(&files)?);
+        let current = RwLock::new(load_certificate(&files)?);
         Ok(Self {
-            inner: Arc::new(SourceInner { files, current }),
+            inner: Arc::new(SharedTlsConfig { files, current }),
         })
     }
 
@@ -77,7 +77,7 @@
     ///
     /// [`TlsError`]; the certificate in use stays.
     pub fn reload(&self) -> Result<bool, TlsError> {
-        let pair = load_pair(&self.inner.files)?;
+        let pair = load_certificate(&self.inner.files)?;
         let mut current = self
             .inner
             .current
@@ -102,7 +102,7 @@
     }
 }
 
-fn load_pair(files: &TlsFiles) -> Result<LoadedPair, TlsError> {
+fn load_certificate(files: &TlsFiles) -> Result<LoadedCertificate, TlsError> {
     let certificate = read_file(&files.certificate)?;
     let key = read_file(&files.key)?;
     let file_error = |path: &PathBuf, problem: String| TlsError::File {
@@ -115,7 +115,7 @@
     let private = PrivateKeyDer::from_pem_slice(&key)
         .map_err(|error| file_error(&files.key, error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let pair_error = |error: rustls::Error| TlsError::Pair(error.to_string());
+    let pair_error = |error: rustls::Error| TlsError::InvalidPair(error.to_string());
     let mut config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
         .map_err(pair_error)?
@@ -123,7 +123,7 @@
         .with_single_cert(chain, private)
         .map_err(pair_error)?;
     config.alpn_protocols = PROTOCOLS.iter().map(|name| name.to_vec()).collect();
-    Ok(LoadedPair {
+    Ok(LoadedCertificate {
         certificate,
         key,
         config: Arc::new(config),
--- a/crates/web/tests/tls_reload.rs
+++ b/crates/web/tests/tls_reload.rs
@@ -11,7 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_rustls::TlsConnector;
 use web::body::full_body;
-use web::{TlsFiles, TlsSource, WebHandler, WebRequest, WebResponse, serve_opened, text_response};
+use web::{
+    ReloadableTlsConfig, TlsFiles, WebHandler, WebRequest, WebResponse, serve_with_acceptor,
+    text_response,
+};
 
 const NAME: &str = "entry.test";
 
@@ -63,11 +66,11 @@
     }
 }
 
-async fn start(source: &TlsSource) -> std::net::SocketAddr {
+async fn start(source: &ReloadableTlsConfig) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let never = std::future::pending();
-    tokio::spawn(serve_opened(
+    tokio::spawn(serve_with_acceptor(
         listener,
         source.clone(),
         Arc::new(Greeter),
@@ -112,7 +115,7 @@
 async fn new_certificate_used() {
     let folder = TlsFolder::new("tls-renewed");
     let first = folder.renew();
-    let source = TlsSource::load(folder.files()).expect("a pair");
+    let source = ReloadableTlsConfig::load(folder.files()).expect("a pair");
     let address = start(&source).await;
     assert_eq!(ask(address, &first).await, Some(StatusCode::OK));
     assert!(!source.reload().expect("the same pair"));
@@ -129,7 +132,7 @@
 async fn broken_files_kept_out() {
     let folder = TlsFolder::new("tls-broken");
     let first = folder.renew();
-    let source = TlsSource::load(folder.files()).expect("a pair");
+    let source = ReloadableTlsConfig::load(folder.files()).expect("a pair");
     let address = start(&source).await;
     TlsFolder::spoil(&folder.files().certificate);
     assert!(source.reload().is_err());
@@ -143,6 +146,6 @@
     let certificate = std::fs::read(folder.files().certificate).expect("readable");
     folder.renew();
     std::fs::write(folder.files().certificate, certificate).expect("writable");
-    let problem = TlsSource::load(folder.files()).expect_err("no pair");
+    let problem = ReloadableTlsConfig::load(folder.files()).expect_err("no pair");
     assert!(problem.to_string().contains("together"), "{problem}");
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -19,8 +19,8 @@
 use target::{HttpEngine, HttpService};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use web::server::{PlainOpener, StreamOpener};
-use web::{TlsSource, serve_opened};
+use web::server::{PlainAcceptor, StreamAcceptor};
+use web::{ReloadableTlsConfig, serve_with_acceptor};
 
 use super::{NodeContext, NodeTable};
 
@@ -31,7 +31,7 @@
     listener: TcpListener,
     server: Arc<EntryServer<HttpEngine, NodeTable, HttpService>>,
     settings: Arc<EntrySettings>,
-    tls: Option<TlsSource>,
+    tls: Option<ReloadableTlsConfig>,
     dispatcher: RequestDispatcher,
 }
 
@@ -105,11 +105,11 @@
 }
 
 /// Loads the certificate when the settings name one, and follows its files.
-fn load_certificate(context: &NodeContext) -> eyre::Result<Option<TlsSource>> {
+fn load_certificate(context: &NodeContext) -> eyre::Result<Option<ReloadableTlsConfig>> {
     let Some(files) = context.settings.tls.files() else {
         return Ok(None);
     };
-    let source = TlsSource::load(files)?;
+    let source = ReloadableTlsConfig::load(files)?;
     let period = context.settings.tls.reload();
     tokio::spawn(follow_certificate(
         source.clone(),
@@ -119,7 +119,11 @@
     Ok(Some(source))
 }
 
-async fn follow_certificate(source: TlsSource, period: Duration, recorder: EventRecorder) {
+async fn follow_certificate(
+    source: ReloadableTlsConfig,
+    period: Duration,
+    recorder: EventRecorder,
+) {
     loop {
         tokio::time::sleep(period).await;
         match source.reload() {
@@ -154,12 +158,16 @@
     /// [`entry::stop`].
     pub async fn serve(self, stop: impl Future<Output = ()> + Send) {
         match self.tls.clone() {
-            Some(source) => self.serve_opened(source, stop).await,
-            None => self.serve_opened(PlainOpener, stop).await,
+            Some(source) => self.serve_with_acceptor(source, stop).await,
+            None => self.serve_with_acceptor(PlainAcceptor, stop).await,
         }
     }
 
-    async fn serve_opened<O: StreamOpener>(self, opener: O, stop: impl Future<Output = ()> + Send) {
+    async fn serve_with_acceptor<A: StreamAcceptor>(
+        self,
+        acceptor: A,
+        stop: impl Future<Output = ()> + Send,
+    ) {
         let switch = self.server.stop_switch();
         let grace = self.settings.drain_grace();
         let close = async {
@@ -167,9 +175,9 @@
             switch.advance(StopPhase::Draining);
             tokio::time::sleep(grace).await;
         };
-        let mut serving = pin!(serve_opened(
+        let mut serving = pin!(serve_with_acceptor(
             self.listener,
-            opener,
+            acceptor,
             Arc::clone(&self.server),
             close
         ));
