--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -267,7 +267,7 @@
         progress: &mut AnswerProgress,
         sink: &mut A,
     ) -> AttemptEnd {
-        let mut stop = self.parts.stop.watch();
+        let mut shutdown = self.parts.shutdown.watch();
         let mut last_event = Instant::now();
         let mut begun = false;
         loop {
@@ -281,7 +281,7 @@
             let seen = tokio::select! {
                 biased;
                 () = sink.gone() => FollowStep::Left(AttemptEnd::CallerGone),
-                () = stop.handing_over(), if can_hand_over => {
+                () = shutdown.handing_over(), if can_hand_over => {
                     FollowStep::Left(AttemptEnd::HandOver)
                 }
                 changed = self.targets.changed() => match changed {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -18,9 +18,9 @@
 pub mod server;
 pub mod services;
 pub mod settings;
+pub mod shutdown;
 pub mod sink;
 pub mod standing;
-pub mod stop;
 pub mod timing;
 pub mod token;
 
@@ -28,5 +28,5 @@
 pub use parts::{EntryParts, NameSource};
 pub use server::EntryServer;
 pub use settings::EntrySettings;
-pub use stop::{StopPhase, StopSwitch};
+pub use shutdown::{ShutdownHandle, ShutdownPhase};
 pub use token::TokenSealer;
--- a/crates/entry/src/parts.rs
+++ b/crates/entry/src/parts.rs
@@ -11,7 +11,7 @@
 
 use crate::dispatch::RequestDispatcher;
 use crate::settings::EntrySettings;
-use crate::stop::StopSwitch;
+use crate::shutdown::ShutdownHandle;
 use crate::token::TokenSealer;
 
 /// Bytes of a node's name in its requests' ids, which must stay short enough for attempts.
@@ -38,7 +38,7 @@
     pub names: NameSource,
     /// How far a stop is.
     #[builder(default)]
-    pub stop: StopSwitch,
+    pub shutdown: ShutdownHandle,
 }
 
 /// Names requests and attempts, never one twice.
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -25,7 +25,7 @@
 use crate::parts::EntryParts;
 use crate::routes::{CallerRoute, find_route};
 use crate::services::{ServiceDispatcher, find_call};
-use crate::stop::StopSwitch;
+use crate::shutdown::ShutdownHandle;
 
 /// When to come back to a node that does not know its configuration yet, or that stops.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
@@ -48,8 +48,8 @@
 
     /// The switch that stops it.
     #[must_use]
-    pub fn stop_switch(&self) -> StopSwitch {
-        self.parts.stop.clone()
+    pub fn shutdown_handle(&self) -> ShutdownHandle {
+        self.parts.shutdown.clone()
     }
 
     async fn route(
@@ -104,7 +104,7 @@
     }
 
     fn ready(&self, view: &ConfigView) -> Result<WebResponse, CallerFailure> {
-        if self.parts.stop.is_stopping() {
+        if self.parts.shutdown.is_stopping() {
             let message = "this node stops";
             let failure = CallerFailure::not_run(ErrorCode::NotReady, message);
             return Err(failure.retry(NOT_READY_RETRY));
@@ -140,7 +140,7 @@
             Ok(answer) => answer,
             Err(failure) => self.fail(&call.request, &failure),
         };
-        if self.parts.stop.is_stopping() && head.version < Version::HTTP_2 {
+        if self.parts.shutdown.is_stopping() && head.version < Version::HTTP_2 {
             // The client must not send its next request on a connection that is about to close.
             let value = HeaderValue::from_static("close");
             answer.headers_mut().insert(header::CONNECTION, value);
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/shutdown.rs
@@ -8,7 +8,7 @@
 
 /// How far a stop is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StopPhase {
+pub enum ShutdownPhase {
     /// No stop.
     #[default]
     Serving,
@@ -20,13 +20,13 @@
 
 /// Moves the phase on; it never goes back.
 #[derive(Debug, Clone, Default)]
-pub struct StopSwitch {
-    sender: watch::Sender<StopPhase>,
+pub struct ShutdownHandle {
+    sender: watch::Sender<ShutdownPhase>,
 }
 
-impl StopSwitch {
+impl ShutdownHandle {
     /// Moves on to a later phase.
-    pub fn advance(&self, phase: StopPhase) {
+    pub fn advance(&self, phase: ShutdownPhase) {
         self.sender.send_if_modified(|current| {
             let later = phase > *current;
             if later {
@@ -39,13 +39,13 @@
     /// Whether a stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
-        *self.sender.borrow() > StopPhase::Serving
+        *self.sender.borrow() > ShutdownPhase::Serving
     }
 
     /// A view of the phase.
     #[must_use]
-    pub fn watch(&self) -> StopWatch {
-        StopWatch {
+    pub fn watch(&self) -> ShutdownWatcher {
+        ShutdownWatcher {
             receiver: self.sender.subscribe(),
         }
     }
@@ -53,22 +53,22 @@
 
 /// A view of the phase.
 #[derive(Debug, Clone)]
-pub struct StopWatch {
-    receiver: watch::Receiver<StopPhase>,
+pub struct ShutdownWatcher {
+    receiver: watch::Receiver<ShutdownPhase>,
 }
 
-impl StopWatch {
+impl ShutdownWatcher {
     /// Completes when a stop has begun.
     pub async fn stopping(&mut self) {
-        self.reach(StopPhase::Draining).await;
+        self.reach(ShutdownPhase::Draining).await;
     }
 
     /// Completes when streams shall be handed over.
     pub async fn handing_over(&mut self) {
-        self.reach(StopPhase::HandingOver).await;
+        self.reach(ShutdownPhase::HandingOver).await;
     }
 
-    async fn reach(&mut self, wanted: StopPhase) {
+    async fn reach(&mut self, wanted: ShutdownPhase) {
         let reached = self
             .receiver
             .wait_for(|phase| *phase >= wanted)
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -12,7 +12,8 @@
 use entry::dispatch::state::DispatchSettings;
 use entry::settings::SecretText;
 use entry::{
-    EntryParts, EntryServer, EntrySettings, NameSource, RequestDispatcher, StopPhase, TokenSealer,
+    EntryParts, EntryServer, EntrySettings, NameSource, RequestDispatcher, ShutdownPhase,
+    TokenSealer,
 };
 use events::{EventCode, EventRecorder, EventSubject};
 use eyre::WrapErr;
@@ -155,7 +156,7 @@
     }
 
     /// Serves until `stop` completes, then stops without cutting off a request; see
-    /// [`entry::stop`].
+    /// [`entry::shutdown`].
     pub async fn serve(self, stop: impl Future<Output = ()> + Send) {
         match self.tls.clone() {
             Some(source) => self.serve_with_acceptor(source, stop).await,
@@ -168,11 +169,11 @@
         acceptor: A,
         stop: impl Future<Output = ()> + Send,
     ) {
-        let switch = self.server.stop_switch();
+        let shutdown = self.server.shutdown_handle();
         let grace = self.settings.drain_grace();
         let close = async {
             stop.await;
-            switch.advance(StopPhase::Draining);
+            shutdown.advance(ShutdownPhase::Draining);
             tokio::time::sleep(grace).await;
         };
         let mut serving = pin!(serve_with_acceptor(
@@ -181,7 +182,7 @@
             Arc::clone(&self.server),
             close
         ));
-        let mut phases = switch.watch();
+        let mut phases = shutdown.watch();
         tokio::select! {
             () = &mut serving => return,
             () = phases.stopping() => {}
@@ -190,7 +191,7 @@
         if tokio::time::timeout(finish, &mut serving).await.is_ok() {
             return;
         }
-        switch.advance(StopPhase::HandingOver);
+        shutdown.advance(ShutdownPhase::HandingOver);
         // Without a last limit a caller that reads nothing would keep the process for ever.
         let _ = tokio::time::timeout(self.settings.stop_limit(), serving).await;
     }
