--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -12,11 +12,11 @@
 use wire::caller::{ErrorCode, LAST_EVENT_HEADER};
 
 use crate::completion::{CompletionEnd, CompletionRun};
+use crate::context::EntryContext;
 use crate::failure::CallerFailure;
 use crate::frame::AnswerFrame;
 use crate::headers::{last_event, request_deadline};
 use crate::order::{CompletionAsk, CompletionOrder, plan_order};
-use crate::parts::EntryParts;
 use crate::progress::AnswerEnd;
 use crate::sink::{EventSink, TextSink};
 use crate::token::ResumeToken;
@@ -46,11 +46,11 @@
 /// [`CallerFailure`] when it fails before the first event of a stream, or at all when it is not
 /// streamed.
 pub async fn answer_completion<E: EnginePort>(
-    parts: &EntryParts<E>,
+    context: &EntryContext<E>,
     call: CompletionCall<'_>,
 ) -> Result<WebResponse, CallerFailure> {
-    let deadline = request_deadline(call.headers, &parts.settings)?;
-    let resume = opened_token(parts, &call)?;
+    let deadline = request_deadline(call.headers, &context.settings)?;
+    let resume = opened_token(context, &call)?;
     let stream = call.ask.stream;
     let include_usage = call.ask.include_usage;
     let request = match &resume {
@@ -60,7 +60,7 @@
     let order = plan_order(
         call.view,
         call.customer,
-        &parts.settings,
+        &context.settings,
         call.ask,
         request,
         deadline,
@@ -72,13 +72,13 @@
         return Err(invalid_resume(message));
     }
     let subject = order_subject(&order);
-    parts
+    context
         .recorder
         .note(EventCode::RequestAdmitted, subject, order.model.as_str());
     if stream {
-        return answer_stream(parts, order, resume, include_usage).await;
+        return answer_stream(context, order, resume, include_usage).await;
     }
-    answer_whole(parts, &order).await
+    answer_whole(context, &order).await
 }
 
 fn order_subject(order: &CompletionOrder) -> EventSubject {
@@ -91,7 +91,7 @@
 }
 
 fn opened_token<E: EnginePort>(
-    parts: &EntryParts<E>,
+    context: &EntryContext<E>,
     call: &CompletionCall<'_>,
 ) -> Result<Option<ResumeToken>, CallerFailure> {
     let Some(text) = last_event(call.headers)? else {
@@ -100,7 +100,7 @@
     if !call.ask.stream {
         return Err(invalid_resume("only a streamed answer can be gone on with"));
     }
-    let token = parts
+    let token = context
         .sealer
         .open(text)
         .map_err(|error| invalid_resume(error.to_string()))?;
@@ -113,13 +113,13 @@
 }
 
 async fn answer_whole<E: EnginePort>(
-    parts: &EntryParts<E>,
+    context: &EntryContext<E>,
     order: &CompletionOrder,
 ) -> Result<WebResponse, CallerFailure> {
     let mut sink = TextSink::default();
-    match CompletionRun::new(parts, order).run(&mut sink).await {
+    match CompletionRun::new(context, order).run(&mut sink).await {
         CompletionEnd::Finished(end) => {
-            note_answered(parts, order, &end);
+            note_answered(context, order, &end);
             let body = AnswerFrame::new(order).whole(sink.text, &end);
             Ok(json_response(StatusCode::OK, &body))
         }
@@ -132,7 +132,7 @@
 }
 
 async fn answer_stream<E: EnginePort>(
-    parts: &EntryParts<E>,
+    context: &EntryContext<E>,
     order: CompletionOrder,
     resume: Option<ResumeToken>,
     include_usage: bool,
@@ -141,7 +141,7 @@
     let (head, begun) = oneshot::channel();
     let frame = AnswerFrame::new(&order);
     let sink = EventSink::new(frame, events, head, include_usage, resume.is_some());
-    tokio::spawn(feed_stream(parts.clone(), order, resume, sink));
+    tokio::spawn(feed_stream(context.clone(), order, resume, sink));
     match begun.await {
         Ok(Ok(())) => {}
         Ok(Err(failure)) => return Err(failure),
@@ -161,12 +161,12 @@
 }
 
 async fn feed_stream<E: EnginePort>(
-    parts: EntryParts<E>,
+    context: EntryContext<E>,
     order: CompletionOrder,
     resume: Option<ResumeToken>,
     mut sink: EventSink,
 ) {
-    let run = CompletionRun::new(&parts, &order);
+    let run = CompletionRun::new(&context, &order);
     let end = match &resume {
         Some(token) => run.resume(token, &mut sink).await,
         None => run.run(&mut sink).await,
@@ -175,20 +175,20 @@
     match end {
         CompletionEnd::Finished(end) => {
             if sink.finish(&end).await.is_ok() {
-                note_answered(&parts, &order, &end);
+                note_answered(&context, &order, &end);
                 return;
             }
-            parts
+            context
                 .recorder
                 .note(EventCode::CallerLeft, subject, "at the end of the answer");
         }
         CompletionEnd::CallerGone => {
-            parts
+            context
                 .recorder
                 .note(EventCode::CallerLeft, subject, "within the answer");
         }
         CompletionEnd::HandOver => {
-            parts
+            context
                 .recorder
                 .note(EventCode::StreamHandedOver, subject, "");
             sink.hand_over().await;
@@ -196,7 +196,7 @@
         CompletionEnd::Failed(failure) => {
             let body = failure.body(&order.request);
             if sink.has_begun() {
-                parts
+                context
                     .recorder
                     .note(EventCode::RequestFailed, subject, failure.to_string());
             }
@@ -205,9 +205,13 @@
     }
 }
 
-fn note_answered<E: EnginePort>(parts: &EntryParts<E>, order: &CompletionOrder, end: &AnswerEnd) {
+fn note_answered<E: EnginePort>(
+    context: &EntryContext<E>,
+    order: &CompletionOrder,
+    end: &AnswerEnd,
+) {
     let detail = format!("{} tokens", end.count);
-    parts
+    context
         .recorder
         .note(EventCode::RequestAnswered, order_subject(order), detail);
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -11,9 +11,9 @@
 use tokio::sync::watch;
 use wire::engine::{ResumeOrder, StreamEvent, StreamOrder};
 
+use crate::context::EntryContext;
 use crate::dispatch::ask::PlacedSlot;
 use crate::order::CompletionOrder;
-use crate::parts::EntryParts;
 use crate::progress::{AnswerEnd, AnswerProgress, MatchFault, MatchStep, StreamMatcher};
 use crate::sink::AnswerSink;
 use crate::standing::ReplicaStanding;
@@ -126,7 +126,7 @@
 #[derive(Debug)]
 pub struct AttemptRun<'a, E> {
     /// What the request path works with.
-    pub parts: &'a EntryParts<E>,
+    pub context: &'a EntryContext<E>,
     /// What is wanted.
     pub order: &'a CompletionOrder,
     /// Where.
@@ -144,13 +144,13 @@
         progress: &mut AnswerProgress,
         sink: &mut A,
     ) -> AttemptEnd {
-        let (parts, order, site) = (self.parts, self.order, self.site);
+        let (context, order, site) = (self.context, self.order, self.site);
         let mut guard = CancelGuard {
-            engine: parts.engine.clone(),
+            engine: context.engine.clone(),
             leader: site.leader,
             attempt: Some(site.attempt.clone()),
         };
-        let stream = match open_stream(parts, order, site, self.kind, progress).await {
+        let stream = match open_stream(context, order, site, self.kind, progress).await {
             Ok(stream) => stream,
             Err(fault) => {
                 if fault.is_not_run() {
@@ -167,11 +167,11 @@
             incarnation: site.plan.incarnation,
             content: order.content(),
         };
-        sink.begin(parts.sealer.scope(&scope), progress.offset());
+        sink.begin(context.sealer.scope(&scope), progress.offset());
         let mut follower = StreamFollower {
-            parts,
+            context,
             site,
-            targets: parts.targets.clone(),
+            targets: context.targets.clone(),
             stream,
             matcher: matcher(site, self.kind, progress),
             begin_limit: order.deadline.saturating_duration_since(Instant::now()),
@@ -198,13 +198,13 @@
 }
 
 async fn open_stream<E: EnginePort>(
-    parts: &EntryParts<E>,
+    context: &EntryContext<E>,
     order: &CompletionOrder,
     site: &AttemptSite,
     kind: AttemptKind,
     progress: &AnswerProgress,
 ) -> Result<E::Stream, AttemptFault> {
-    let timeout = parts.settings.start_timeout();
+    let timeout = context.settings.start_timeout();
     let started = match kind {
         AttemptKind::Start => {
             let stream_order = StreamOrder {
@@ -219,7 +219,7 @@
                 priority: 0,
                 resume: progress.known_tokens().unwrap_or_default().to_vec(),
             };
-            parts
+            context
                 .engine
                 .start(site.leader, &stream_order, timeout)
                 .await
@@ -228,7 +228,7 @@
             let resume = ResumeOrder {
                 from: progress.offset().count,
             };
-            parts
+            context
                 .engine
                 .resume(site.leader, &site.attempt, resume, timeout)
                 .await
@@ -245,7 +245,7 @@
 }
 
 struct StreamFollower<'a, E: EnginePort> {
-    parts: &'a EntryParts<E>,
+    context: &'a EntryContext<E>,
     site: &'a AttemptSite,
     targets: watch::Receiver<Arc<TargetView>>,
     stream: E::Stream,
@@ -267,12 +267,12 @@
         progress: &mut AnswerProgress,
         sink: &mut A,
     ) -> AttemptEnd {
-        let mut shutdown = self.parts.shutdown.watch();
+        let mut shutdown = self.context.shutdown.watch();
         let mut last_event = Instant::now();
         let mut begun = false;
         loop {
             let standing = self.standing();
-            let Some(limit) = standing.silence_limit(&self.parts.settings) else {
+            let Some(limit) = standing.silence_limit(&self.context.settings) else {
                 return AttemptEnd::Failed(AttemptFault::HostMissing);
             };
             let limit = self.with_begin(limit, begun);
@@ -328,7 +328,7 @@
 
     fn standing(&mut self) -> ReplicaStanding {
         let view = Arc::clone(&self.targets.borrow_and_update());
-        let limit = self.parts.settings.evidence_limit();
+        let limit = self.context.settings.evidence_limit();
         ReplicaStanding::judge(&view, &self.site.plan, Instant::now(), limit)
     }
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -10,10 +10,10 @@
 use wire::caller::ErrorCode;
 
 use crate::attempt::{AttemptEnd, AttemptFault, AttemptKind, AttemptRun, AttemptSite};
+use crate::context::EntryContext;
 use crate::dispatch::ask::{PlacedSlot, PlacementAsk, SlotOutcome};
 use crate::failure::CallerFailure;
 use crate::order::CompletionOrder;
-use crate::parts::EntryParts;
 use crate::progress::{AnswerEnd, AnswerProgress, MatchFault};
 use crate::sink::AnswerSink;
 use crate::timing::TimedSink;
@@ -41,7 +41,7 @@
 /// Runs one request.
 #[derive(Debug)]
 pub struct CompletionRun<'a, E: EnginePort> {
-    parts: &'a EntryParts<E>,
+    context: &'a EntryContext<E>,
     order: &'a CompletionOrder,
     progress: AnswerProgress,
     /// What the dispatcher is asked for the next attempt.
@@ -55,9 +55,9 @@
 impl<'a, E: EnginePort> CompletionRun<'a, E> {
     /// A run of an order.
     #[must_use]
-    pub fn new(parts: &'a EntryParts<E>, order: &'a CompletionOrder) -> Self {
+    pub fn new(context: &'a EntryContext<E>, order: &'a CompletionOrder) -> Self {
         Self {
-            parts,
+            context,
             order,
             progress: AnswerProgress::default(),
             ask: PlacementAsk::new(order),
@@ -68,7 +68,7 @@
 
     /// Runs the order from its begin.
     pub async fn run<A: AnswerSink>(mut self, sink: &mut A) -> CompletionEnd {
-        let mut timed = TimedSink::new(sink, &self.parts.recorder, &self.order.model);
+        let mut timed = TimedSink::new(sink, &self.context.recorder, &self.order.model);
         self.run_placed(&mut timed).await
     }
 
@@ -84,7 +84,7 @@
         self.ask.admitted = true;
         let subject = self.subject().and_replica(&token.scope.replica);
         let detail = format!("behind token {}", token.offset.count);
-        self.parts
+        self.context
             .recorder
             .note(EventCode::RequestResumed, subject, detail);
         if let Some(site) = self.kept_site(token)
@@ -96,7 +96,7 @@
     }
 
     fn kept_site(&self, token: &ResumeToken) -> Option<AttemptSite> {
-        let view = self.parts.targets.borrow();
+        let view = self.context.targets.borrow();
         let replica = view
             .replicas
             .iter()
@@ -112,9 +112,9 @@
     }
 
     async fn run_placed<A: AnswerSink>(&mut self, sink: &mut A) -> CompletionEnd {
-        while self.attempts < self.parts.settings.max_attempts {
+        while self.attempts < self.context.settings.max_attempts {
             let placed = tokio::select! {
-                placed = self.parts.dispatcher.place(self.ask.clone()) => placed,
+                placed = self.context.dispatcher.place(self.ask.clone()) => placed,
                 () = sink.gone() => return CompletionEnd::CallerGone,
             };
             let mut slot = match placed {
@@ -123,7 +123,7 @@
             };
             self.ask.admitted = true;
             let site = AttemptSite {
-                attempt: self.parts.names.attempt(&self.order.request),
+                attempt: self.context.ids.attempt(&self.order.request),
                 plan: slot.plan.clone(),
                 leader: slot.leader,
             };
@@ -167,7 +167,7 @@
     /// host has cost any target anything.
     async fn before_next(&mut self, fault: &AttemptFault) -> Result<(), CallerFailure> {
         if self.progress.offset().count > 0 {
-            self.ask.deadline = Instant::now() + self.parts.settings.recovery();
+            self.ask.deadline = Instant::now() + self.context.settings.recovery();
             return Ok(());
         }
         match fault {
@@ -195,7 +195,7 @@
             AttemptFault::Broken(_) | AttemptFault::Silent(_) | AttemptFault::Mismatch(_) => {
                 let deadline = self.ask.deadline;
                 match self
-                    .parts
+                    .context
                     .dispatcher
                     .decide_retry(self.attempts, deadline)
                     .await
@@ -226,7 +226,7 @@
         let replica = &site.plan.id;
         self.note(EventCode::AttemptStarted, replica, site.attempt.as_str());
         let attempt = AttemptRun {
-            parts: self.parts,
+            context: self.context,
             order: self.order,
             site,
             kind,
@@ -264,7 +264,7 @@
 
     fn note(&self, code: EventCode, replica: &ReplicaId, detail: &str) {
         let subject = self.subject().and_replica(replica);
-        self.parts.recorder.note(code, subject, detail);
+        self.context.recorder.note(code, subject, detail);
     }
 }
 
--- a/crates/entry/src/parts.rs
+++ b/crates/entry/src/context.rs
@@ -19,7 +19,7 @@
 
 /// What the request path works with. Cheap to clone.
 #[derive(Debug, Clone, Builder)]
-pub struct EntryParts<E> {
+pub struct EntryContext<E> {
     /// The configuration in force.
     pub config: watch::Receiver<Arc<ConfigView>>,
     /// The targets.
@@ -35,7 +35,7 @@
     /// Finds replicas.
     pub dispatcher: RequestDispatcher,
     /// Names requests and attempts.
-    pub names: NameSource,
+    pub ids: IdGenerator,
     /// How far a stop is.
     #[builder(default)]
     pub shutdown: ShutdownHandle,
@@ -48,26 +48,26 @@
 /// of its predecessor: an engine would take a new attempt for an old stream, and a claim on a
 /// payment could be taken for one's own.
 #[derive(Debug, Clone)]
-pub struct NameSource {
-    inner: Arc<NameCounter>,
+pub struct IdGenerator {
+    inner: Arc<IdCounters>,
 }
 
 #[derive(Debug)]
-struct NameCounter {
+struct IdCounters {
     prefix: String,
     process: u64,
     requests: AtomicU64,
     attempts: AtomicU64,
 }
 
-impl NameSource {
+impl IdGenerator {
     /// A source for this process.
     #[must_use]
     pub fn new(node: &NodeId) -> Self {
         let process = rand::random::<u64>();
         // Identifiers are ASCII, so that any byte is a character's end.
         let name = &node.as_str()[..node.as_str().len().min(MAX_NODE_BYTES)];
-        let counter = NameCounter {
+        let counter = IdCounters {
             prefix: format!("{name}.{process:016x}"),
             process,
             requests: AtomicU64::new(0),
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -19,10 +19,10 @@
 use crate::answer::{CompletionCall, answer_completion};
 use crate::call::CallerCall;
 use crate::caller::find_customer;
+use crate::context::EntryContext;
 use crate::failure::CallerFailure;
 use crate::models::{list_models, show_model};
 use crate::order::CompletionAsk;
-use crate::parts::EntryParts;
 use crate::routes::{CallerRoute, find_route};
 use crate::services::{ServiceDispatcher, find_call};
 use crate::shutdown::ShutdownHandle;
@@ -33,23 +33,23 @@
 /// The callers' listener.
 #[derive(Debug)]
 pub struct EntryServer<E, T: TableStore, S> {
-    parts: EntryParts<E>,
+    context: EntryContext<E>,
     services: ServiceDispatcher<T, S>,
 }
 
 impl<E: EnginePort, T: TableStore, S: ServicePort> EntryServer<E, T, S> {
     /// A listener.
     #[must_use]
-    pub fn new(parts: EntryParts<E>, ledger: CallLedger<T>, service: S) -> Self {
-        let settings = Arc::clone(&parts.settings);
-        let services = ServiceDispatcher::new(ledger, service, parts.recorder.clone(), settings);
-        Self { parts, services }
+    pub fn new(context: EntryContext<E>, ledger: CallLedger<T>, service: S) -> Self {
+        let settings = Arc::clone(&context.settings);
+        let services = ServiceDispatcher::new(ledger, service, context.recorder.clone(), settings);
+        Self { context, services }
     }
 
     /// The switch that stops it.
     #[must_use]
     pub fn shutdown_handle(&self) -> ShutdownHandle {
-        self.parts.shutdown.clone()
+        self.context.shutdown.clone()
     }
 
     async fn route(
@@ -58,7 +58,7 @@
         body: impl RequestBody,
     ) -> Result<WebResponse, CallerFailure> {
         let route = find_route(&call.method, &call.path)?;
-        let view = Arc::clone(&self.parts.config.borrow());
+        let view = Arc::clone(&self.context.config.borrow());
         match route {
             CallerRoute::Health => return Ok(text_response(StatusCode::OK, "live\n")),
             CallerRoute::Ready => return self.ready(&view),
@@ -100,11 +100,11 @@
             request: call.request.clone(),
             ask,
         };
-        answer_completion(&self.parts, completion).await
+        answer_completion(&self.context, completion).await
     }
 
     fn ready(&self, view: &ConfigView) -> Result<WebResponse, CallerFailure> {
-        if self.parts.shutdown.is_stopping() {
+        if self.context.shutdown.is_stopping() {
             let message = "this node stops";
             let failure = CallerFailure::not_run(ErrorCode::NotReady, message);
             return Err(failure.retry(NOT_READY_RETRY));
@@ -114,7 +114,7 @@
     }
 
     async fn read_limited(&self, body: impl RequestBody) -> Result<Bytes, CallerFailure> {
-        read_body(body, self.parts.settings.max_body_bytes)
+        read_body(body, self.context.settings.max_body_bytes)
             .await
             .map_err(body_failure)
     }
@@ -131,7 +131,7 @@
     pub async fn answer_parts<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
         let (head, body) = request.into_parts();
         let call = CallerCall {
-            request: self.parts.names.request(),
+            request: self.context.ids.request(),
             method: head.method,
             path: head.uri.path().to_owned(),
             headers: head.headers,
@@ -140,7 +140,7 @@
             Ok(answer) => answer,
             Err(failure) => self.fail(&call.request, &failure),
         };
-        if self.parts.shutdown.is_stopping() && head.version < Version::HTTP_2 {
+        if self.context.shutdown.is_stopping() && head.version < Version::HTTP_2 {
             // The client must not send its next request on a connection that is about to close.
             let value = HeaderValue::from_static("close");
             answer.headers_mut().insert(header::CONNECTION, value);
@@ -154,7 +154,9 @@
             ErrorCode::Overloaded => EventCode::RequestRefused,
             _ => EventCode::RequestFailed,
         };
-        self.parts.recorder.note(code, subject, failure.to_string());
+        self.context
+            .recorder
+            .note(code, subject, failure.to_string());
         failure.answer(request)
     }
 }
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -12,7 +12,9 @@
     ConfigRevision, HealthEvidence, IncarnationNumber, LeaseEpoch, RecordSpec, ReplicaPlan,
 };
 use entry::dispatch::state::DispatchSettings;
-use entry::{EntryParts, EntryServer, EntrySettings, NameSource, RequestDispatcher, TokenSealer};
+use entry::{
+    EntryContext, EntryServer, EntrySettings, IdGenerator, RequestDispatcher, TokenSealer,
+};
 use events::EventRecorder;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -205,19 +207,19 @@
             .max_attempts(settings.max_attempts)
             .seed(1)
             .build();
-        let parts = EntryParts::builder()
+        let context = EntryContext::builder()
             .config(config_seen)
             .targets(targets.subscribe())
             .engine(engine.clone())
             .recorder(recorder.clone())
             .sealer(TokenSealer::new(Some(&"one key".into())))
             .dispatcher(RequestDispatcher::start(dispatcher, targets.subscribe()))
-            .names(NameSource::new(&node))
+            .ids(IdGenerator::new(&node))
             .settings(settings)
             .build();
         let ledger = CallLedger::new(table.clone(), node);
         Self {
-            server: EntryServer::new(parts, ledger, service.clone()),
+            server: EntryServer::new(context, ledger, service.clone()),
             engine,
             table,
             service,
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -12,7 +12,7 @@
 use entry::dispatch::state::DispatchSettings;
 use entry::settings::SecretText;
 use entry::{
-    EntryParts, EntryServer, EntrySettings, NameSource, RequestDispatcher, ShutdownPhase,
+    EntryContext, EntryServer, EntrySettings, IdGenerator, RequestDispatcher, ShutdownPhase,
     TokenSealer,
 };
 use events::{EventCode, EventRecorder, EventSubject};
@@ -59,14 +59,14 @@
         .build();
     let dispatcher = RequestDispatcher::start(dispatcher, targets.clone());
     tokio::spawn(follow_members(dispatcher.clone(), members));
-    let parts = EntryParts::builder()
+    let entry_context = EntryContext::builder()
         .config(context.config_sender.subscribe())
         .dispatcher(dispatcher.clone())
         .targets(targets)
         .engine(context.engine.clone())
         .recorder(context.recorder.clone())
         .sealer(TokenSealer::new(settings.resume_key.as_ref()))
-        .names(NameSource::new(&context.settings.node))
+        .ids(IdGenerator::new(&context.settings.node))
         .settings(Arc::clone(&settings))
         .build();
     let ledger = CallLedger::with_settings(
@@ -74,7 +74,11 @@
         context.settings.node.clone(),
         context.control.ledger,
     );
-    let server = Arc::new(EntryServer::new(parts, ledger, context.service.clone()));
+    let server = Arc::new(EntryServer::new(
+        entry_context,
+        ledger,
+        context.service.clone(),
+    ));
     let wanted = context.settings.listen;
     let listener = TcpListener::bind(wanted)
         .await
