--- a/crates/entry/benches/event_cost.rs
+++ b/crates/entry/benches/event_cost.rs
@@ -9,7 +9,7 @@
 use entry::frame::AnswerFrame;
 use entry::order::{AnswerShape, CompletionOrder};
 use entry::sink::{AnswerSink, EventSink};
-use entry::token::{StreamOffset, TokenScope, TokenSealer};
+use entry::token::{StreamOffset, TokenScope, TokenSigner};
 use tokio::sync::{mpsc, oneshot};
 
 const TOKENS: u32 = 256;
@@ -31,7 +31,7 @@
 }
 
 /// Feeds a stream of tokens and reads its events at once.
-async fn feed(order: &CompletionOrder, sealer: &TokenSealer) {
+async fn feed(order: &CompletionOrder, signer: &TokenSigner) {
     let (events, mut read) = mpsc::channel(4);
     let (head, _begun) = oneshot::channel();
     let mut sink = EventSink::new(AnswerFrame::new(order), events, head, false, false);
@@ -43,7 +43,7 @@
         incarnation: IncarnationNumber(3),
         content: order.content(),
     };
-    sink.begin(sealer.scope(&scope), StreamOffset::default());
+    sink.begin(signer.scope(&scope), StreamOffset::default());
     let mut offset = StreamOffset::default();
     let mut digest = TextDigest::default();
     for count in 1..=TOKENS {
@@ -61,13 +61,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
-    let sealer = TokenSealer::new(Some(&"one key for all entries".into()));
+    let signer = TokenSigner::new(Some(&"one key for all entries".into()));
     let mut group = criterion.benchmark_group("event");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
     for (name, shape) in [("chat", AnswerShape::Chat), ("text", AnswerShape::Text)] {
         let order = order(shape);
         group.bench_function(name, |bencher| {
-            bencher.iter(|| runtime.block_on(feed(&order, &sealer)));
+            bencher.iter(|| runtime.block_on(feed(&order, &signer)));
         });
     }
     group.finish();
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -101,12 +101,12 @@
         return Err(invalid_resume("only a streamed answer can be gone on with"));
     }
     let token = context
-        .sealer
-        .open(text)
+        .signer
+        .verify(text)
         .map_err(|error| invalid_resume(error.to_string()))?;
     if token.scope.customer != call.customer.name {
         // The same words as for a forged one: a stranger learns nothing of whose it is.
-        let message = crate::token::TokenError::Forged.to_string();
+        let message = crate::token::TokenError::InvalidSignature.to_string();
         return Err(invalid_resume(message));
     }
     Ok(Some(token))
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -167,7 +167,7 @@
             incarnation: site.plan.incarnation,
             content: order.content(),
         };
-        sink.begin(context.sealer.scope(&scope), progress.offset());
+        sink.begin(context.signer.scope(&scope), progress.offset());
         let mut follower = StreamFollower {
             context,
             site,
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -12,7 +12,7 @@
 use crate::dispatch::RequestDispatcher;
 use crate::settings::EntrySettings;
 use crate::shutdown::ShutdownHandle;
-use crate::token::TokenSealer;
+use crate::token::TokenSigner;
 
 /// Bytes of a node's name in its requests' ids, which must stay short enough for attempts.
 const MAX_NODE_BYTES: usize = 40;
@@ -31,7 +31,7 @@
     /// Settings.
     pub settings: Arc<EntrySettings>,
     /// Seals resume tokens.
-    pub sealer: TokenSealer,
+    pub signer: TokenSigner,
     /// Finds replicas.
     pub dispatcher: RequestDispatcher,
     /// Names requests and attempts.
--- a/crates/entry/src/digest.rs
+++ b/crates/entry/src/digest.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes of a digest: half of SHA-256, enough against chance and against a forger, who would also
-/// need the key of the seal.
+/// need the key of the signature.
 pub const DIGEST_BYTES: usize = 16;
 
 /// A rolling digest of an answer's tokens, in order.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -29,4 +29,4 @@
 pub use server::EntryServer;
 pub use settings::EntrySettings;
 pub use shutdown::{ShutdownHandle, ShutdownPhase};
-pub use token::TokenSealer;
+pub use token::TokenSigner;
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -9,7 +9,7 @@
 use crate::failure::CallerFailure;
 use crate::frame::{AnswerFrame, json_event, text_event};
 use crate::progress::AnswerEnd;
-use crate::token::{ScopeSealer, StreamOffset};
+use crate::token::{ScopeSigner, StreamOffset};
 
 /// The caller closed its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 /// Takes the tokens of an answer.
 pub trait AnswerSink: Send + Sync {
     /// A new attempt feeds the answer from here on.
-    fn begin(&mut self, sealer: ScopeSealer, offset: StreamOffset);
+    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset);
 
     /// Takes a token; waits while the caller reads slowly.
     ///
@@ -46,7 +46,7 @@
 }
 
 impl AnswerSink for TextSink {
-    fn begin(&mut self, _: ScopeSealer, _: StreamOffset) {}
+    fn begin(&mut self, _: ScopeSigner, _: StreamOffset) {}
 
     async fn token(&mut self, text: String, _: StreamOffset) -> Result<(), CallerGone> {
         self.text.push_str(&text);
@@ -75,7 +75,7 @@
     frame: AnswerFrame,
     events: mpsc::Sender<Bytes>,
     head: Option<HeadSender>,
-    sealer: Option<ScopeSealer>,
+    signer: Option<ScopeSigner>,
     offset: StreamOffset,
     include_usage: bool,
     opened: bool,
@@ -95,7 +95,7 @@
             frame,
             events,
             head: Some(head),
-            sealer: None,
+            signer: None,
             offset: StreamOffset::default(),
             include_usage,
             opened: resumed,
@@ -109,8 +109,8 @@
     }
 
     fn id(&self) -> Option<String> {
-        let sealer = self.sealer.as_ref()?;
-        Some(sealer.seal(self.offset))
+        let signer = self.signer.as_ref()?;
+        Some(signer.sign(self.offset))
     }
 
     async fn send(&mut self, event: Bytes) -> Result<(), CallerGone> {
@@ -171,8 +171,8 @@
 }
 
 impl AnswerSink for EventSink {
-    fn begin(&mut self, sealer: ScopeSealer, offset: StreamOffset) {
-        self.sealer = Some(sealer);
+    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
+        self.signer = Some(signer);
         self.offset = offset;
     }
 
@@ -192,6 +192,6 @@
     }
 
     fn can_hand_over(&self) -> bool {
-        self.sealer.is_some()
+        self.signer.is_some()
     }
 }
--- a/crates/entry/src/timing.rs
+++ b/crates/entry/src/timing.rs
@@ -6,7 +6,7 @@
 use events::{EventRecorder, NodeMetrics};
 
 use crate::sink::{AnswerSink, CallerGone};
-use crate::token::{ScopeSealer, StreamOffset};
+use crate::token::{ScopeSigner, StreamOffset};
 
 /// A sink that notes when tokens reach the one behind it.
 pub struct TimedSink<'a, A> {
@@ -41,8 +41,8 @@
 }
 
 impl<A: AnswerSink> AnswerSink for TimedSink<'_, A> {
-    fn begin(&mut self, sealer: ScopeSealer, offset: StreamOffset) {
-        self.sink.begin(sealer, offset);
+    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
+        self.sink.begin(signer, offset);
     }
 
     async fn token(&mut self, text: String, offset: StreamOffset) -> Result<(), CallerGone> {
--- a/crates/entry/src/token.rs
+++ b/crates/entry/src/token.rs
@@ -17,9 +17,9 @@
 /// Longest token that is looked at, in bytes; a longer one is not ours.
 const MAX_TOKEN_BYTES: usize = 2_048;
 
-const SEAL_BYTES: usize = 16;
-const OFFSET_BYTES: usize = 4;
-const TAIL_BYTES: usize = OFFSET_BYTES + DIGEST_BYTES + SEAL_BYTES;
+const SIGNATURE_BYTES: usize = 16;
+const COUNT_BYTES: usize = 4;
+const TAIL_BYTES: usize = COUNT_BYTES + DIGEST_BYTES + SIGNATURE_BYTES;
 
 /// What a stream's tokens have in common as long as one attempt feeds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,36 +64,36 @@
     Malformed,
     /// Its seal is not by the entries' key.
     #[error("the resume token is not from these entries, or was changed")]
-    Forged,
+    InvalidSignature,
 }
 
 /// Seals and opens tokens.
 #[derive(Clone)]
-pub struct TokenSealer {
+pub struct TokenSigner {
     mac: Hmac<Sha256>,
 }
 
-impl std::fmt::Debug for TokenSealer {
+impl std::fmt::Debug for TokenSigner {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("TokenSealer(hidden)")
+        formatter.write_str("TokenSigner(hidden)")
     }
 }
 
 /// Seals the tokens of one attempt; the part that stays the same is encoded and hashed once.
 #[derive(Clone)]
-pub struct ScopeSealer {
+pub struct ScopeSigner {
     prefix: Vec<u8>,
     mac: Hmac<Sha256>,
 }
 
-impl std::fmt::Debug for ScopeSealer {
+impl std::fmt::Debug for ScopeSigner {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("ScopeSealer(hidden)")
+        formatter.write_str("ScopeSigner(hidden)")
     }
 }
 
-impl TokenSealer {
-    /// A sealer with the entries' key, or with a key of this process's own.
+impl TokenSigner {
+    /// A signer with the entries' key, or with a key of this process's own.
     #[must_use]
     pub fn new(key: Option<&SecretText>) -> Self {
         let mut hash = Sha256::new();
@@ -106,14 +106,14 @@
         Self { mac }
     }
 
-    /// The sealer of one attempt.
+    /// The signer of one attempt.
     #[must_use]
-    pub fn scope(&self, scope: &TokenScope) -> ScopeSealer {
+    pub fn scope(&self, scope: &TokenScope) -> ScopeSigner {
         let prefix = bincode::serde::encode_to_vec(scope, bincode::config::standard())
             .unwrap_or_else(|error| unreachable!("plain fields encode into memory: {error}"));
         let mut mac = self.mac.clone();
         mac.update(&prefix);
-        ScopeSealer { prefix, mac }
+        ScopeSigner { prefix, mac }
     }
 
     /// Opens a token.
@@ -121,7 +121,7 @@
     /// # Errors
     ///
     /// [`TokenError`].
-    pub fn open(&self, text: &str) -> Result<ResumeToken, TokenError> {
+    pub fn verify(&self, text: &str) -> Result<ResumeToken, TokenError> {
         if text.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::Malformed);
         }
@@ -132,13 +132,13 @@
             .len()
             .checked_sub(TAIL_BYTES)
             .ok_or(TokenError::Malformed)?;
-        let (sealed, seal) = bytes.split_at(bytes.len() - SEAL_BYTES);
+        let (signed, signature) = bytes.split_at(bytes.len() - SIGNATURE_BYTES);
         let mut mac = self.mac.clone();
-        mac.update(sealed);
+        mac.update(signed);
         // Compared in constant time, so that a forger learns nothing from how long it takes.
-        mac.verify_truncated_left(seal)
-            .map_err(|_| TokenError::Forged)?;
-        let (prefix, tail) = sealed.split_at(split);
+        mac.verify_truncated_left(signature)
+            .map_err(|_| TokenError::InvalidSignature)?;
+        let (prefix, tail) = signed.split_at(split);
         let (scope, used): (TokenScope, usize) =
             bincode::serde::decode_from_slice(prefix, bincode::config::standard())
                 .map_err(|_| TokenError::Malformed)?;
@@ -151,25 +151,25 @@
 }
 
 fn read_offset(tail: &[u8]) -> Option<StreamOffset> {
-    let (count, digest) = tail.split_at_checked(OFFSET_BYTES)?;
+    let (count, digest) = tail.split_at_checked(COUNT_BYTES)?;
     Some(StreamOffset {
         count: u32::from_be_bytes(count.try_into().ok()?),
         digest: TextDigest(digest.try_into().ok()?),
     })
 }
 
-impl ScopeSealer {
+impl ScopeSigner {
     /// The token for a caller that has so much of the answer.
     #[must_use]
-    pub fn seal(&self, offset: StreamOffset) -> String {
+    pub fn sign(&self, offset: StreamOffset) -> String {
         let mut bytes = Vec::with_capacity(self.prefix.len() + TAIL_BYTES);
         bytes.extend_from_slice(&self.prefix);
         bytes.extend_from_slice(&offset.count.to_be_bytes());
         bytes.extend_from_slice(&offset.digest.0);
         let mut mac = self.mac.clone();
         mac.update(&bytes[self.prefix.len()..]);
-        let seal = mac.finalize().into_bytes();
-        bytes.extend_from_slice(&seal[..SEAL_BYTES]);
+        let signature = mac.finalize().into_bytes();
+        bytes.extend_from_slice(&signature[..SIGNATURE_BYTES]);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 }
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -13,7 +13,7 @@
 };
 use entry::dispatch::state::DispatchSettings;
 use entry::{
-    EntryContext, EntryServer, EntrySettings, IdGenerator, RequestDispatcher, TokenSealer,
+    EntryContext, EntryServer, EntrySettings, IdGenerator, RequestDispatcher, TokenSigner,
 };
 use events::EventRecorder;
 use http::{Request, StatusCode};
@@ -212,7 +212,7 @@
             .targets(targets.subscribe())
             .engine(engine.clone())
             .recorder(recorder.clone())
-            .sealer(TokenSealer::new(Some(&"one key".into())))
+            .signer(TokenSigner::new(Some(&"one key".into())))
             .dispatcher(RequestDispatcher::start(dispatcher, targets.subscribe()))
             .ids(IdGenerator::new(&node))
             .settings(settings)
--- a/crates/entry/tests/resume_tokens.rs
+++ b/crates/entry/tests/resume_tokens.rs
@@ -3,7 +3,7 @@
 use domain::IncarnationNumber;
 use entry::digest::{ContentDigest, TextDigest};
 use entry::settings::SecretText;
-use entry::token::{StreamOffset, TokenError, TokenScope, TokenSealer};
+use entry::token::{StreamOffset, TokenError, TokenScope, TokenSigner};
 use quickcheck::{Gen, QuickCheck};
 
 const SEED: u64 = 0x5eed_0002;
@@ -19,8 +19,8 @@
     }
 }
 
-fn sealer(key: &str) -> TokenSealer {
-    TokenSealer::new(Some(&SecretText::from(key)))
+fn signer(key: &str) -> TokenSigner {
+    TokenSigner::new(Some(&SecretText::from(key)))
 }
 
 #[test]
@@ -29,26 +29,26 @@
         count: 17,
         digest: TextDigest::default().extended("word "),
     };
-    let text = sealer("shared").scope(&scope()).seal(offset);
-    let token = sealer("shared").open(&text).expect("opens");
+    let text = signer("shared").scope(&scope()).sign(offset);
+    let token = signer("shared").verify(&text).expect("opens");
     assert_eq!(token.scope, scope());
     assert_eq!(token.offset, offset);
-    let stranger = sealer("another").open(&text);
-    assert_eq!(stranger, Err(TokenError::Forged));
+    let stranger = signer("another").verify(&text);
+    assert_eq!(stranger, Err(TokenError::InvalidSignature));
 }
 
 /// A caller changes a token, to read another's answer or more than its own. Every change of a
 /// single byte must be noticed.
 #[test]
 fn changed_byte() {
-    let text = sealer("shared")
+    let text = signer("shared")
         .scope(&scope())
-        .seal(StreamOffset::default());
+        .sign(StreamOffset::default());
     for place in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
         bytes[place] = if bytes[place] == b'A' { b'B' } else { b'A' };
         let changed = String::from_utf8(bytes).expect("ASCII");
-        let opened = sealer("shared").open(&changed);
+        let opened = signer("shared").verify(&changed);
         assert!(opened.is_err(), "byte {place} changed: {opened:?}");
     }
 }
@@ -62,7 +62,7 @@
         reason = "the library hands values over"
     )]
     fn property(text: String) -> bool {
-        sealer("shared").open(&text).is_err()
+        signer("shared").verify(&text).is_err()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(400, SEED))
@@ -73,6 +73,6 @@
 #[test]
 fn secret_hidden() {
     let key = SecretText::from("very secret");
-    let printed = format!("{key:?} {:?}", TokenSealer::new(Some(&key)));
+    let printed = format!("{key:?} {:?}", TokenSigner::new(Some(&key)));
     assert!(!printed.contains("very secret"), "{printed}");
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -13,7 +13,7 @@
 use entry::settings::SecretText;
 use entry::{
     EntryContext, EntryServer, EntrySettings, IdGenerator, RequestDispatcher, ShutdownPhase,
-    TokenSealer,
+    TokenSigner,
 };
 use events::{EventCode, EventRecorder, EventSubject};
 use eyre::WrapErr;
@@ -65,7 +65,7 @@
         .targets(targets)
         .engine(context.engine.clone())
         .recorder(context.recorder.clone())
-        .sealer(TokenSealer::new(settings.resume_key.as_ref()))
+        .signer(TokenSigner::new(settings.resume_key.as_ref()))
         .ids(IdGenerator::new(&context.settings.node))
         .settings(Arc::clone(&settings))
         .build();
