--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -328,7 +328,7 @@
 
     fn standing(&mut self) -> ReplicaStanding {
         let view = Arc::clone(&self.targets.borrow_and_update());
-        let limit = self.context.settings.evidence_limit();
+        let limit = self.context.settings.max_evidence_age();
         ReplicaStanding::judge(&view, &self.site.plan, Instant::now(), limit)
     }
 }
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/auth.rs
@@ -15,7 +15,7 @@
 
 /// SHA-256 as 64 hexadecimal digits in lower case.
 #[must_use]
-pub fn hex_hash(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(bytes) {
         let _ = write!(text, "{byte:02x}");
@@ -32,12 +32,12 @@
 /// # Errors
 ///
 /// [`ErrorCode::InvalidKey`].
-pub fn find_customer<'view>(
+pub fn authenticate<'view>(
     view: &'view ConfigView,
     headers: &HeaderMap,
 ) -> Result<&'view CustomerRecord, CallerFailure> {
     let key = bearer_key(headers)?;
-    let hash = hex_hash(key);
+    let hash = sha256_hex(key);
     let unknown = || {
         CallerFailure::not_run(ErrorCode::InvalidKey, "the key belongs to no customer")
             .at(KEY_PLACE)
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -24,8 +24,8 @@
     keys: FastMap<ReplicaId, TargetKey>,
     views: FastMap<TargetKey, Arc<ReplicaView>>,
     pub rng: SmallRng,
-    evidence_limit: Duration,
-    home: Option<DomainId>,
+    max_evidence_age: Duration,
+    local_domain: Option<DomainId>,
 }
 
 /// Replicas of one model after a change of the view.
@@ -36,14 +36,14 @@
 }
 
 impl ReplicaIndex {
-    pub fn new(rng: SmallRng, evidence_limit: Duration, home: Option<DomainId>) -> Self {
+    pub fn new(rng: SmallRng, max_evidence_age: Duration, local_domain: Option<DomainId>) -> Self {
         Self {
             pool: TargetPool::new(PlacementSettings::builder().build()),
             keys: FastMap::default(),
             views: FastMap::default(),
             rng,
-            evidence_limit,
-            home,
+            max_evidence_age,
+            local_domain,
         }
     }
 
@@ -83,7 +83,7 @@
                 age,
             };
             self.pool.record_load(key, now, load);
-            if replica.dispatchable(instant, self.evidence_limit) {
+            if replica.dispatchable(instant, self.max_evidence_age) {
                 add_report(&mut targets.report, replica, load);
             }
         }
@@ -96,7 +96,7 @@
     }
 
     fn properties(&self, replica: &ReplicaView) -> TargetProperties {
-        let near = self.home.is_none() || replica.domain == self.home;
+        let near = self.local_domain.is_none() || replica.domain == self.local_domain;
         TargetProperties {
             slots: replica.load.map_or(0, |(load, _)| load.slots),
             round_trip: if near { Duration::ZERO } else { OTHER_DOMAIN },
@@ -108,7 +108,7 @@
     pub fn any_usable(&self, candidates: &CandidateList, instant: Instant) -> bool {
         candidates.as_slice().iter().any(|key| {
             let view = self.views.get(key);
-            view.is_some_and(|view| view.dispatchable(instant, self.evidence_limit))
+            view.is_some_and(|view| view.dispatchable(instant, self.max_evidence_age))
         })
     }
 
@@ -127,7 +127,7 @@
             prefixes: &ask.prefixes,
             adapter: ask.adapter.as_ref(),
         };
-        let (views, limit) = (&self.views, self.evidence_limit);
+        let (views, limit) = (&self.views, self.max_evidence_age);
         let fits = |key: TargetKey| {
             views.get(&key).is_some_and(|view| {
                 let version = ask.version.as_ref();
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone, bon::Builder)]
 pub struct DispatchSettings {
     /// Oldest evidence of wholeness that allows dispatch.
-    pub evidence_limit: Duration,
+    pub max_evidence_age: Duration,
     /// The entry's own failure domain.
-    pub home: Option<DomainId>,
+    pub local_domain: Option<DomainId>,
     /// Attempts of one request.
     #[builder(default = 8)]
     pub max_attempts: u32,
@@ -53,7 +53,11 @@
             .max_attempts(settings.max_attempts)
             .build();
         Self {
-            index: ReplicaIndex::new(rng, settings.evidence_limit, settings.home.clone()),
+            index: ReplicaIndex::new(
+                rng,
+                settings.max_evidence_age,
+                settings.local_domain.clone(),
+            ),
             models: FastMap::default(),
             customers: FastMap::default(),
             customer_keys: SlotMap::with_key(),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -2,8 +2,8 @@
 
 pub mod answer;
 pub mod attempt;
+pub mod auth;
 pub mod call;
-pub mod caller;
 pub mod completion;
 pub mod context;
 pub mod digest;
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -17,8 +17,8 @@
 use wire::openai::{ChatRequest, CompletionRequest};
 
 use crate::answer::{CompletionCall, answer_completion};
+use crate::auth::authenticate;
 use crate::call::CallerCall;
-use crate::caller::find_customer;
 use crate::context::EntryContext;
 use crate::failure::CallerFailure;
 use crate::models::{list_models, show_model};
@@ -65,7 +65,7 @@
             _ => {}
         }
         known_config(&view)?;
-        let customer = find_customer(&view, &call.headers)?;
+        let customer = authenticate(&view, &call.headers)?;
         match route {
             CallerRoute::Health | CallerRoute::Ready => self.ready(&view),
             CallerRoute::Models => Ok(list_models(customer)),
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -35,7 +35,7 @@
 use super::{
     CALL_RETRY, STORE_RETRY, ServiceDispatcher, ServiceRun, answer_from_service, no_instance,
 };
-use crate::caller::hex_hash;
+use crate::auth::sha256_hex;
 use crate::failure::CallerFailure;
 
 /// Time that a claimant has to record an answer, besides the service's own.
@@ -62,7 +62,7 @@
         let claim_key = ClaimKey {
             service: run.found.service.name.clone(),
             customer: run.found.customer.name.clone(),
-            key_hash: hex_hash(key.as_bytes()),
+            key_hash: sha256_hex(key.as_bytes()),
         };
         let attempt: AttemptId = run
             .request
@@ -254,7 +254,7 @@
     let mut bytes = run.order.path.clone().into_bytes();
     bytes.push(b'\n');
     bytes.extend_from_slice(&run.order.body);
-    hex_hash(&bytes)
+    sha256_hex(&bytes)
 }
 
 fn answered_state(answer: &ServiceAnswer) -> ClaimState {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -92,7 +92,7 @@
     /// [`EntrySettings::doubt_silence_ms`].
     doubt_silence = doubt_silence_ms;
     /// [`EntrySettings::evidence_ms`].
-    evidence_limit = evidence_ms;
+    max_evidence_age = evidence_ms;
     /// [`EntrySettings::recovery_ms`].
     recovery = recovery_ms;
     /// [`EntrySettings::call_timeout_ms`].
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -78,7 +78,7 @@
 fn customer(name: &str, key: &str) -> RecordSpec {
     RecordSpec::Customer(CustomerRecord {
         name: name.parse().expect("an id"),
-        key_hashes: vec![entry::caller::hex_hash(key.as_bytes())],
+        key_hashes: vec![entry::auth::sha256_hex(key.as_bytes())],
         grants: vec![ModelGrant {
             model: "help".parse().expect("an id"),
             version: None,
@@ -203,7 +203,7 @@
         let engine = FakeEngine::default();
         let recorder = EventRecorder::new(node.clone(), 1_000);
         let dispatcher = DispatchSettings::builder()
-            .evidence_limit(settings.evidence_limit())
+            .max_evidence_age(settings.max_evidence_age())
             .max_attempts(settings.max_attempts)
             .seed(1)
             .build();
--- a/src/main.rs
+++ b/src/main.rs
@@ -70,7 +70,7 @@
         CommandPlan::HashKey => {
             let mut line = String::new();
             std::io::stdin().read_line(&mut line)?;
-            println!("{}", entry::caller::hex_hash(line.trim().as_bytes()));
+            println!("{}", entry::auth::sha256_hex(line.trim().as_bytes()));
             Ok(CommandEnd::Done)
         }
         CommandPlan::Print(text) => {
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -52,8 +52,8 @@
     let settings = Arc::new(settings);
     let targets = context.target_sender.subscribe();
     let dispatcher = DispatchSettings::builder()
-        .evidence_limit(settings.evidence_limit())
-        .home(context.settings.domain.clone())
+        .max_evidence_age(settings.max_evidence_age())
+        .local_domain(context.settings.domain.clone())
         .max_attempts(settings.max_attempts)
         .seed(process_seed())
         .build();
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -34,7 +34,7 @@
     dispatcher: RequestDispatcher,
     held: watch::Receiver<Vec<LeaseName>>,
     directory: watch::Receiver<Arc<HostDirectory>>,
-    evidence_limit: Duration,
+    max_evidence_age: Duration,
     traffic: PeerTraffic,
     started: Instant,
     settle: Duration,
@@ -65,7 +65,7 @@
             dispatcher: dispatcher.clone(),
             held: tasks.held(),
             directory: tasks.directory(),
-            evidence_limit: context.settings.entry.evidence_limit(),
+            max_evidence_age: context.settings.entry.max_evidence_age(),
             traffic: peers.traffic().clone(),
             started: Instant::now(),
             settle: context.settings.members.timeouts().dead,
@@ -151,7 +151,7 @@
     }
 
     fn state_of(&self, replica: &ReplicaView, now: Instant) -> ReplicaState {
-        if replica.dispatchable(now, self.evidence_limit) {
+        if replica.dispatchable(now, self.max_evidence_age) {
             ReplicaState::Whole
         } else if replica.draining || replica.plan.draining {
             ReplicaState::Draining
