--- a/crates/control/tests/rules/sim/engine.rs
+++ b/crates/control/tests/rules/sim/engine.rs
@@ -9,7 +9,9 @@
 use target::engine::TokenStream;
 use target::{EnginePort, OrderOutcome, StreamStart};
 use web::ClientError;
-use wire::engine::{EngineLoad, EngineOrder, EngineState, ResumeOrder, StreamEvent, StreamOrder};
+use wire::engine::{
+    EngineLoad, EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest,
+};
 
 use super::SeededRng;
 
@@ -197,7 +199,7 @@
     async fn start(
         &self,
         address: SocketAddr,
-        _: &StreamOrder,
+        _: &StreamRequest,
         _: Duration,
     ) -> Result<StreamStart<NoStream>, ClientError> {
         Err(ClientError::NotConnected(address))
@@ -207,7 +209,7 @@
         &self,
         address: SocketAddr,
         _: &AttemptId,
-        _: ResumeOrder,
+        _: ResumeRequest,
         _: Duration,
     ) -> Result<StreamStart<NoStream>, ClientError> {
         Err(ClientError::NotConnected(address))
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -9,7 +9,7 @@
 use events::log_skipped;
 use target::{EnginePort, StreamStart, TokenStream};
 use tokio::sync::watch;
-use wire::engine::{ResumeOrder, StreamEvent, StreamOrder};
+use wire::engine::{ResumeRequest, StreamEvent, StreamRequest};
 
 use crate::context::EntryContext;
 use crate::dispatch::ask::PlacedSlot;
@@ -207,7 +207,7 @@
     let timeout = context.settings.start_timeout();
     let started = match kind {
         AttemptKind::Start => {
-            let stream_order = StreamOrder {
+            let stream_order = StreamRequest {
                 attempt: site.attempt.clone(),
                 replica: site.plan.id.clone(),
                 incarnation: site.plan.incarnation,
@@ -225,7 +225,7 @@
                 .await
         }
         AttemptKind::Kept => {
-            let resume = ResumeOrder {
+            let resume = ResumeRequest {
                 from: progress.offset().count,
             };
             context
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -27,8 +27,8 @@
 use http::StatusCode;
 use platform::{StoreError, TableStore};
 use policy::service::CallOutcome;
-use target::service::LookupOrder;
-use target::{ServiceAnswer, ServiceError, ServicePort};
+use target::service::LookupRequest;
+use target::{ServiceError, ServicePort, ServiceResponse};
 use web::WebResponse;
 use wire::caller::ErrorCode;
 
@@ -43,7 +43,7 @@
 
 /// What became of the one send.
 enum SendOutcome {
-    Answered(ServiceAnswer),
+    Answered(ServiceResponse),
     /// No byte left.
     Unsent(String),
     /// It may have run.
@@ -149,7 +149,7 @@
             self.pool.note_ended(address, started.elapsed(), ended);
             match outcome {
                 Ok(answer) => return SendOutcome::Answered(answer),
-                Err(ServiceError::AnswerLost(error)) => {
+                Err(ServiceError::ResponseLost(error)) => {
                     self.note(EventCode::CallFailed, run, &format!("{address}: {error}"));
                     return SendOutcome::Lost(error.to_string());
                 }
@@ -175,7 +175,7 @@
             body,
         } = &claim.state
         {
-            return Ok(answer_from_service(&ServiceAnswer {
+            return Ok(answer_from_service(&ServiceResponse {
                 status: StatusCode::from_u16(*status).unwrap_or(StatusCode::OK),
                 content_type: content_type.clone(),
                 body: Bytes::from(body.clone()),
@@ -213,8 +213,8 @@
     /// A service that shows no execution proves nothing, since the call may still be on its way.
     /// Where several customers may call a service, their keys could be the same, and one would be
     /// told of the other's payment; the service's word counts then only when it names the customer.
-    async fn look_up(&self, run: &ServiceRun, key: &str) -> Option<ServiceAnswer> {
-        let lookup = LookupOrder {
+    async fn look_up(&self, run: &ServiceRun, key: &str) -> Option<ServiceResponse> {
+        let lookup = LookupRequest {
             path: run.found.call.lookup.clone()?,
             key: key.to_owned(),
             customer: run.found.customer.name.clone(),
@@ -229,7 +229,7 @@
                 continue;
             }
             let answer = found.answer.unwrap_or(serde_json::Value::Null);
-            return Some(ServiceAnswer {
+            return Some(ServiceResponse {
                 status: StatusCode::OK,
                 content_type: "application/json".to_owned(),
                 body: Bytes::from(answer.to_string()),
@@ -257,7 +257,7 @@
     sha256_hex(&bytes)
 }
 
-fn answered_state(answer: &ServiceAnswer) -> ClaimState {
+fn answered_state(answer: &ServiceResponse) -> ClaimState {
     ClaimState::Answered {
         status: answer.status.as_u16(),
         content_type: answer.content_type.clone(),
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -13,8 +13,8 @@
 use events::{EventCode, EventRecorder, EventSubject};
 use http::{HeaderValue, header};
 use platform::TableStore;
-use target::service::ServiceCallOrder;
-use target::{ServiceAnswer, ServicePort};
+use target::service::ServiceRequest;
+use target::{ServicePort, ServiceResponse};
 use web::WebResponse;
 use web::body::full_body;
 use wire::caller::ErrorCode;
@@ -126,7 +126,7 @@
     ) -> Result<WebResponse, CallerFailure> {
         let deadline = request_deadline(&caller.headers, &self.settings)?;
         let key = idempotency_key(&caller.headers)?;
-        let order = ServiceCallOrder {
+        let order = ServiceRequest {
             path: format!("/{}", found.call.path),
             key: key.map(str::to_owned),
             customer: found.customer.name.clone(),
@@ -165,7 +165,7 @@
 struct ServiceRun {
     request: domain::RequestId,
     found: FoundCall,
-    order: ServiceCallOrder,
+    order: ServiceRequest,
     deadline: std::time::Instant,
 }
 
@@ -181,7 +181,7 @@
     CallerFailure::not_run(ErrorCode::NoReplica, message).retry(CALL_RETRY)
 }
 
-fn answer_from_service(answer: &ServiceAnswer) -> WebResponse {
+fn answer_from_service(answer: &ServiceResponse) -> WebResponse {
     let mut out = http::Response::new(full_body(answer.body.clone()));
     *out.status_mut() = answer.status;
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
--- a/crates/entry/src/services/repeated.rs
+++ b/crates/entry/src/services/repeated.rs
@@ -8,7 +8,7 @@
 use platform::TableStore;
 use policy::retry::RetryDecision;
 use policy::service::CallOutcome;
-use target::{ServiceAnswer, ServiceError, ServicePort};
+use target::{ServiceError, ServicePort, ServiceResponse};
 use web::WebResponse;
 use wire::caller::ErrorCode;
 
@@ -72,7 +72,7 @@
 }
 
 fn final_answer(
-    outcome: Result<ServiceAnswer, ServiceError>,
+    outcome: Result<ServiceResponse, ServiceError>,
     may_have_run: bool,
 ) -> Result<WebResponse, CallerFailure> {
     let error = match outcome {
--- a/crates/entry/tests/request_path/fake_engine.rs
+++ b/crates/entry/tests/request_path/fake_engine.rs
@@ -8,7 +8,7 @@
 use domain::AttemptId;
 use target::{EnginePort, OrderOutcome, StreamStart, TokenStream};
 use web::ClientError;
-use wire::engine::{EngineOrder, EngineState, ResumeOrder, StreamEvent, StreamOrder};
+use wire::engine::{EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest};
 
 /// What an engine does with one stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 struct EngineBook {
     scripts: VecDeque<EngineScript>,
-    orders: Vec<(SocketAddr, StreamOrder)>,
+    orders: Vec<(SocketAddr, StreamRequest)>,
     cancelled: Vec<AttemptId>,
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// The streams that were asked for.
-    pub fn orders(&self) -> Vec<(SocketAddr, StreamOrder)> {
+    pub fn orders(&self) -> Vec<(SocketAddr, StreamRequest)> {
         self.book().orders.clone()
     }
 
@@ -90,7 +90,7 @@
 }
 
 impl FakeStream {
-    fn new(address: SocketAddr, order: &StreamOrder, script: EngineScript) -> Self {
+    fn new(address: SocketAddr, order: &StreamRequest, script: EngineScript) -> Self {
         let from = u32::try_from(order.resume.len()).expect("few");
         let (until, tail) = match script {
             EngineScript::BreakAfter(count) => (count, StreamTail::Break),
@@ -160,7 +160,7 @@
     async fn start(
         &self,
         address: SocketAddr,
-        order: &StreamOrder,
+        order: &StreamRequest,
         _: Duration,
     ) -> Result<StreamStart<FakeStream>, ClientError> {
         let mut book = self.book();
@@ -182,7 +182,7 @@
         &self,
         _: SocketAddr,
         _: &AttemptId,
-        _: ResumeOrder,
+        _: ResumeRequest,
         _: Duration,
     ) -> Result<StreamStart<FakeStream>, ClientError> {
         Ok(StreamStart::Refused {
--- a/crates/entry/tests/request_path/fake_service.rs
+++ b/crates/entry/tests/request_path/fake_service.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use http::StatusCode;
-use target::service::{LookupOrder, ServiceCallOrder};
-use target::{ServiceAnswer, ServiceError, ServicePort};
+use target::service::{LookupRequest, ServiceRequest};
+use target::{ServiceError, ServicePort, ServiceResponse};
 use web::ClientError;
 use wire::service::{LookupBody, ServiceLoad};
 
@@ -69,9 +69,9 @@
     async fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceCallOrder,
+        order: &ServiceRequest,
         _: Duration,
-    ) -> Result<ServiceAnswer, ServiceError> {
+    ) -> Result<ServiceResponse, ServiceError> {
         let mut book = self.book();
         let script = book.scripts.pop_front();
         if script == Some(ServiceScript::Unreached) {
@@ -80,14 +80,14 @@
         book.sends += 1;
         let broken = ClientError::Broken(address, "reset".to_owned());
         if script == Some(ServiceScript::BreakUnrun) {
-            return Err(ServiceError::AnswerLost(broken));
+            return Err(ServiceError::ResponseLost(broken));
         }
         let key = order.key.clone().unwrap_or_default();
         book.runs.push((order.customer.to_string(), key));
         if script == Some(ServiceScript::LoseAnswer) {
-            return Err(ServiceError::AnswerLost(broken));
+            return Err(ServiceError::ResponseLost(broken));
         }
-        Ok(ServiceAnswer {
+        Ok(ServiceResponse {
             status: StatusCode::OK,
             content_type: "text/plain".to_owned(),
             body: Bytes::from(format!("paid by {}", order.customer)),
@@ -97,7 +97,7 @@
     async fn lookup(
         &self,
         _: SocketAddr,
-        lookup: &LookupOrder,
+        lookup: &LookupRequest,
         _: Duration,
     ) -> Result<LookupBody, ClientError> {
         self.book().lookups += 1;
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use web::response::bytes_response;
 use web::{WebClient, WebResponse, json_response, parse_json, text_response};
-use wire::engine::{CachePage, EngineAssignment, EngineOrder, EngineState, StreamOrder};
+use wire::engine::{CachePage, EngineAssignment, EngineOrder, EngineState, StreamRequest};
 
 use super::batch::StepCosts;
 use super::cache::PrefixCache;
@@ -152,7 +152,7 @@
     }
 
     /// Starts a stream.
-    pub fn start(&self, order: StreamOrder) -> WebResponse {
+    pub fn start(&self, order: StreamRequest) -> WebResponse {
         let now = Instant::now();
         let mut inner = self.inner();
         let meant = inner.assignment.as_ref().is_some_and(|assignment| {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -22,7 +22,7 @@
 use eyre::WrapErr;
 use http::{Method, Request, StatusCode};
 use web::{WebResponse, json_response, parse_json, query_value, text_response};
-use wire::engine::ResumeOrder;
+use wire::engine::ResumeRequest;
 
 use crate::engine::core::EngineCore;
 use crate::faults::FaultSwitch;
@@ -81,7 +81,7 @@
         if !resume || *method != Method::POST {
             return text_response(StatusCode::NOT_FOUND, "no such call");
         }
-        match parse_json::<ResumeOrder>(body) {
+        match parse_json::<ResumeRequest>(body) {
             Ok(order) => self.core.resume(&attempt, order.from),
             Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -7,7 +7,7 @@
 use domain::AttemptId;
 use serde::{Deserialize, Serialize};
 use web::WebResponse;
-use wire::engine::{EngineLoad, PREFIX_BLOCK_BYTES, StreamOrder, prefix_hashes};
+use wire::engine::{EngineLoad, PREFIX_BLOCK_BYTES, StreamRequest, prefix_hashes};
 
 use super::batch::BatchStep;
 use super::cache::PrefixCache;
@@ -77,7 +77,7 @@
     }
 
     /// Takes a stream.
-    pub fn start(&mut self, order: StreamOrder, now: Instant) -> WebResponse {
+    pub fn start(&mut self, order: StreamRequest, now: Instant) -> WebResponse {
         self.arrivals += 1;
         let attempt = order.attempt.clone();
         let from = u32::try_from(order.resume.len()).unwrap_or(u32::MAX);
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use web::body::channel_body;
 use web::{WebResponse, text_response};
-use wire::engine::{StreamEvent, StreamOrder};
+use wire::engine::{StreamEvent, StreamRequest};
 
 /// Events that wait for a slow reader on the connection; the rest waits in the stream.
 const READER_BUFFER: usize = 64;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct KeptStream {
     /// What was ordered.
-    pub order: StreamOrder,
+    pub order: StreamRequest,
     /// Number of its arrival.
     pub arrival: u64,
     /// How far it is.
@@ -53,7 +53,7 @@
 impl KeptStream {
     /// A stream that waits.
     #[must_use]
-    pub fn new(order: StreamOrder, arrival: u64, now: Instant) -> Self {
+    pub fn new(order: StreamRequest, arrival: u64, now: Instant) -> Self {
         let words = order.prompt.split_whitespace().count();
         let tokens = order.resume.clone();
         Self {
@@ -175,7 +175,7 @@
 }
 
 /// The token at an index: the same for the same prompt and seed on every replica.
-fn token_text(order: &StreamOrder, index: u32) -> String {
+fn token_text(order: &StreamRequest, index: u32) -> String {
     let mut state = order.seed ^ (u64::from(index) << 20);
     for byte in order.prompt.bytes() {
         state = state.rotate_left(5) ^ u64::from(byte);
--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use web::body::full_body;
 use web::client::json_request;
-use wire::engine::{EngineState, StreamOrder};
+use wire::engine::{EngineState, StreamRequest};
 
 use crate::stack::{CUSTOMER_KEY, PATIENCE, TestStack};
 
@@ -62,7 +62,7 @@
 ) -> eyre::Result<Response<Incoming>> {
     let assignment = engine.assignment.as_ref().ok_or_eyre("an idle engine")?;
     eyre::ensure!(assignment.rank == 0 && assignment.role == ReplicaRole::Both);
-    let order = StreamOrder {
+    let order = StreamRequest {
         attempt: attempt.parse()?,
         replica: assignment.replica.clone(),
         incarnation: assignment.incarnation,
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use web::client::{JsonResponse, json_request};
 use web::{ClientError, WebClient, parse_json};
-use wire::engine::{EngineOrder, EngineState, ResumeOrder, StreamEvent, StreamOrder};
+use wire::engine::{EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest};
 
 /// Largest line of a stream, in bytes; a longer one means that the engine is broken.
 const MAX_LINE_BYTES: usize = 1 << 20;
@@ -89,7 +89,7 @@
     fn start(
         &self,
         address: SocketAddr,
-        order: &StreamOrder,
+        order: &StreamRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<StreamStart<Self::Stream>, ClientError>> + Send;
 
@@ -102,7 +102,7 @@
         &self,
         address: SocketAddr,
         attempt: &AttemptId,
-        order: ResumeOrder,
+        order: ResumeRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<StreamStart<Self::Stream>, ClientError>> + Send;
 
@@ -169,7 +169,7 @@
     async fn start(
         &self,
         address: SocketAddr,
-        order: &StreamOrder,
+        order: &StreamRequest,
         timeout: Duration,
     ) -> Result<StreamStart<HttpStream>, ClientError> {
         let request = json_request(Method::POST, address, "/streams", Some(order))?;
@@ -181,7 +181,7 @@
         &self,
         address: SocketAddr,
         attempt: &AttemptId,
-        order: ResumeOrder,
+        order: ResumeRequest,
         timeout: Duration,
     ) -> Result<StreamStart<HttpStream>, ClientError> {
         let path = format!("/streams/{attempt}/resume");
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -4,4 +4,4 @@
 pub mod service;
 
 pub use engine::{EnginePort, HttpEngine, OrderOutcome, StreamStart, TokenStream};
-pub use service::{HttpService, ServiceAnswer, ServiceError, ServicePort};
+pub use service::{HttpService, ServiceError, ServicePort, ServiceResponse};
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -14,11 +14,11 @@
 use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_HEADER, LookupBody, ServiceLoad};
 
 /// Largest answer of a service, in bytes; it is kept in the ledger's row.
-pub const MAX_SERVICE_ANSWER: usize = 256 << 10;
+pub const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
 /// A call.
 #[derive(Debug, Clone)]
-pub struct ServiceCallOrder {
+pub struct ServiceRequest {
     /// Path with its query, with a leading slash.
     pub path: String,
     /// Idempotency key, for calls that have one.
@@ -33,7 +33,7 @@
 
 /// A question whether a call ran.
 #[derive(Debug, Clone)]
-pub struct LookupOrder {
+pub struct LookupRequest {
     /// Path of the look-up, without slashes at its ends.
     pub path: String,
     /// The idempotency key: visible ASCII.
@@ -44,7 +44,7 @@
 
 /// Answer of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Content type.
@@ -61,7 +61,7 @@
     Unsent(ClientError),
     /// It may have been run.
     #[error("the service's answer is lost: {0}")]
-    AnswerLost(ClientError),
+    ResponseLost(ClientError),
 }
 
 /// Plain services, by address.
@@ -74,9 +74,9 @@
     fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceCallOrder,
+        order: &ServiceRequest,
         timeout: Duration,
-    ) -> impl Future<Output = Result<ServiceAnswer, ServiceError>> + Send;
+    ) -> impl Future<Output = Result<ServiceResponse, ServiceError>> + Send;
 
     /// Asks a service whether a call ran.
     ///
@@ -86,7 +86,7 @@
     fn lookup(
         &self,
         address: SocketAddr,
-        lookup: &LookupOrder,
+        lookup: &LookupRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<LookupBody, ClientError>> + Send;
 
@@ -122,9 +122,9 @@
     async fn exchange(
         &self,
         address: SocketAddr,
-        order: &ServiceCallOrder,
+        order: &ServiceRequest,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, ClientError> {
+    ) -> Result<ServiceResponse, ClientError> {
         let request = call_request(address, order)?;
         let answer = self.caller.send(address, request, timeout).await?;
         let status = answer.status();
@@ -134,10 +134,10 @@
             .and_then(|value| value.to_str().ok())
             .unwrap_or("application/octet-stream")
             .to_owned();
-        let body = read_body(answer.into_body(), MAX_SERVICE_ANSWER)
+        let body = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| ClientError::Broken(address, error.to_string()))?;
-        Ok(ServiceAnswer {
+        Ok(ServiceResponse {
             status,
             content_type,
             body,
@@ -147,7 +147,7 @@
 
 fn call_request(
     address: SocketAddr,
-    order: &ServiceCallOrder,
+    order: &ServiceRequest,
 ) -> Result<Request<web::WebBody>, ClientError> {
     let mut builder = Request::builder()
         .method(Method::POST)
@@ -166,7 +166,7 @@
 
 fn lookup_request(
     address: SocketAddr,
-    lookup: &LookupOrder,
+    lookup: &LookupRequest,
 ) -> Result<Request<web::WebBody>, ClientError> {
     let key = escape_key(&lookup.key);
     Request::builder()
@@ -195,21 +195,21 @@
     async fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceCallOrder,
+        order: &ServiceRequest,
         timeout: Duration,
-    ) -> Result<ServiceAnswer, ServiceError> {
+    ) -> Result<ServiceResponse, ServiceError> {
         match tokio::time::timeout(timeout, self.exchange(address, order, timeout)).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) if error.is_unsent() => Err(ServiceError::Unsent(error)),
-            Ok(Err(error)) => Err(ServiceError::AnswerLost(error)),
-            Err(_) => Err(ServiceError::AnswerLost(ClientError::TimedOut(address))),
+            Ok(Err(error)) => Err(ServiceError::ResponseLost(error)),
+            Err(_) => Err(ServiceError::ResponseLost(ClientError::TimedOut(address))),
         }
     }
 
     async fn lookup(
         &self,
         address: SocketAddr,
-        lookup: &LookupOrder,
+        lookup: &LookupRequest,
         timeout: Duration,
     ) -> Result<LookupBody, ClientError> {
         let request = lookup_request(address, lookup)?;
@@ -219,7 +219,7 @@
             let problem = format!("status {status} to a look-up");
             return Err(ClientError::Broken(address, problem));
         }
-        let body = read_body(answer.into_body(), MAX_SERVICE_ANSWER)
+        let body = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| ClientError::Broken(address, error.to_string()))?;
         parse_json(&body).map_err(|error| ClientError::InvalidResponse(address, error))
--- a/crates/target/tests/single_send.rs
+++ b/crates/target/tests/single_send.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use target::service::ServiceCallOrder;
+use target::service::ServiceRequest;
 use target::{HttpService, ServiceError, ServicePort};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -16,8 +16,8 @@
 const ANSWER: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 4\r\n\r\npaid";
 
-fn payment() -> ServiceCallOrder {
-    ServiceCallOrder {
+fn payment() -> ServiceRequest {
+    ServiceRequest {
         path: "/fees/pay".to_owned(),
         key: Some("B-14".to_owned()),
         customer: "traders".parse().expect("an id"),
@@ -71,7 +71,7 @@
     assert_eq!(first.expect("an answer").body, "paid");
     let second = service.call(address, &payment(), PATIENCE).await;
     assert!(
-        matches!(second, Err(ServiceError::AnswerLost(_))),
+        matches!(second, Err(ServiceError::ResponseLost(_))),
         "{second:?}"
     );
     assert_eq!(requests.load(Ordering::SeqCst), 2, "one send for each call");
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -3,10 +3,10 @@
 //! * `GET /state`: an [`EngineState`].
 //! * `POST /orders` with an [`EngineOrder`]: 200 with the new [`EngineState`], or 409 with the
 //!   current one when the engine checks fencing numbers and the order's epoch is old.
-//! * `POST /streams` with a [`StreamOrder`]: lines of JSON, each a [`StreamEvent`]; 409 when the
+//! * `POST /streams` with a [`StreamRequest`]: lines of JSON, each a [`StreamEvent`]; 409 when the
 //!   replica or its incarnation is another, 503 with `Retry-After` when its queue is full or its
 //!   weights are not loaded. Either proves that the request was not run.
-//! * `POST /streams/{attempt}/resume` with a [`ResumeOrder`]: goes on with a stream whose
+//! * `POST /streams/{attempt}/resume` with a [`ResumeRequest`]: goes on with a stream whose
 //!   connection was lost, as long as the engine keeps it; 404 when it does not, or when the first
 //!   token that is wanted lies behind the next one. An earlier reader of the stream gets no more.
 //! * `DELETE /streams/{attempt}`: cancels. A stream whose connection broke is generated further
@@ -105,7 +105,7 @@
 
 /// An order to generate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StreamOrder {
+pub struct StreamRequest {
     /// The attempt; every event repeats it.
     pub attempt: AttemptId,
     /// The replica that is meant.
@@ -130,7 +130,7 @@
 
 /// An order to go on with a stream whose connection was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResumeOrder {
+pub struct ResumeRequest {
     /// Index of the first token that is wanted.
     pub from: u32,
 }
--- a/tests/system/direct.rs
+++ b/tests/system/direct.rs
@@ -5,7 +5,7 @@
 use standin::stack::{PATIENCE, TestStack};
 use target::engine::HttpStream;
 use target::{EnginePort, HttpEngine, StreamStart, TokenStream};
-use wire::engine::{EngineAssignment, EngineOrder, RankAddress, StreamEvent, StreamOrder};
+use wire::engine::{EngineAssignment, EngineOrder, RankAddress, StreamEvent, StreamRequest};
 
 /// Longest silence that a test takes for a stream that goes on.
 pub const SILENCE: Duration = Duration::from_secs(20);
@@ -54,8 +54,12 @@
 }
 
 /// An order to generate.
-pub fn stream_order(assignment: &EngineAssignment, attempt: &str, max_tokens: u32) -> StreamOrder {
-    StreamOrder {
+pub fn stream_order(
+    assignment: &EngineAssignment,
+    attempt: &str,
+    max_tokens: u32,
+) -> StreamRequest {
+    StreamRequest {
         attempt: attempt.parse().expect("an id"),
         replica: assignment.replica.clone(),
         incarnation: assignment.incarnation,
@@ -71,7 +75,7 @@
 }
 
 /// Starts a stream; none when it is refused.
-pub async fn start(assignment: &EngineAssignment, order: &StreamOrder) -> Option<HttpStream> {
+pub async fn start(assignment: &EngineAssignment, order: &StreamRequest) -> Option<HttpStream> {
     let address = assignment.hosts[0].address;
     let started = HttpEngine::default().start(address, order, PATIENCE).await;
     match started.expect("an answer") {
--- a/tests/system/stream_linger.rs
+++ b/tests/system/stream_linger.rs
@@ -8,7 +8,7 @@
 use target::{EnginePort, HttpEngine, TokenStream};
 use web::client::json_request;
 use web::read_body;
-use wire::engine::{ResumeOrder, StreamEvent};
+use wire::engine::{ResumeRequest, StreamEvent};
 
 use crate::PRODUCT;
 use crate::direct::{SILENCE, form_replica, read_tokens, start, stream_order};
@@ -27,7 +27,7 @@
 async fn resume(stack: &TestStack, attempt: &str, from: u32) -> (StatusCode, Vec<StreamEvent>) {
     let address = stack.engines[0].address;
     let path = format!("/streams/{attempt}/resume");
-    let order = ResumeOrder { from };
+    let order = ResumeRequest { from };
     let request = json_request(Method::POST, address, &path, Some(&order)).expect("a request");
     let answer = stack.client.send(address, request, SILENCE).await;
     let answer = answer.expect("an answer");
