--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -8,7 +8,7 @@
 use events::{EventCode, EventRecorder, EventSubject};
 use futures::future::join_all;
 use platform::{StoreError, TableStore};
-use target::EnginePort;
+use target::EngineClient;
 use tokio::sync::watch;
 
 use super::orders::send_orders;
@@ -49,7 +49,7 @@
 }
 
 /// Runs rounds for a fabric domain while its lease is held; returns when the lease's actor ends.
-pub async fn run_controller<T: TableStore, E: EnginePort, C: HostChooser>(
+pub async fn run_controller<T: TableStore, E: EngineClient, C: HostChooser>(
     context: AssemblyContext<T, E, C>,
     fabric: FabricId,
     mut grants: watch::Receiver<Option<LeaseGrant>>,
@@ -83,7 +83,7 @@
     health: FabricHealth,
 }
 
-impl<T: TableStore, E: EnginePort, C: HostChooser> FabricController<T, E, C> {
+impl<T: TableStore, E: EngineClient, C: HostChooser> FabricController<T, E, C> {
     /// A controller that has read nothing yet.
     #[must_use]
     pub fn new(context: AssemblyContext<T, E, C>, fabric: FabricId) -> Self {
--- a/crates/control/src/assembly/orders.rs
+++ b/crates/control/src/assembly/orders.rs
@@ -6,7 +6,7 @@
 
 use domain::{FabricFleet, HostId, ReplicaPlan};
 use futures::future::join_all;
-use target::{EnginePort, OrderOutcome};
+use target::{EngineClient, OrderOutcome};
 use wire::engine::{EngineAssignment, EngineOrder, EngineState, RankAddress};
 
 use super::{AssemblySettings, HostHealth};
@@ -214,7 +214,7 @@
 
 /// Sends the orders if the lease outlasts their timeout; returns the hosts that refused one because
 /// of its old fencing token.
-pub async fn send_orders<E: EnginePort>(
+pub async fn send_orders<E: EngineClient>(
     engine: &E,
     grant: &LeaseGrant,
     orders: &[HostOrder],
--- a/crates/control/src/assembly/supervise.rs
+++ b/crates/control/src/assembly/supervise.rs
@@ -7,7 +7,7 @@
 use domain::{FabricId, LeaseName, NodeId, RegionId};
 use futures::future::join_all;
 use platform::TableStore;
-use target::EnginePort;
+use target::EngineClient;
 use tokio::sync::watch;
 
 use super::{AssemblyContext, HostChooser, run_controller};
@@ -50,7 +50,7 @@
 }
 
 /// Runs all leases until `stop` completes, then releases those that are held.
-pub async fn supervise_leases<T: TableStore, E: EnginePort, C: HostChooser>(
+pub async fn supervise_leases<T: TableStore, E: EngineClient, C: HostChooser>(
     context: AssemblyContext<T, E, C>,
     mut inputs: SupervisorInputs,
     stop: impl Future<Output = ()> + Send,
@@ -82,7 +82,7 @@
     join_all(releases).await;
 }
 
-impl<T: TableStore, E: EnginePort, C: HostChooser> LeaseSupervisor<T, E, C> {
+impl<T: TableStore, E: EngineClient, C: HostChooser> LeaseSupervisor<T, E, C> {
     fn refresh(&mut self) {
         let directory = Arc::clone(&self.context.directory.borrow());
         // A fabric domain that is no longer listed keeps its controller: it may only be down.
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -5,7 +5,7 @@
 
 use domain::{HealthEvidence, HostId, ReplicaPlan};
 use futures::future::join_all;
-use target::EnginePort;
+use target::EngineClient;
 use web::ClientError;
 use wire::engine::{EngineLoad, EngineState};
 
@@ -23,7 +23,7 @@
 }
 
 /// Asks every host of a replica for its state.
-pub async fn probe_replica<E: EnginePort>(
+pub async fn probe_replica<E: EngineClient>(
     engine: &E,
     plan: &ReplicaPlan,
     directory: &HostDirectory,
@@ -59,7 +59,7 @@
     }
 }
 
-async fn probe_host<E: EnginePort>(
+async fn probe_host<E: EngineClient>(
     engine: &E,
     address: Option<SocketAddr>,
     timeout: Duration,
--- a/crates/control/src/prober.rs
+++ b/crates/control/src/prober.rs
@@ -12,7 +12,7 @@
 
 use domain::{FastMap, FastSet, IncarnationNumber, NodeId, ReplicaId, ReplicaPlan};
 use serde::{Deserialize, Serialize};
-use target::EnginePort;
+use target::EngineClient;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
@@ -82,7 +82,7 @@
 }
 
 /// Probes replicas and stores the evidence; runs until it is dropped.
-pub async fn probe_replicas<E: EnginePort>(
+pub async fn probe_replicas<E: EngineClient>(
     mut inputs: ProbeInputs,
     engine: E,
     evidence_store: EvidenceStore,
@@ -237,7 +237,7 @@
     timeout: Duration,
 }
 
-impl<E: EnginePort> ProbeTask<E> {
+impl<E: EngineClient> ProbeTask<E> {
     async fn run(self) -> (ReplicaId, bool) {
         let outcome = probe_replica(&self.engine, &self.plan, &self.directory, self.timeout).await;
         let answered = match outcome {
--- a/crates/control/tests/rules/sim/engine.rs
+++ b/crates/control/tests/rules/sim/engine.rs
@@ -7,7 +7,7 @@
 
 use domain::{AttemptId, BootNumber, HostId, LeaseEpoch};
 use target::engine::TokenStream;
-use target::{EnginePort, OrderOutcome, StreamStart};
+use target::{EngineClient, OrderOutcome, StreamStart};
 use web::ClientError;
 use wire::engine::{
     EngineLoad, EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest,
@@ -166,7 +166,7 @@
     }
 }
 
-impl EnginePort for FakeEngines {
+impl EngineClient for FakeEngines {
     type Stream = NoStream;
 
     async fn state(&self, address: SocketAddr, _: Duration) -> Result<EngineState, ClientError> {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -5,7 +5,7 @@
 use domain::record::CustomerRecord;
 use events::{EventCode, EventSubject};
 use http::{HeaderMap, HeaderValue, StatusCode, header};
-use target::EnginePort;
+use target::EngineClient;
 use tokio::sync::oneshot;
 use web::body::channel_body;
 use web::{WebResponse, json_response};
@@ -45,7 +45,7 @@
 ///
 /// [`CallerFailure`] when it fails before the first event of a stream, or at all when it is not
 /// streamed.
-pub async fn answer_completion<E: EnginePort>(
+pub async fn answer_completion<E: EngineClient>(
     context: &EntryContext<E>,
     call: CompletionCall<'_>,
 ) -> Result<WebResponse, CallerFailure> {
@@ -90,7 +90,7 @@
         .at(format!("header {LAST_EVENT_HEADER}"))
 }
 
-fn opened_token<E: EnginePort>(
+fn opened_token<E: EngineClient>(
     context: &EntryContext<E>,
     call: &CompletionCall<'_>,
 ) -> Result<Option<ResumeToken>, CallerFailure> {
@@ -112,7 +112,7 @@
     Ok(Some(token))
 }
 
-async fn answer_whole<E: EnginePort>(
+async fn answer_whole<E: EngineClient>(
     context: &EntryContext<E>,
     order: &CompletionOrder,
 ) -> Result<WebResponse, CallerFailure> {
@@ -131,7 +131,7 @@
     }
 }
 
-async fn answer_stream<E: EnginePort>(
+async fn answer_stream<E: EngineClient>(
     context: &EntryContext<E>,
     order: CompletionOrder,
     resume: Option<ResumeToken>,
@@ -160,7 +160,7 @@
     Ok(answer)
 }
 
-async fn feed_stream<E: EnginePort>(
+async fn feed_stream<E: EngineClient>(
     context: EntryContext<E>,
     order: CompletionOrder,
     resume: Option<ResumeToken>,
@@ -205,7 +205,7 @@
     }
 }
 
-fn note_answered<E: EnginePort>(
+fn note_answered<E: EngineClient>(
     context: &EntryContext<E>,
     order: &CompletionOrder,
     end: &AnswerEnd,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -7,7 +7,7 @@
 use control::TargetView;
 use domain::{AttemptId, ReplicaPlan};
 use events::log_skipped;
-use target::{EnginePort, StreamStart, TokenStream};
+use target::{EngineClient, StreamStart, TokenStream};
 use tokio::sync::watch;
 use wire::engine::{ResumeRequest, StreamEvent, StreamRequest};
 
@@ -59,10 +59,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptFault {
     /// The engine proved that it ran nothing.
-    #[error("the engine refused: {}", if *moved { "another replica or incarnation" } else { "full" })]
+    #[error("the engine refused: {}", if *replica_changed { "another replica or incarnation" } else { "full" })]
     Refused {
         /// Whether the replica or incarnation is another; otherwise the engine is full.
-        moved: bool,
+        replica_changed: bool,
         /// When to come back, where the engine said so.
         retry_after: Option<Duration>,
     },
@@ -93,19 +93,19 @@
 
 /// Cancels the engine's stream when it is dropped armed, also when the request's future itself is
 /// dropped: an engine that went on for nobody would take the place of others in its batch.
-struct CancelGuard<E: EnginePort> {
+struct CancelGuard<E: EngineClient> {
     engine: E,
     leader: SocketAddr,
     attempt: Option<AttemptId>,
 }
 
-impl<E: EnginePort> CancelGuard<E> {
+impl<E: EngineClient> CancelGuard<E> {
     fn disarm(&mut self) {
         self.attempt = None;
     }
 }
 
-impl<E: EnginePort> Drop for CancelGuard<E> {
+impl<E: EngineClient> Drop for CancelGuard<E> {
     fn drop(&mut self) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -137,7 +137,7 @@
     pub slot: Option<&'a mut PlacedSlot>,
 }
 
-impl<E: EnginePort> AttemptRun<'_, E> {
+impl<E: EngineClient> AttemptRun<'_, E> {
     /// Runs it.
     pub async fn run<A: AnswerSink>(
         self,
@@ -197,7 +197,7 @@
     StreamMatcher::again(attempt, incarnation)
 }
 
-async fn open_stream<E: EnginePort>(
+async fn open_stream<E: EngineClient>(
     context: &EntryContext<E>,
     order: &CompletionOrder,
     site: &AttemptSite,
@@ -236,15 +236,19 @@
     };
     match started {
         Ok(StreamStart::Running(stream)) => Ok(stream),
-        Ok(StreamStart::Refused { moved, retry_after }) => {
-            Err(AttemptFault::Refused { moved, retry_after })
-        }
+        Ok(StreamStart::Refused {
+            replica_changed,
+            retry_after,
+        }) => Err(AttemptFault::Refused {
+            replica_changed,
+            retry_after,
+        }),
         Err(error) if error.is_unsent() => Err(AttemptFault::Unsent(error.to_string())),
         Err(error) => Err(AttemptFault::Broken(error.to_string())),
     }
 }
 
-struct StreamFollower<'a, E: EnginePort> {
+struct StreamFollower<'a, E: EngineClient> {
     context: &'a EntryContext<E>,
     site: &'a AttemptSite,
     targets: watch::Receiver<Arc<TargetView>>,
@@ -261,7 +265,7 @@
     NewView,
 }
 
-impl<E: EnginePort> StreamFollower<'_, E> {
+impl<E: EngineClient> StreamFollower<'_, E> {
     async fn follow<A: AnswerSink>(
         &mut self,
         progress: &mut AnswerProgress,
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -6,7 +6,7 @@
 use events::{EventCode, EventSubject};
 use policy::placement::AttemptOutcome;
 use policy::retry::RetryDecision;
-use target::EnginePort;
+use target::EngineClient;
 use wire::caller::ErrorCode;
 
 use crate::attempt::{AttemptEnd, AttemptFault, AttemptKind, AttemptRun, AttemptSite};
@@ -40,7 +40,7 @@
 
 /// Runs one request.
 #[derive(Debug)]
-pub struct CompletionRun<'a, E: EnginePort> {
+pub struct CompletionRun<'a, E: EngineClient> {
     context: &'a EntryContext<E>,
     order: &'a CompletionOrder,
     progress: AnswerProgress,
@@ -52,7 +52,7 @@
     may_have_run: bool,
 }
 
-impl<'a, E: EnginePort> CompletionRun<'a, E> {
+impl<'a, E: EngineClient> CompletionRun<'a, E> {
     /// A run of an order.
     #[must_use]
     pub fn new(context: &'a EntryContext<E>, order: &'a CompletionOrder) -> Self {
@@ -149,7 +149,10 @@
         let (outcome, cached_tokens) = match followed {
             Ok(CompletionEnd::Finished(end)) => (AttemptOutcome::Finished, Some(end.cached_tokens)),
             Ok(_) => (AttemptOutcome::Cancelled, None),
-            Err(AttemptFault::Refused { moved: false, .. }) => (AttemptOutcome::Full, None),
+            Err(AttemptFault::Refused {
+                replica_changed: false,
+                ..
+            }) => (AttemptOutcome::Full, None),
             Err(_) => (AttemptOutcome::Failed, None),
         };
         SlotOutcome {
@@ -171,11 +174,14 @@
             return Ok(());
         }
         match fault {
-            AttemptFault::Refused { moved: true, .. }
+            AttemptFault::Refused {
+                replica_changed: true,
+                ..
+            }
             | AttemptFault::HostMissing
             | AttemptFault::Unsent(_) => Ok(()),
             AttemptFault::Refused {
-                moved: false,
+                replica_changed: false,
                 retry_after,
             } => {
                 // An engine that is full took nothing; waiting for it counts as no attempt.
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -11,7 +11,7 @@
 use http::{HeaderValue, StatusCode, Version, header};
 use hyper::body::Body;
 use platform::TableStore;
-use target::{EnginePort, ServicePort};
+use target::{EngineClient, ServiceClient};
 use web::{BodyError, WebHandler, WebRequest, WebResponse, parse_json, read_body, text_response};
 use wire::caller::ErrorCode;
 use wire::openai::{ChatRequest, CompletionRequest};
@@ -37,7 +37,7 @@
     services: ServiceDispatcher<T, S>,
 }
 
-impl<E: EnginePort, T: TableStore, S: ServicePort> EntryServer<E, T, S> {
+impl<E: EngineClient, T: TableStore, S: ServiceClient> EntryServer<E, T, S> {
     /// A listener.
     #[must_use]
     pub fn new(context: EntryContext<E>, ledger: CallLedger<T>, service: S) -> Self {
@@ -204,7 +204,7 @@
     }
 }
 
-impl<E: EnginePort, T: TableStore, S: ServicePort> WebHandler for EntryServer<E, T, S> {
+impl<E: EngineClient, T: TableStore, S: ServiceClient> WebHandler for EntryServer<E, T, S> {
     async fn handle(&self, request: WebRequest) -> WebResponse {
         self.answer_parts(request).await
     }
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -28,7 +28,7 @@
 use platform::{StoreError, TableStore};
 use policy::service::CallOutcome;
 use target::service::LookupRequest;
-use target::{ServiceError, ServicePort, ServiceResponse};
+use target::{ServiceClient, ServiceError, ServiceResponse};
 use web::WebResponse;
 use wire::caller::ErrorCode;
 
@@ -50,7 +50,7 @@
     Lost(String),
 }
 
-impl<T: TableStore, S: ServicePort> ServiceDispatcher<T, S> {
+impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
     pub(super) async fn call_claimed(
         &self,
         run: &ServiceRun,
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -14,7 +14,7 @@
 use http::{HeaderValue, header};
 use platform::TableStore;
 use target::service::ServiceRequest;
-use target::{ServicePort, ServiceResponse};
+use target::{ServiceClient, ServiceResponse};
 use web::WebResponse;
 use web::body::full_body;
 use wire::caller::ErrorCode;
@@ -95,7 +95,7 @@
     settings: Arc<EntrySettings>,
 }
 
-impl<T: TableStore, S: ServicePort> ServiceDispatcher<T, S> {
+impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
     /// A dispatcher.
     #[must_use]
     pub fn new(
--- a/crates/entry/src/services/repeated.rs
+++ b/crates/entry/src/services/repeated.rs
@@ -8,7 +8,7 @@
 use platform::TableStore;
 use policy::retry::RetryDecision;
 use policy::service::CallOutcome;
-use target::{ServiceError, ServicePort, ServiceResponse};
+use target::{ServiceClient, ServiceError, ServiceResponse};
 use web::WebResponse;
 use wire::caller::ErrorCode;
 
@@ -23,7 +23,7 @@
     )
 }
 
-impl<T: TableStore, S: ServicePort> ServiceDispatcher<T, S> {
+impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
     /// A clerk's look-up must not fail because one of three instances is down, so it goes to
     /// another one. The budget keeps a service that fails as a whole from getting a multiple of
     /// its load.
--- a/crates/entry/tests/request_path/fake_engine.rs
+++ b/crates/entry/tests/request_path/fake_engine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use domain::AttemptId;
-use target::{EnginePort, OrderOutcome, StreamStart, TokenStream};
+use target::{EngineClient, OrderOutcome, StreamStart, TokenStream};
 use web::ClientError;
 use wire::engine::{EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest};
 
@@ -141,7 +141,7 @@
     }
 }
 
-impl EnginePort for FakeEngine {
+impl EngineClient for FakeEngine {
     type Stream = FakeStream;
 
     async fn state(&self, address: SocketAddr, _: Duration) -> Result<EngineState, ClientError> {
@@ -168,7 +168,7 @@
         let script = book.scripts.pop_front().unwrap_or(EngineScript::Whole);
         match script {
             EngineScript::Moved | EngineScript::Full => Ok(StreamStart::Refused {
-                moved: script == EngineScript::Moved,
+                replica_changed: script == EngineScript::Moved,
                 retry_after: None,
             }),
             EngineScript::Unreached => Err(ClientError::NotConnected(address)),
@@ -186,7 +186,7 @@
         _: Duration,
     ) -> Result<StreamStart<FakeStream>, ClientError> {
         Ok(StreamStart::Refused {
-            moved: true,
+            replica_changed: true,
             retry_after: None,
         })
     }
--- a/crates/entry/tests/request_path/fake_service.rs
+++ b/crates/entry/tests/request_path/fake_service.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::StatusCode;
 use target::service::{LookupRequest, ServiceRequest};
-use target::{ServiceError, ServicePort, ServiceResponse};
+use target::{ServiceClient, ServiceError, ServiceResponse};
 use web::ClientError;
 use wire::service::{LookupBody, ServiceLoad};
 
@@ -65,7 +65,7 @@
     }
 }
 
-impl ServicePort for FakeService {
+impl ServiceClient for FakeService {
     async fn call(
         &self,
         address: SocketAddr,
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -33,7 +33,7 @@
     /// The engine proved that it did not run it.
     Refused {
         /// Whether the replica or incarnation is another; otherwise the engine is full.
-        moved: bool,
+        replica_changed: bool,
         /// When to come back, where the engine said so.
         retry_after: Option<Duration>,
     },
@@ -54,7 +54,7 @@
 }
 
 /// Model engines, by address.
-pub trait EnginePort: Clone + Send + Sync + 'static {
+pub trait EngineClient: Clone + Send + Sync + 'static {
     /// A running stream.
     type Stream: TokenStream;
 
@@ -121,11 +121,11 @@
 
 /// Engines over HTTP.
 #[derive(Debug, Clone, Default)]
-pub struct HttpEngine {
+pub struct HttpEngineClient {
     client: WebClient,
 }
 
-impl HttpEngine {
+impl HttpEngineClient {
     /// A client that shares a connection pool.
     #[must_use]
     pub fn new(client: WebClient) -> Self {
@@ -135,7 +135,7 @@
 
 const NO_BODY: Option<&()> = None;
 
-impl EnginePort for HttpEngine {
+impl EngineClient for HttpEngineClient {
     type Stream = HttpStream;
 
     async fn state(
@@ -215,11 +215,11 @@
             buffer: BytesMut::new(),
         })),
         StatusCode::CONFLICT | StatusCode::NOT_FOUND => Ok(StreamStart::Refused {
-            moved: true,
+            replica_changed: true,
             retry_after: None,
         }),
         StatusCode::SERVICE_UNAVAILABLE => Ok(StreamStart::Refused {
-            moved: false,
+            replica_changed: false,
             retry_after: retry_after(&answer),
         }),
         status => Err(ClientError::Broken(
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -3,5 +3,5 @@
 pub mod engine;
 pub mod service;
 
-pub use engine::{EnginePort, HttpEngine, OrderOutcome, StreamStart, TokenStream};
-pub use service::{HttpService, ServiceError, ServicePort, ServiceResponse};
+pub use engine::{EngineClient, HttpEngineClient, OrderOutcome, StreamStart, TokenStream};
+pub use service::{HttpServiceClient, ServiceClient, ServiceError, ServiceResponse};
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -65,7 +65,7 @@
 }
 
 /// Plain services, by address.
-pub trait ServicePort: Clone + Send + Sync + 'static {
+pub trait ServiceClient: Clone + Send + Sync + 'static {
     /// Sends a call once.
     ///
     /// # Errors
@@ -104,12 +104,12 @@
 
 /// Services over HTTP. Look-ups and load reports share a pool; calls never reuse a connection.
 #[derive(Debug, Clone)]
-pub struct HttpService {
+pub struct HttpServiceClient {
     client: WebClient,
     caller: WebClient,
 }
 
-impl HttpService {
+impl HttpServiceClient {
     /// A client that shares a connection pool.
     #[must_use]
     pub fn new(client: WebClient) -> Self {
@@ -191,7 +191,7 @@
     escaped
 }
 
-impl ServicePort for HttpService {
+impl ServiceClient for HttpServiceClient {
     async fn call(
         &self,
         address: SocketAddr,
--- a/crates/target/tests/single_send.rs
+++ b/crates/target/tests/single_send.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use target::service::ServiceRequest;
-use target::{HttpService, ServiceError, ServicePort};
+use target::{HttpServiceClient, ServiceClient, ServiceError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use web::WebClient;
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn closed_unanswered() {
     let (address, requests) = start_server(1).await;
-    let service = HttpService::new(WebClient::default());
+    let service = HttpServiceClient::new(WebClient::default());
     let first = service.call(address, &payment(), PATIENCE).await;
     assert_eq!(first.expect("an answer").body, "paid");
     let second = service.call(address, &payment(), PATIENCE).await;
@@ -90,7 +90,7 @@
             tokio::spawn(serve_requests(stream, fresh, 1));
         }
     });
-    let service = HttpService::new(WebClient::default());
+    let service = HttpServiceClient::new(WebClient::default());
     for round in 0..20 {
         let answer = service.call(address, &payment(), PATIENCE).await;
         assert!(answer.is_ok(), "round {round}: {answer:?}");
@@ -103,7 +103,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let service = HttpService::new(WebClient::default());
+    let service = HttpServiceClient::new(WebClient::default());
     let answer = service.call(address, &payment(), PATIENCE).await;
     assert!(matches!(answer, Err(ServiceError::Unsent(_))), "{answer:?}");
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -17,7 +17,7 @@
 };
 use events::{EventCode, EventRecorder, EventSubject};
 use eyre::WrapErr;
-use target::{HttpEngine, HttpService};
+use target::{HttpEngineClient, HttpServiceClient};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use web::server::{PlainAcceptor, StreamAcceptor};
@@ -30,7 +30,7 @@
     /// Where callers connect.
     pub address: SocketAddr,
     listener: TcpListener,
-    server: Arc<EntryServer<HttpEngine, NodeTable, HttpService>>,
+    server: Arc<EntryServer<HttpEngineClient, NodeTable, HttpServiceClient>>,
     settings: Arc<EntrySettings>,
     tls: Option<ReloadableTlsConfig>,
     dispatcher: RequestDispatcher,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,7 +16,7 @@
 use platform::BudgetedTable;
 use platform::http::{HttpHostList, HttpObjects, HttpTable, ServiceEndpoint};
 use settings::NodeSettings;
-use target::{HttpEngine, HttpService};
+use target::{HttpEngineClient, HttpServiceClient};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{oneshot, watch};
 use web::WebClient;
@@ -35,8 +35,8 @@
     table: NodeTable,
     objects: HttpObjects,
     list: HttpHostList,
-    engine: HttpEngine,
-    service: HttpService,
+    engine: HttpEngineClient,
+    service: HttpServiceClient,
     recorder: EventRecorder,
     metrics: NodeMetrics,
     config_sender: watch::Sender<Arc<ConfigView>>,
@@ -57,8 +57,8 @@
             ),
             objects: HttpObjects::new(endpoint(settings.platform.objects)),
             list: HttpHostList::new(endpoint(settings.platform.hostlist)),
-            engine: HttpEngine::new(client.clone()),
-            service: HttpService::new(client),
+            engine: HttpEngineClient::new(client.clone()),
+            service: HttpServiceClient::new(client),
             recorder: EventRecorder::counted(settings.node.clone(), capacity, metrics.clone()),
             metrics,
             config_sender: watch::Sender::new(Arc::new(ConfigView::default())),
--- a/tests/system/direct.rs
+++ b/tests/system/direct.rs
@@ -4,7 +4,7 @@
 
 use standin::stack::{PATIENCE, TestStack};
 use target::engine::HttpStream;
-use target::{EnginePort, HttpEngine, StreamStart, TokenStream};
+use target::{EngineClient, HttpEngineClient, StreamStart, TokenStream};
 use wire::engine::{EngineAssignment, EngineOrder, RankAddress, StreamEvent, StreamRequest};
 
 /// Longest silence that a test takes for a stream that goes on.
@@ -46,7 +46,7 @@
             ..assignment.clone()
         }),
     };
-    let engine = HttpEngine::default();
+    let engine = HttpEngineClient::default();
     engine
         .order(assignment.hosts[rank].address, &order, PATIENCE)
         .await
@@ -77,7 +77,9 @@
 /// Starts a stream; none when it is refused.
 pub async fn start(assignment: &EngineAssignment, order: &StreamRequest) -> Option<HttpStream> {
     let address = assignment.hosts[0].address;
-    let started = HttpEngine::default().start(address, order, PATIENCE).await;
+    let started = HttpEngineClient::default()
+        .start(address, order, PATIENCE)
+        .await;
     match started.expect("an answer") {
         StreamStart::Running(stream) => Some(stream),
         StreamStart::Refused { .. } => None,
--- a/tests/system/stream_linger.rs
+++ b/tests/system/stream_linger.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode};
 use standin::faults::FaultPlan;
 use standin::stack::{StackPlan, TestStack};
-use target::{EnginePort, HttpEngine, TokenStream};
+use target::{EngineClient, HttpEngineClient, TokenStream};
 use web::client::json_request;
 use web::read_body;
 use wire::engine::{ResumeRequest, StreamEvent};
@@ -88,7 +88,7 @@
     read_tokens(&mut cancelled, 3).await;
     drop(abandoned);
     let address = stack.engines[0].address;
-    HttpEngine::default()
+    HttpEngineClient::default()
         .cancel(address, &order.attempt, SILENCE)
         .await
         .expect("cancelled");
