--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -16,7 +16,8 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 use wire::peer::{
-    PeerBodyError, PeerHello, PeerWelcome, SealedFrame, TAG_BYTES, decode_body, encode_body,
+    AuthenticatedFrame, PeerHello, PeerMessageError, PeerWelcome, TAG_BYTES, decode_message,
+    encode_message,
 };
 
 /// Minimum length of the shared key in bytes.
@@ -46,7 +47,7 @@
     Replayed,
     /// The message can't be encoded or decoded.
     #[error(transparent)]
-    Body(#[from] PeerBodyError),
+    Body(#[from] PeerMessageError),
 }
 
 /// The side of a connection that sent a frame.
@@ -197,13 +198,13 @@
     pub fn sign(&mut self, payload: Vec<u8>) -> Result<Vec<u8>, AuthError> {
         self.last_sent += 1;
         let tag = self.tag(self.side, self.version, self.last_sent, &payload);
-        let frame = SealedFrame {
+        let frame = AuthenticatedFrame {
             version: self.version,
             sequence: self.last_sent,
             tag,
             payload,
         };
-        Ok(encode_body(&frame)?)
+        Ok(encode_message(&frame)?)
     }
 
     /// Decodes a frame from the other side and verifies its tag and sequence number.
@@ -213,7 +214,7 @@
     /// [`AuthError::Body`] if it can't be decoded, [`AuthError::InvalidProof`] if the tag or version
     /// is wrong, [`AuthError::Replayed`] if the sequence number did not increase.
     pub fn verify<const LIMIT: usize>(&mut self, bytes: &[u8]) -> Result<VerifiedFrame, AuthError> {
-        let frame: SealedFrame = decode_body::<_, LIMIT>(bytes)?;
+        let frame: AuthenticatedFrame = decode_message::<_, LIMIT>(bytes)?;
         let side = self.side.opposite();
         let expected = self.tag(side, self.version, frame.sequence, &frame.payload);
         let valid = frame.version == self.version && bool::from(expected.ct_eq(&frame.tag));
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -48,8 +48,8 @@
     }
 }
 
-impl From<wire::peer::PeerBodyError> for LinkError {
-    fn from(error: wire::peer::PeerBodyError) -> Self {
+impl From<wire::peer::PeerMessageError> for LinkError {
+    fn from(error: wire::peer::PeerMessageError) -> Self {
         Self::Auth(error.into())
     }
 }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -9,7 +9,7 @@
 use domain::ConfigRevision;
 use events::{EventRecorder, HybridStamp};
 use tokio::sync::Notify;
-use wire::peer::{PeerChange, PeerConfirmation, PeerDigest, PeerStamp};
+use wire::peer::{PeerChange, PeerConfirmation, PeerDigest, PeerTimestamp};
 
 use crate::evidence::EvidenceExchange;
 use crate::peer_view::{PeerView, millis};
@@ -52,7 +52,7 @@
         let stamp = self.recorder.clock().next();
         let mut digest = PeerDigest {
             echo,
-            stamp: PeerStamp {
+            timestamp: PeerTimestamp {
                 millis: stamp.millis,
                 counter: stamp.counter,
             },
@@ -105,7 +105,7 @@
         digest: PeerDigest,
         not_before: Instant,
     ) {
-        let PeerStamp { millis, counter } = digest.stamp;
+        let PeerTimestamp { millis, counter } = digest.timestamp;
         self.recorder
             .clock()
             .observe(HybridStamp { millis, counter });
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use wire::peer::{
     MAX_DIGEST_BYTES, MAX_HELLO_BYTES, MAX_SNAPSHOT_BYTES, NEWEST_VERSION, NONCE_BYTES,
-    OLDEST_VERSION, PeerDigest, PeerHello, PeerWelcome, decode_body, encode_body,
+    OLDEST_VERSION, PeerDigest, PeerHello, PeerWelcome, decode_message, encode_message,
 };
 
 use crate::auth::{FrameAuthenticator, FrameSide, SharedKey};
@@ -153,11 +153,11 @@
     let response = post(
         &mut requests,
         "/hello",
-        encode_body(&hello)?,
+        encode_message(&hello)?,
         MAX_HELLO_BYTES,
     )
     .await?;
-    let welcome: PeerWelcome = decode_body::<_, MAX_HELLO_BYTES>(&response)?;
+    let welcome: PeerWelcome = decode_message::<_, MAX_HELLO_BYTES>(&response)?;
     context.key.verify_proof(&hello, &welcome)?;
     if expected.is_some_and(|node| *node != welcome.node) {
         return Err(LinkError::UnexpectedNode(welcome.node));
@@ -181,7 +181,7 @@
         let requested_at = Instant::now();
         let echo = self.auth.last_received();
         let digest = context.gossip.build_digest(&mut self.peer_view, echo).await;
-        let payload = encode_body(&digest)?;
+        let payload = encode_message(&digest)?;
         let response = self.request::<MAX_DIGEST_BYTES>("/digest", payload).await?;
         context.gossip.traffic.count_exchange();
         // After this process was frozen, the response may be ready before the timeout fires. Its
@@ -189,7 +189,7 @@
         if requested_at.elapsed() > self.timeout {
             return Err(LinkError::Stale);
         }
-        let response: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&response)?;
+        let response: PeerDigest = decode_message::<_, MAX_DIGEST_BYTES>(&response)?;
         context
             .gossip
             .apply_digest(&mut self.peer_view, response, requested_at)
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Mutex, Semaphore};
 use wire::peer::{
     MAX_DIGEST_BYTES, MAX_HELLO_BYTES, NONCE_BYTES, PeerDigest, PeerHello, PeerWelcome,
-    common_version, decode_body, encode_body,
+    decode_message, encode_message, negotiate_version,
 };
 
 use crate::auth::{AuthError, FrameAuthenticator, FrameSide};
@@ -154,18 +154,18 @@
     match (path.as_str(), session) {
         ("/hello", empty @ None) => {
             let bytes = read_stream(body, MAX_HELLO_BYTES).await?;
-            let hello: PeerHello = decode_body::<_, MAX_HELLO_BYTES>(&bytes)?;
-            let Some(version) = common_version(&hello) else {
+            let hello: PeerHello = decode_message::<_, MAX_HELLO_BYTES>(&bytes)?;
+            let Some(version) = negotiate_version(&hello) else {
                 return respond_error(responder, StatusCode::UPGRADE_REQUIRED);
             };
             let (opened, welcome) = accept_hello(context, &hello, version);
             *empty = Some(opened);
-            respond_ok(responder, encode_body(&welcome)?)
+            respond_ok(responder, encode_message(&welcome)?)
         }
         ("/digest", Some(session)) => {
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
             let frame = session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
-            let digest: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
+            let digest: PeerDigest = decode_message::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
             let not_before = session.response_time(digest.echo).ok_or(LinkError::Stale)?;
             if not_before.elapsed() > MAX_ECHO_AGE {
                 return Err(LinkError::Stale);
@@ -179,7 +179,7 @@
                 .gossip
                 .build_digest(&mut session.peer_view, frame.sequence)
                 .await;
-            let signed = session.auth.sign(encode_body(&digest)?)?;
+            let signed = session.auth.sign(encode_message(&digest)?)?;
             session.record_response();
             context.gossip.traffic.count_exchange();
             respond_ok(responder, signed)
--- a/crates/peers/src/peer_view.rs
+++ b/crates/peers/src/peer_view.rs
@@ -9,7 +9,9 @@
 use control::Member;
 use control::members::MemberRow;
 use domain::{ConfigRevision, FastMap, FastSet, HealthEvidence, NodeId, ReplicaId};
-use wire::peer::{LookAge, PeerBeat, PeerDigest, PeerEvidence, PeerLook, PeerRow};
+use wire::peer::{
+    ObservationAge, PeerDigest, PeerEvidence, PeerHeartbeat, PeerMember, PeerObservation,
+};
 
 use crate::evidence::TimedEvidence;
 
@@ -40,7 +42,7 @@
     pub revision: ConfigRevision,
     sent_rows: Vec<NodeId>,
     received_rows: Vec<NodeId>,
-    /// Index of each member's row, in the encoding that [`PeerBeat`] describes.
+    /// Index of each member's row, in the encoding that [`PeerHeartbeat`] describes.
     row_indices: FastMap<NodeId, u32>,
     heartbeats: FastMap<NodeId, u64>,
     departed: FastSet<NodeId>,
@@ -85,8 +87,8 @@
             if row.beat <= known {
                 continue;
             }
-            digest.beats.push(PeerBeat {
-                place: *index,
+            digest.heartbeats.push(PeerHeartbeat {
+                index: *index,
                 beat: row.beat,
             });
             self.heartbeats.insert(node, row.beat);
@@ -114,7 +116,7 @@
             if age > MAX_EVIDENCE_AGE {
                 continue;
             }
-            let age = LookAge::from(age);
+            let age = ObservationAge::from(age);
             if self.peer_has(&evidence, as_of) {
                 continue;
             }
@@ -126,7 +128,7 @@
                 }
                 sent.as_of = as_of;
                 let index = sent.index;
-                digest.looks.push(PeerLook { place: index, age });
+                digest.observations.push(PeerObservation { index, age });
                 continue;
             }
             digest.evidence.push(PeerEvidence {
@@ -169,9 +171,9 @@
             self.update_heartbeat(&row.node, row.beat);
             updates.rows.push(row_from_wire(row.clone()));
         }
-        for beat in &digest.beats {
-            let index = beat.place as usize / 2;
-            let rows = if beat.place % 2 == 0 {
+        for beat in &digest.heartbeats {
+            let index = beat.index as usize / 2;
+            let rows = if beat.index % 2 == 0 {
                 &self.received_rows
             } else {
                 &self.sent_rows
@@ -215,11 +217,15 @@
             self.received_evidence.push(evidence.clone());
             received.extend(with_timestamp(evidence, wire.age, not_before));
         }
-        for look in &digest.looks {
-            let Some(evidence) = self.received_evidence.get(look.place as usize) else {
+        for observation in &digest.observations {
+            let Some(evidence) = self.received_evidence.get(observation.index as usize) else {
                 continue;
             };
-            received.extend(with_timestamp(evidence.clone(), look.age, not_before));
+            received.extend(with_timestamp(
+                evidence.clone(),
+                observation.age,
+                not_before,
+            ));
         }
         for timed in &received {
             self.peer_evidence
@@ -256,7 +262,7 @@
 /// Adds a timestamp to evidence. None if its age reaches back before the start of this host's clock.
 fn with_timestamp(
     evidence: HealthEvidence,
-    age: LookAge,
+    age: ObservationAge,
     not_before: Instant,
 ) -> Option<TimedEvidence> {
     let as_of = not_before.checked_sub(Duration::from(age))?;
@@ -269,8 +275,8 @@
     u64::try_from(age.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
 }
 
-fn row_to_wire(row: MemberRow) -> PeerRow {
-    PeerRow {
+fn row_to_wire(row: MemberRow) -> PeerMember {
+    PeerMember {
         node: row.member.node,
         address: row.member.address,
         domain: row.member.domain,
@@ -280,7 +286,7 @@
     }
 }
 
-fn row_from_wire(row: PeerRow) -> MemberRow {
+fn row_from_wire(row: PeerMember) -> MemberRow {
     MemberRow {
         member: Member {
             node: row.node,
--- a/crates/peers/tests/peer_view.rs
+++ b/crates/peers/tests/peer_view.rs
@@ -151,7 +151,7 @@
     let later = now + Duration::from_secs(1);
     let mut again = PeerDigest::default();
     sender.add_evidence(&mut again, vec![evidence(1, later)], later);
-    assert_eq!((again.evidence.len(), again.looks.len()), (0, 1));
+    assert_eq!((again.evidence.len(), again.observations.len()), (0, 1));
     let applied = receiver.apply_evidence(&again, later);
     assert_eq!(applied, vec![evidence(1, later)]);
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -2,8 +2,8 @@
 //!
 //! * `POST /hello` with a [`PeerHello`]: a [`PeerWelcome`]. Both name the versions they speak and
 //!   a nonce; the rest of the connection is sealed with a key made of both nonces.
-//! * `POST /digest` with a [`SealedFrame`] of a [`PeerDigest`]: the same back.
-//! * `POST /snapshot` with an empty [`SealedFrame`]: one with a snapshot as JSON.
+//! * `POST /digest` with a [`AuthenticatedFrame`] of a [`PeerDigest`]: the same back.
+//! * `POST /snapshot` with an empty [`AuthenticatedFrame`]: one with a snapshot as JSON.
 //!
 //! Within a version fields are only ever added at the end: `bincode` leaves what follows unread,
 //! so an old node reads what a newer one sends. Times are ages in milliseconds, never wall times.
@@ -40,7 +40,7 @@
 
 /// Why bytes of a peer can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum PeerBodyError {
+pub enum PeerMessageError {
     /// They are no `bincode` of the expected shape, or more than allowed.
     #[error("the peer's message can't be read: {0}")]
     Undecodable(String),
@@ -77,7 +77,7 @@
 
 /// A message with a keyed hash over direction, sequence and payload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SealedFrame {
+pub struct AuthenticatedFrame {
     /// Version of the payload.
     pub version: u8,
     /// Rises by at least one with each frame of a connection and direction.
@@ -94,7 +94,8 @@
     /// Sequence of the newest answer that the sender got on this connection; 0 before the first.
     pub echo: u64,
     /// The sender's hybrid logical clock, so that events here sort behind what caused them there.
-    pub stamp: PeerStamp,
+    #[serde(rename = "stamp")]
+    pub timestamp: PeerTimestamp,
     /// Revision in force at the sender.
     pub revision: u64,
     /// How well the sender knows the head.
@@ -102,20 +103,22 @@
     /// Changes that the receiver lacks, in order.
     pub changes: Vec<PeerChange>,
     /// Members that the receiver lacks.
-    pub rows: Vec<PeerRow>,
+    pub rows: Vec<PeerMember>,
     /// Newer heartbeats of members whose row went over this connection.
-    pub beats: Vec<PeerBeat>,
+    #[serde(rename = "beats")]
+    pub heartbeats: Vec<PeerHeartbeat>,
     /// Members that said goodbye.
     pub departed: Vec<NodeId>,
     /// Evidence that the receiver lacks.
     pub evidence: Vec<PeerEvidence>,
     /// Newer looks at evidence that went over this connection in the sender's direction.
-    pub looks: Vec<PeerLook>,
+    #[serde(rename = "looks")]
+    pub observations: Vec<PeerObservation>,
 }
 
 /// A moment of a hybrid logical clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerStamp {
+pub struct PeerTimestamp {
     /// Milliseconds since 1970.
     pub millis: u64,
     /// Order within one millisecond.
@@ -143,7 +146,7 @@
 
 /// A member with its heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerRow {
+pub struct PeerMember {
     /// The node.
     pub node: NodeId,
     /// Where its peers connect.
@@ -160,10 +163,11 @@
 
 /// A newer heartbeat. Names are long and rows go over a connection once, so this one counts rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerBeat {
+pub struct PeerHeartbeat {
     /// Place of the member's row among those that the sender sent (even numbers) or received (odd
     /// numbers) over this connection, doubled.
-    pub place: u32,
+    #[serde(rename = "place")]
+    pub index: u32,
     /// The heartbeat.
     pub beat: u64,
 }
@@ -180,32 +184,33 @@
     /// Whether any said that it is leaving.
     pub leaving: bool,
     /// Age of the oldest report.
-    pub age: LookAge,
+    pub age: ObservationAge,
 }
 
 /// A newer look that found the same as an earlier [`PeerEvidence`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerLook {
+pub struct PeerObservation {
     /// Place of the evidence among those that the sender sent over this connection.
-    pub place: u32,
+    #[serde(rename = "place")]
+    pub index: u32,
     /// Age of the oldest report.
-    pub age: LookAge,
+    pub age: ObservationAge,
 }
 
 /// Age of a look in tenths of a second, rounded up: up to 25 s in one byte. Looks are most of what
 /// goes over the links, and evidence counts for a few seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct LookAge(u64);
+pub struct ObservationAge(u64);
 
-impl From<Duration> for LookAge {
+impl From<Duration> for ObservationAge {
     fn from(age: Duration) -> Self {
         Self(u64::try_from(age.as_micros().div_ceil(100_000)).unwrap_or(u64::MAX))
     }
 }
 
-impl From<LookAge> for Duration {
-    fn from(age: LookAge) -> Self {
+impl From<ObservationAge> for Duration {
+    fn from(age: ObservationAge) -> Self {
         Self::from_millis(age.0.saturating_mul(100))
     }
 }
@@ -220,7 +225,7 @@
 
 /// Picks the version for a connection; none when there is none that both speak.
 #[must_use]
-pub fn common_version(hello: &PeerHello) -> Option<u8> {
+pub fn negotiate_version(hello: &PeerHello) -> Option<u8> {
     let version = hello.newest.min(NEWEST_VERSION);
     (version >= OLDEST_VERSION.max(hello.oldest)).then_some(version)
 }
@@ -229,10 +234,10 @@
 ///
 /// # Errors
 ///
-/// [`PeerBodyError::Undecodable`] when the value can't be written.
-pub fn encode_body<T: Serialize>(value: &T) -> Result<Vec<u8>, PeerBodyError> {
+/// [`PeerMessageError::Undecodable`] when the value can't be written.
+pub fn encode_message<T: Serialize>(value: &T) -> Result<Vec<u8>, PeerMessageError> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
-        .map_err(|error| PeerBodyError::Undecodable(error.to_string()))
+        .map_err(|error| PeerMessageError::Undecodable(error.to_string()))
 }
 
 /// Reads a message of at most `LIMIT` bytes; what follows it is left unread.
@@ -241,12 +246,12 @@
 ///
 /// # Errors
 ///
-/// [`PeerBodyError::Undecodable`].
-pub fn decode_body<T: DeserializeOwned, const LIMIT: usize>(
+/// [`PeerMessageError::Undecodable`].
+pub fn decode_message<T: DeserializeOwned, const LIMIT: usize>(
     bytes: &[u8],
-) -> Result<T, PeerBodyError> {
+) -> Result<T, PeerMessageError> {
     let config = bincode::config::standard().with_limit::<LIMIT>();
     bincode::serde::decode_from_slice(bytes, config)
         .map(|(value, _)| value)
-        .map_err(|error| PeerBodyError::Undecodable(error.to_string()))
+        .map_err(|error| PeerMessageError::Undecodable(error.to_string()))
 }
--- a/crates/wire/tests/peer_messages.rs
+++ b/crates/wire/tests/peer_messages.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use wire::peer::{
     MAX_DIGEST_BYTES, MAX_HELLO_BYTES, NEWEST_VERSION, NONCE_BYTES, PeerDigest, PeerHello,
-    common_version, decode_body, encode_body,
+    decode_message, encode_message, negotiate_version,
 };
 
 fn node() -> NodeId {
@@ -35,16 +35,16 @@
         hello: hello(9, 1),
         further: vec![1, 2, 3],
     };
-    let bytes = encode_body(&later).expect("encodable");
-    let read: PeerHello = decode_body::<_, MAX_HELLO_BYTES>(&bytes).expect("readable");
+    let bytes = encode_message(&later).expect("encodable");
+    let read: PeerHello = decode_message::<_, MAX_HELLO_BYTES>(&bytes).expect("readable");
     assert_eq!(read, later.hello);
-    assert_eq!(common_version(&read), Some(NEWEST_VERSION));
+    assert_eq!(negotiate_version(&read), Some(NEWEST_VERSION));
 }
 
 #[test]
 fn no_common_version() {
-    assert_eq!(common_version(&hello(9, NEWEST_VERSION + 1)), None);
-    assert_eq!(common_version(&hello(0, 0)), None);
+    assert_eq!(negotiate_version(&hello(9, NEWEST_VERSION + 1)), None);
+    assert_eq!(negotiate_version(&hello(0, 0)), None);
 }
 
 #[test]
@@ -55,8 +55,8 @@
         departed: vec![node()],
         ..PeerDigest::default()
     };
-    let bytes = encode_body(&digest).expect("encodable");
-    let read: PeerDigest = decode_body::<_, MAX_DIGEST_BYTES>(&bytes).expect("readable");
+    let bytes = encode_message(&digest).expect("encodable");
+    let read: PeerDigest = decode_message::<_, MAX_DIGEST_BYTES>(&bytes).expect("readable");
     assert_eq!(read, digest);
 }
 
@@ -67,8 +67,8 @@
     bytes.extend([253, 255, 255, 255, 255, 255, 255, 255, 127]);
     bytes.extend([0; 64]);
     for cut in 0..bytes.len() {
-        let _ = decode_body::<PeerDigest, MAX_DIGEST_BYTES>(&bytes[cut..]);
+        let _ = decode_message::<PeerDigest, MAX_DIGEST_BYTES>(&bytes[cut..]);
     }
-    let read = decode_body::<Vec<u8>, MAX_DIGEST_BYTES>(&bytes[6..]);
+    let read = decode_message::<Vec<u8>, MAX_DIGEST_BYTES>(&bytes[6..]);
     assert!(read.is_err());
 }
