--- a/crates/spec/src/assembly.rs
+++ b/crates/spec/src/assembly.rs
@@ -1,11 +1,11 @@
-//! Assembling and freeing hosts: two replicas that share one host, with late orders.
+//! Assembly and release of replicas: two replicas that share one host, with delayed orders.
 //!
-//! Replica 0 is hosts 0 and 1, replica 1 is hosts 2 and 1; the first of each leads. The controller
-//! forms a replica when its rows are free, orders its hosts, drains and empties them, and frees
-//! their rows. An entry dispatches to the leader on evidence that every host of the replica
-//! reported it. The targets check no fencing numbers: an order that a paused controller decided
-//! arrives at any time later. Such an order may take a host out of a replica that serves; the
-//! specification then asks that dispatch ends within the age limit of evidence, as for a loss.
+//! Replica 0 has hosts 0 and 1, replica 1 has hosts 2 and 1; the first of each is the leader. The
+//! controller forms a replica when its rows are free, orders its hosts into it, drains it, empties
+//! the hosts and frees their rows. An entry node dispatches to the leader if it has evidence that
+//! every host of the replica reported it. The targets check no fencing tokens: an order of a paused
+//! controller arrives at any later time. Such an order may take a host out of a serving replica;
+//! dispatch must then end within the maximum age of evidence, as after the loss of a host.
 
 use crate::search::{ProtocolModel, SpecGuard};
 
@@ -13,75 +13,78 @@
 const REPLICAS: usize = 2;
 const MEMBERS: [[usize; 2]; REPLICAS] = [[0, 1], [2, 1]];
 
-/// Ticks for which evidence holds, and after which a lost host must no longer be dispatched to.
-const EVIDENCE_TICKS: u8 = 1;
+/// Ticks for which evidence is valid. A replica must not be dispatched to when one of its hosts has
+/// been lost for longer.
+const MAX_EVIDENCE_AGE: u8 = 1;
 
-/// Late orders of paused controllers in one run.
-const LATE_ORDERS: u8 = 1;
+/// Maximum number of delayed orders of paused controllers in one run.
+const MAX_DELAYED_ORDERS: u8 = 1;
 
-/// Host losses in one run.
-const LOSSES: u8 = 1;
+/// Maximum number of host losses in one run.
+const MAX_LOSSES: u8 = 1;
 
-/// A mechanism that the specification can go without.
+/// A guard of the protocol that can be removed from the specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AssemblyGuard {
-    /// A replica is formed only from hosts whose rows are free, in one transaction.
+    /// A replica is formed only from hosts whose rows are free, checked in the same transaction.
     FreeRows,
-    /// A row is freed only when the host itself reports that it is empty.
-    EmptyProof,
-    /// The leading host is emptied before the others.
+    /// A row is freed only after the host itself has reported that it is empty.
+    EmptyReport,
+    /// The leader is emptied before the other hosts.
     LeaderFirst,
-    /// A host is ordered only after it was empty for longer than evidence holds.
+    /// A host is ordered into a replica only after it was empty for longer than evidence is valid.
     EmptyWait,
-    /// Evidence holds only for a short time.
-    EvidenceAge,
-    /// A request names the replica, and the leader refuses another's.
-    NamedReplica,
+    /// Evidence expires.
+    EvidenceExpiry,
+    /// A request names its replica, and a leader refuses requests for another one.
+    ReplicaCheck,
 }
 
 impl SpecGuard for AssemblyGuard {
     const ALL: &'static [Self] = &[
         Self::FreeRows,
-        Self::EmptyProof,
+        Self::EmptyReport,
         Self::LeaderFirst,
         Self::EmptyWait,
-        Self::EvidenceAge,
-        Self::NamedReplica,
+        Self::EvidenceExpiry,
+        Self::ReplicaCheck,
     ];
 
     fn name(self) -> &'static str {
         match self {
             Self::FreeRows => "free rows in the transaction",
-            Self::EmptyProof => "the host's proof that it is empty",
+            Self::EmptyReport => "the host's empty report",
             Self::LeaderFirst => "emptying the leader first",
-            Self::EmptyWait => "waiting out old evidence",
-            Self::EvidenceAge => "the age limit of evidence",
-            Self::NamedReplica => "the replica named in a request",
+            Self::EmptyWait => "waiting for evidence to expire",
+            Self::EvidenceExpiry => "expiry of evidence",
+            Self::ReplicaCheck => "the leader's replica check",
         }
     }
 }
 
-/// The specification.
+/// Specification of replica assembly.
 #[derive(Debug)]
 pub struct AssemblyModel {
-    removed: Option<AssemblyGuard>,
+    removed_guard: Option<AssemblyGuard>,
 }
 
-/// Rows, replicas, hosts and evidence.
+/// Rows and plans of the controller, state of the hosts, and evidence of the entry node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AssemblyState {
+    /// The replica to which each host's row assigns it; none for a free row.
     rows: [Option<usize>; HOSTS],
-    plans: [Plan; REPLICAS],
+    plans: [PlanState; REPLICAS],
     hosts: [Host; HOSTS],
-    /// Age of each host's last report by replica and member; none without a report.
+    /// Age in ticks of the last report, by replica and member; none without a report.
     reports: [[Option<u8>; 2]; REPLICAS],
-    late_orders: u8,
+    delayed_orders: u8,
     losses: u8,
-    harm: Option<&'static str>,
+    /// What was wrong with the first bad dispatch, if there was one.
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Plan {
+enum PlanState {
     None,
     Serving,
     Draining,
@@ -90,79 +93,82 @@
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Host {
-    runs: Option<usize>,
-    /// Ticks since the host was lost.
+    /// The replica that it runs.
+    replica: Option<usize>,
+    /// Ticks since the host was lost; none while it is up.
     lost_for: Option<u8>,
-    /// Ticks since a late order moved it.
-    strayed_for: Option<u8>,
-    /// Ticks since it was emptied or returned; none once it waited long enough.
+    /// Ticks since a delayed order moved it; none if none did.
+    misassigned_for: Option<u8>,
+    /// Ticks since it was emptied or returned; none if it never was.
     empty_for: Option<u8>,
 }
 
 impl AssemblyModel {
-    fn has(&self, guard: AssemblyGuard) -> bool {
-        self.removed != Some(guard)
+    fn enforces(&self, guard: AssemblyGuard) -> bool {
+        self.removed_guard != Some(guard)
     }
 
-    fn control(
+    fn reconcile(
         &self,
         state: &AssemblyState,
         replica: usize,
-        out: &mut Vec<(String, AssemblyState)>,
+        transitions: &mut Vec<(String, AssemblyState)>,
     ) {
         let members = MEMBERS[replica];
         match state.plans[replica] {
-            Plan::None => {
+            PlanState::None => {
                 let free = members.iter().all(|host| state.rows[*host].is_none());
-                if free || !self.has(AssemblyGuard::FreeRows) {
+                if free || !self.enforces(AssemblyGuard::FreeRows) {
                     let mut next = state.clone();
-                    next.plans[replica] = Plan::Serving;
+                    next.plans[replica] = PlanState::Serving;
                     for host in members {
                         next.rows[host] = Some(replica);
                     }
-                    out.push((format!("replica {replica} is formed"), next));
+                    transitions.push((format!("replica {replica} is formed"), next));
                 }
             }
-            Plan::Serving => {
+            PlanState::Serving => {
                 for host in members {
-                    self.order(state, replica, host, out);
+                    self.order_host(state, replica, host, transitions);
                 }
                 let mut next = state.clone();
-                next.plans[replica] = Plan::Draining;
-                out.push((format!("replica {replica} drains"), next));
+                next.plans[replica] = PlanState::Draining;
+                transitions.push((format!("replica {replica} drains"), next));
             }
-            Plan::Draining => self.dissolve(state, replica, out),
-            Plan::Dissolved => {}
+            PlanState::Draining => self.dissolve(state, replica, transitions),
+            PlanState::Dissolved => {}
         }
     }
 
-    /// Brings a host to its replica: empties it first when it runs anything else.
-    fn order(
+    /// Orders a host into its replica; a host that runs another replica is emptied first.
+    fn order_host(
         &self,
         state: &AssemblyState,
         replica: usize,
         host: usize,
-        out: &mut Vec<(String, AssemblyState)>,
+        transitions: &mut Vec<(String, AssemblyState)>,
     ) {
-        let here = &state.hosts[host];
-        if here.runs == Some(replica) || here.lost_for.is_some() {
+        let host_state = &state.hosts[host];
+        if host_state.replica == Some(replica) || host_state.lost_for.is_some() {
             return;
         }
-        if here.runs.is_some() {
-            out.push((
-                format!("host {host} is emptied of a late order"),
-                empty(state, host),
+        if host_state.replica.is_some() {
+            transitions.push((
+                format!("host {host} is emptied after a delayed order"),
+                empty_host(state, host),
             ));
             return;
         }
-        let waited = here.empty_for.is_none_or(|ticks| ticks > EVIDENCE_TICKS);
-        if !waited && self.has(AssemblyGuard::EmptyWait) {
+        let has_waited = host_state
+            .empty_for
+            .is_none_or(|ticks| ticks > MAX_EVIDENCE_AGE);
+        if !has_waited && self.enforces(AssemblyGuard::EmptyWait) {
             return;
         }
         let mut next = state.clone();
-        next.hosts[host].runs = Some(replica);
+        next.hosts[host].replica = Some(replica);
         next.hosts[host].empty_for = None;
-        out.push((
+        transitions.push((
             format!("host {host} is ordered into replica {replica}"),
             next,
         ));
@@ -172,24 +178,25 @@
         &self,
         state: &AssemblyState,
         replica: usize,
-        out: &mut Vec<(String, AssemblyState)>,
+        transitions: &mut Vec<(String, AssemblyState)>,
     ) {
-        let leader_here = state.hosts[MEMBERS[replica][0]].runs == Some(replica);
+        let leader_running = state.hosts[MEMBERS[replica][0]].replica == Some(replica);
         for host in MEMBERS[replica] {
-            let here = &state.hosts[host];
-            let leads = host == MEMBERS[replica][0];
-            let turn = leads || !leader_here || !self.has(AssemblyGuard::LeaderFirst);
-            if here.runs == Some(replica) && turn {
+            let host_state = &state.hosts[host];
+            let is_leader = host == MEMBERS[replica][0];
+            let may_empty =
+                is_leader || !leader_running || !self.enforces(AssemblyGuard::LeaderFirst);
+            if host_state.replica == Some(replica) && may_empty {
                 let mut next = state.clone();
                 next.hosts[host] = Host {
                     empty_for: Some(0),
                     ..Host::default()
                 };
-                out.push((format!("host {host} is emptied of replica {replica}"), next));
+                transitions.push((format!("host {host} is emptied of replica {replica}"), next));
             }
-            let proven = here.runs.is_none() && here.lost_for.is_none();
-            let freed = proven || !self.has(AssemblyGuard::EmptyProof);
-            if state.rows[host] != Some(replica) || !freed {
+            let reported_empty = host_state.replica.is_none() && host_state.lost_for.is_none();
+            let may_free = reported_empty || !self.enforces(AssemblyGuard::EmptyReport);
+            if state.rows[host] != Some(replica) || !may_free {
                 continue;
             }
             let mut next = state.clone();
@@ -198,77 +205,87 @@
                 .iter()
                 .all(|member| next.rows[*member] != Some(replica))
             {
-                next.plans[replica] = Plan::Dissolved;
+                next.plans[replica] = PlanState::Dissolved;
             }
-            out.push((format!("the row of host {host} is freed"), next));
+            transitions.push((format!("the row of host {host} is freed"), next));
         }
     }
 
-    fn fail(state: &AssemblyState, host: usize, out: &mut Vec<(String, AssemblyState)>) {
+    fn host_faults(
+        state: &AssemblyState,
+        host: usize,
+        transitions: &mut Vec<(String, AssemblyState)>,
+    ) {
         if state.hosts[host].lost_for.is_some() {
             let mut next = state.clone();
             next.hosts[host] = Host {
                 empty_for: Some(0),
                 ..Host::default()
             };
-            out.push((format!("host {host} returns empty"), next));
-        } else if state.losses < LOSSES {
+            transitions.push((format!("host {host} returns empty"), next));
+        } else if state.losses < MAX_LOSSES {
             let mut next = state.clone();
             next.hosts[host] = Host {
-                runs: None,
+                replica: None,
                 lost_for: Some(0),
-                strayed_for: None,
+                misassigned_for: None,
                 empty_for: None,
             };
             next.losses += 1;
-            out.push((format!("host {host} is lost"), next));
+            transitions.push((format!("host {host} is lost"), next));
         }
-        if state.late_orders < LATE_ORDERS && state.hosts[host].lost_for.is_none() {
+        if state.delayed_orders < MAX_DELAYED_ORDERS && state.hosts[host].lost_for.is_none() {
             for (replica, members) in MEMBERS.iter().enumerate() {
-                let decided = state.plans[replica] != Plan::None && members.contains(&host);
-                if !decided || state.hosts[host].runs == Some(replica) {
+                let was_ordered =
+                    state.plans[replica] != PlanState::None && members.contains(&host);
+                if !was_ordered || state.hosts[host].replica == Some(replica) {
                     continue;
                 }
                 let mut next = state.clone();
-                next.hosts[host].runs = Some(replica);
-                next.hosts[host].strayed_for = Some(0);
-                next.late_orders += 1;
-                out.push((
-                    format!("a late order puts host {host} into replica {replica}"),
+                next.hosts[host].replica = Some(replica);
+                next.hosts[host].misassigned_for = Some(0);
+                next.delayed_orders += 1;
+                transitions.push((
+                    format!("a delayed order puts host {host} into replica {replica}"),
                     next,
                 ));
             }
         }
     }
 
-    fn serve(&self, state: &AssemblyState, replica: usize, out: &mut Vec<(String, AssemblyState)>) {
+    fn dispatch(
+        &self,
+        state: &AssemblyState,
+        replica: usize,
+        transitions: &mut Vec<(String, AssemblyState)>,
+    ) {
         let members = MEMBERS[replica];
         for (member, host) in members.iter().enumerate() {
-            let reports = state.hosts[*host].runs == Some(replica);
-            if !reports || state.reports[replica][member] == Some(0) {
+            let is_running = state.hosts[*host].replica == Some(replica);
+            if !is_running || state.reports[replica][member] == Some(0) {
                 continue;
             }
             let mut next = state.clone();
             next.reports[replica][member] = Some(0);
-            out.push((format!("host {host} reports replica {replica}"), next));
+            transitions.push((format!("host {host} reports replica {replica}"), next));
         }
-        let whole = state.reports[replica].iter().all(|age| match age {
-            Some(age) => *age <= EVIDENCE_TICKS || !self.has(AssemblyGuard::EvidenceAge),
+        let is_healthy = state.reports[replica].iter().all(|age| match age {
+            Some(age) => *age <= MAX_EVIDENCE_AGE || !self.enforces(AssemblyGuard::EvidenceExpiry),
             None => false,
         });
-        if !whole {
+        if !is_healthy {
             return;
         }
         let leader = &state.hosts[members[0]];
         let accepted = leader.lost_for.is_none()
-            && (leader.runs == Some(replica) || !self.has(AssemblyGuard::NamedReplica));
+            && (leader.replica == Some(replica) || !self.enforces(AssemblyGuard::ReplicaCheck));
         if !accepted {
             return;
         }
-        if let Some(harm) = harm_of(state, replica) {
+        if let Some(violation) = dispatch_violation(state, replica) {
             let mut next = state.clone();
-            next.harm = Some(harm);
-            out.push((
+            next.violation = Some(violation);
+            transitions.push((
                 format!("a request is dispatched to replica {replica}"),
                 next,
             ));
@@ -276,38 +293,40 @@
     }
 }
 
-fn empty(state: &AssemblyState, host: usize) -> AssemblyState {
+fn empty_host(state: &AssemblyState, host: usize) -> AssemblyState {
     let mut next = state.clone();
-    next.hosts[host].runs = None;
+    next.hosts[host].replica = None;
     next.hosts[host].empty_for = Some(0);
     next
 }
 
-/// What is wrong with running a request on a replica now.
-fn harm_of(state: &AssemblyState, replica: usize) -> Option<&'static str> {
+/// What is wrong with running a request on a replica in this state, if anything is.
+fn dispatch_violation(state: &AssemblyState, replica: usize) -> Option<&'static str> {
     let members = MEMBERS[replica];
-    if state.hosts[members[0]].runs != Some(replica) {
+    if state.hosts[members[0]].replica != Some(replica) {
         return Some("a request ran on a host of another replica");
     }
     for host in members {
-        let lost_long = state.hosts[host]
+        let lost_too_long = state.hosts[host]
             .lost_for
-            .is_some_and(|ticks| ticks > EVIDENCE_TICKS);
-        if lost_long {
-            return Some("a replica served with a host long missing");
+            .is_some_and(|ticks| ticks > MAX_EVIDENCE_AGE);
+        if lost_too_long {
+            return Some("a replica served with a host lost for too long");
         }
-        let emptied = state.hosts[host].runs.is_none()
+        let emptied = state.hosts[host].replica.is_none()
             && state.hosts[host].empty_for.is_some()
             && state.losses == 0
-            && state.late_orders == 0;
+            && state.delayed_orders == 0;
         if emptied {
-            return Some("a planned change left a request with a host missing");
+            return Some("a planned change left a running request without a host");
         }
-        let elsewhere = state.hosts[host].runs.is_some_and(|runs| runs != replica);
-        let strayed_lately = state.hosts[host]
-            .strayed_for
-            .is_some_and(|ticks| ticks <= EVIDENCE_TICKS);
-        if elsewhere && !strayed_lately {
+        let elsewhere = state.hosts[host]
+            .replica
+            .is_some_and(|other| other != replica);
+        let recently_misassigned = state.hosts[host]
+            .misassigned_for
+            .is_some_and(|ticks| ticks <= MAX_EVIDENCE_AGE);
+        if elsewhere && !recently_misassigned {
             return Some("a replica served with a host that belongs to another");
         }
     }
@@ -321,44 +340,44 @@
 
     type State = AssemblyState;
 
-    fn without(removed: Option<AssemblyGuard>) -> Self {
-        Self { removed }
+    fn new(removed_guard: Option<AssemblyGuard>) -> Self {
+        Self { removed_guard }
     }
 
-    fn start(&self) -> AssemblyState {
+    fn initial_state(&self) -> AssemblyState {
         AssemblyState {
             rows: [None; HOSTS],
-            plans: [Plan::None; REPLICAS],
+            plans: [PlanState::None; REPLICAS],
             hosts: [Host::default(); HOSTS],
             reports: [[None; 2]; REPLICAS],
-            late_orders: 0,
+            delayed_orders: 0,
             losses: 0,
-            harm: None,
+            violation: None,
         }
     }
 
-    fn steps(&self, state: &AssemblyState) -> Vec<(String, AssemblyState)> {
-        let mut out = vec![("a tick passes".to_owned(), tick(state))];
+    fn transitions(&self, state: &AssemblyState) -> Vec<(String, AssemblyState)> {
+        let mut transitions = vec![("a tick passes".to_owned(), tick(state))];
         for replica in [0, 1] {
-            self.control(state, replica, &mut out);
-            self.serve(state, replica, &mut out);
+            self.reconcile(state, replica, &mut transitions);
+            self.dispatch(state, replica, &mut transitions);
         }
         for host in 0..HOSTS {
-            Self::fail(state, host, &mut out);
+            Self::host_faults(state, host, &mut transitions);
         }
-        out
+        transitions
     }
 
-    fn violation(&self, state: &AssemblyState) -> Option<&'static str> {
-        if state.harm.is_some() {
-            return state.harm;
+    fn violated_invariant(&self, state: &AssemblyState) -> Option<&'static str> {
+        if state.violation.is_some() {
+            return state.violation;
         }
         for (replica, members) in MEMBERS.iter().enumerate() {
-            let torn = state.plans[replica] == Plan::Serving
+            let is_shared = state.plans[replica] == PlanState::Serving
                 && members
                     .iter()
                     .any(|host| state.rows[*host] != Some(replica));
-            if torn {
+            if is_shared {
                 return Some("a host belongs to two replicas");
             }
         }
@@ -369,14 +388,14 @@
 fn tick(state: &AssemblyState) -> AssemblyState {
     let mut next = state.clone();
     for age in next.reports.iter_mut().flatten().flatten() {
-        *age = (*age + 1).min(EVIDENCE_TICKS + 1);
+        *age = (*age + 1).min(MAX_EVIDENCE_AGE + 1);
     }
     for host in &mut next.hosts {
-        for ticks in [&mut host.lost_for, &mut host.strayed_for]
+        for ticks in [&mut host.lost_for, &mut host.misassigned_for]
             .into_iter()
             .flatten()
         {
-            *ticks = (*ticks + 1).min(EVIDENCE_TICKS + 1);
+            *ticks = (*ticks + 1).min(MAX_EVIDENCE_AGE + 1);
         }
     }
     next
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,88 +1,89 @@
-//! Configuration: amendments, partitions, store outages, restarts, and who may serve meanwhile.
+//! Configuration under amendments, partitions, store outages and restarts: which nodes may serve.
 //!
-//! Four nodes follow the head. A partition puts some of them on the far side, where they reach
-//! each other and not the table; the store may also be down for all. A node learns the head from
-//! the table, or hears of it from a node on its side and then fetches it. It serves by the rules
-//! of `control::config::readiness`.
+//! Four nodes follow the head. A partition isolates some of them: they reach each other, but not
+//! the table. The store may also be down for all nodes. A node reads the head from the table, or
+//! learns of it from a node on its side of the partition and then fetches it. It serves according
+//! to the rules of `control::config::readiness`.
 //!
-//! One case is left out of the promise, and said so there: more than half of the nodes are cut
-//! off from the table and none of them ever heard of the newer revision.
+//! One case is exempt from the invariant, as documented there: more than half of the nodes are cut
+//! off from the table and none of them has learned of the newer revision.
 
 use crate::search::{ProtocolModel, SpecGuard};
 
 const NODES: usize = 4;
 const MAJORITY: u32 = 3;
-const LAST_HEAD: u8 = 2;
+const MAX_HEAD: u8 = 2;
 
-/// Ticks for which a confirmation holds.
-const CONFIRM_TICKS: u8 = 1;
+/// Ticks for which a confirmation of the head is valid.
+const MAX_CONFIRMATION_AGE: u8 = 1;
 
-/// Ticks until a node notices that it no longer hears the others.
-const SILENCE_TICKS: u8 = 1;
+/// Ticks after a partition during which a node still considers the others reachable.
+const UNREACHABLE_TIMEOUT: u8 = 1;
 
-/// Ticks after which an amendment must be in force wherever anyone serves, counted from its
-/// acceptance or from the last change of the network or the store.
-const FORCE_TICKS: u8 = CONFIRM_TICKS + SILENCE_TICKS + 1;
+/// Ticks after which an amendment must be active on every serving node, counted from its acceptance
+/// or from the last change of the network or the store.
+const ACTIVATION_TIMEOUT: u8 = MAX_CONFIRMATION_AGE + UNREACHABLE_TIMEOUT + 1;
 
-/// Partitions and outages in one run.
-const DISTURBANCES: u8 = 2;
+/// Maximum number of partition and store changes in one run.
+const MAX_DISTURBANCES: u8 = 2;
 
-/// Restarts in one run.
-const RESTARTS: u8 = 1;
+/// Maximum number of node restarts in one run.
+const MAX_RESTARTS: u8 = 1;
 
-/// A mechanism that the specification can go without.
+/// A guard of the protocol that can be removed from the specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigGuard {
-    /// A confirmation holds only for a short time.
-    ConfirmLimit,
-    /// A confirmation that a peer passes on keeps its age.
-    PassedAge,
-    /// Without a confirmation only a node that hears the majority serves.
-    MajorityHeard,
-    /// A node that knows of a revision which it lacks does not serve by the majority.
-    BehindStepsOut,
-    /// Only a higher revision is applied.
+    /// A confirmation expires.
+    ConfirmationExpiry,
+    /// A confirmation keeps its age when a peer forwards it.
+    ForwardedAge,
+    /// Without a confirmation, a node serves only if it reaches a majority.
+    MajorityReachable,
+    /// A node that knows of a newer revision than its own does not serve because of the majority.
+    OutdatedStops,
+    /// A node applies only higher revisions.
     HigherOnly,
 }
 
 impl SpecGuard for ConfigGuard {
     const ALL: &'static [Self] = &[
-        Self::ConfirmLimit,
-        Self::PassedAge,
-        Self::MajorityHeard,
-        Self::BehindStepsOut,
+        Self::ConfirmationExpiry,
+        Self::ForwardedAge,
+        Self::MajorityReachable,
+        Self::OutdatedStops,
         Self::HigherOnly,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Self::ConfirmLimit => "the limit of a confirmation",
-            Self::PassedAge => "the age of a passed confirmation",
-            Self::MajorityHeard => "hearing the majority",
-            Self::BehindStepsOut => "stepping out when behind",
+            Self::ConfirmationExpiry => "expiry of confirmations",
+            Self::ForwardedAge => "age of forwarded confirmations",
+            Self::MajorityReachable => "reaching a majority",
+            Self::OutdatedStops => "stopping when outdated",
             Self::HigherOnly => "applying higher revisions only",
         }
     }
 }
 
-/// The specification.
+/// Specification of configuration distribution.
 #[derive(Debug)]
 pub struct ConfigModel {
-    removed: Option<ConfigGuard>,
+    removed_guard: Option<ConfigGuard>,
 }
 
-/// The head, the network and the nodes.
+/// The head, the state of the network and the store, and the nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ConfigState {
     head: u8,
-    /// Ticks since the head was amended or the network or store changed.
-    settled_for: u8,
+    /// Ticks since the head, the network or the store last changed.
+    stable_for: u8,
     store_up: bool,
-    /// Whether each node is on the far side, away from the table.
-    far: [bool; NODES],
-    /// The sides before the last partition, and the ticks since.
-    far_before: [bool; NODES],
-    parted_for: u8,
+    /// Whether each node is on the side of the partition without the table.
+    isolated: [bool; NODES],
+    /// `isolated` before the last change of the partition.
+    isolated_before: [bool; NODES],
+    /// Ticks since the last change of the partition.
+    partition_age: u8,
     nodes: [ConfigNode; NODES],
     disturbances: u8,
     restarts: u8,
@@ -91,20 +92,20 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ConfigNode {
-    /// Revision in force here; 0 after a restart.
+    /// Active revision; 0 after a restart.
     applied: u8,
-    /// Highest revision that the node heard of.
+    /// Highest revision that the node knows of.
     known: u8,
-    /// Revision and age of the newest confirmation.
+    /// Revision and age in ticks of the newest confirmation; none after a restart.
     confirmed: Option<(u8, u8)>,
 }
 
-const SOUND_NODE: ConfigNode = ConfigNode {
+const UP_TO_DATE_NODE: ConfigNode = ConfigNode {
     applied: 1,
     known: 1,
     confirmed: Some((1, 0)),
 };
-const FRESH_NODE: ConfigNode = ConfigNode {
+const RESTARTED_NODE: ConfigNode = ConfigNode {
     applied: 0,
     known: 0,
     confirmed: None,
@@ -112,38 +113,44 @@
 
 impl ConfigState {
     fn reaches_table(&self, node: usize) -> bool {
-        self.store_up && !self.far[node]
+        self.store_up && !self.isolated[node]
     }
 
-    fn side_size(far: [bool; NODES], node: usize) -> u32 {
-        far.iter().map(|side| u32::from(*side == far[node])).sum()
+    fn side_size(isolated: [bool; NODES], node: usize) -> u32 {
+        isolated
+            .iter()
+            .map(|other| u32::from(*other == isolated[node]))
+            .sum()
     }
 
-    /// Whether a node hears the majority, which it takes to be so for a while after a partition.
-    fn hears_majority(&self, node: usize) -> bool {
-        let now = Self::side_size(self.far, node) >= MAJORITY;
-        let before = Self::side_size(self.far_before, node) >= MAJORITY;
-        now || (before && self.parted_for <= SILENCE_TICKS)
+    /// Whether a node considers a majority reachable; it notices a partition only after a timeout.
+    fn reaches_majority(&self, node: usize) -> bool {
+        let now = Self::side_size(self.isolated, node) >= MAJORITY;
+        let before = Self::side_size(self.isolated_before, node) >= MAJORITY;
+        now || (before && self.partition_age <= UNREACHABLE_TIMEOUT)
     }
 }
 
 impl ConfigModel {
-    fn has(&self, guard: ConfigGuard) -> bool {
-        self.removed != Some(guard)
+    fn enforces(&self, guard: ConfigGuard) -> bool {
+        self.removed_guard != Some(guard)
     }
 
     fn serves(&self, state: &ConfigState, node: usize) -> bool {
-        let here = &state.nodes[node];
-        if here.applied == 0 {
+        let node_state = &state.nodes[node];
+        if node_state.applied == 0 {
             return false;
         }
-        let confirmed = here.confirmed.is_some_and(|(revision, age)| {
-            let fresh = age <= CONFIRM_TICKS || !self.has(ConfigGuard::ConfirmLimit);
-            fresh && here.applied >= revision
+        let confirmed = node_state.confirmed.is_some_and(|(revision, age)| {
+            let valid =
+                age <= MAX_CONFIRMATION_AGE || !self.enforces(ConfigGuard::ConfirmationExpiry);
+            valid && node_state.applied >= revision
         });
-        let majority = state.hears_majority(node) || !self.has(ConfigGuard::MajorityHeard);
-        let behind = here.known > here.applied && self.has(ConfigGuard::BehindStepsOut);
-        confirmed || (majority && !behind)
+        let majority =
+            state.reaches_majority(node) || !self.enforces(ConfigGuard::MajorityReachable);
+        let outdated =
+            node_state.known > node_state.applied && self.enforces(ConfigGuard::OutdatedStops);
+        confirmed || (majority && !outdated)
     }
 
     fn exchange(
@@ -151,40 +158,43 @@
         state: &ConfigState,
         from: usize,
         to: usize,
-        out: &mut Vec<(String, ConfigState)>,
+        transitions: &mut Vec<(String, ConfigState)>,
     ) {
-        if state.far[from] != state.far[to] {
+        if state.isolated[from] != state.isolated[to] {
             return;
         }
         let (sender, receiver) = (&state.nodes[from], &state.nodes[to]);
-        let mut heard = state.clone();
-        let node = &mut heard.nodes[to];
+        let mut updated = state.clone();
+        let node = &mut updated.nodes[to];
         node.known = node.known.max(sender.known).max(sender.applied);
         if let Some((revision, age)) = sender.confirmed {
-            let age = if self.has(ConfigGuard::PassedAge) {
+            let age = if self.enforces(ConfigGuard::ForwardedAge) {
                 age
             } else {
                 0
             };
-            let newer = receiver.confirmed.is_none_or(|(_, own)| age < own);
-            if newer {
+            let is_newer = receiver.confirmed.is_none_or(|(_, own)| age < own);
+            if is_newer {
                 node.confirmed = Some((revision, age));
                 node.known = node.known.max(revision);
             }
         }
-        if heard != *state {
-            out.push((format!("node {to} hears node {from}"), heard));
+        if updated != *state {
+            transitions.push((
+                format!("node {to} receives the state of node {from}"),
+                updated,
+            ));
         }
-        let higher = sender.applied > receiver.applied;
-        let other = sender.applied != receiver.applied && sender.applied > 0;
-        if higher || (other && !self.has(ConfigGuard::HigherOnly)) {
+        let is_higher = sender.applied > receiver.applied;
+        let is_different = sender.applied != receiver.applied && sender.applied > 0;
+        if is_higher || (is_different && !self.enforces(ConfigGuard::HigherOnly)) {
             let mut fetched = state.clone();
             fetched.reverted |= sender.applied < receiver.applied;
             fetched.nodes[to].applied = sender.applied;
             fetched.nodes[to].known = receiver.known.max(sender.applied);
-            out.push((
+            transitions.push((
                 format!(
-                    "node {to} fetches revision {} of node {from}",
+                    "node {to} fetches revision {} from node {from}",
                     sender.applied
                 ),
                 fetched,
@@ -192,35 +202,32 @@
         }
     }
 
-    fn disturb(state: &ConfigState, out: &mut Vec<(String, ConfigState)>) {
-        if state.disturbances == DISTURBANCES {
+    fn disturbances(state: &ConfigState, transitions: &mut Vec<(String, ConfigState)>) {
+        if state.disturbances == MAX_DISTURBANCES {
             return;
         }
         let mut outage = state.clone();
         outage.store_up = !state.store_up;
         outage.disturbances += 1;
-        outage.settled_for = 0;
-        let name = if outage.store_up {
+        outage.stable_for = 0;
+        let description = if outage.store_up {
             "the store returns"
         } else {
-            "the store is down"
+            "the store goes down"
         };
-        out.push((name.to_owned(), outage));
+        transitions.push((description.to_owned(), outage));
         for mask in 0..1_u8 << NODES {
-            let far: [bool; NODES] = std::array::from_fn(|node| mask & (1 << node) != 0);
-            if far == state.far {
+            let isolated: [bool; NODES] = std::array::from_fn(|node| mask & (1 << node) != 0);
+            if isolated == state.isolated {
                 continue;
             }
             let mut next = state.clone();
-            next.far_before = state.far;
-            next.far = far;
-            next.parted_for = 0;
+            next.isolated_before = state.isolated;
+            next.isolated = isolated;
+            next.partition_age = 0;
             next.disturbances += 1;
-            next.settled_for = 0;
-            out.push((
-                format!("nodes with the bits {mask:04b} are on the far side"),
-                next,
-            ));
+            next.stable_for = 0;
+            transitions.push((format!("the nodes of mask {mask:04b} are isolated"), next));
         }
     }
 }
@@ -232,34 +239,34 @@
 
     type State = ConfigState;
 
-    fn without(removed: Option<ConfigGuard>) -> Self {
-        Self { removed }
+    fn new(removed_guard: Option<ConfigGuard>) -> Self {
+        Self { removed_guard }
     }
 
-    fn start(&self) -> ConfigState {
+    fn initial_state(&self) -> ConfigState {
         ConfigState {
             head: 1,
-            settled_for: FORCE_TICKS + 1,
+            stable_for: ACTIVATION_TIMEOUT + 1,
             store_up: true,
-            far: [false; NODES],
-            far_before: [false; NODES],
-            parted_for: SILENCE_TICKS + 1,
-            nodes: [SOUND_NODE; NODES],
+            isolated: [false; NODES],
+            isolated_before: [false; NODES],
+            partition_age: UNREACHABLE_TIMEOUT + 1,
+            nodes: [UP_TO_DATE_NODE; NODES],
             disturbances: 0,
             restarts: 0,
             reverted: false,
         }
     }
 
-    fn steps(&self, state: &ConfigState) -> Vec<(String, ConfigState)> {
-        let mut out = vec![("a tick passes".to_owned(), tick(state))];
-        if state.store_up && state.head < LAST_HEAD {
+    fn transitions(&self, state: &ConfigState) -> Vec<(String, ConfigState)> {
+        let mut transitions = vec![("a tick passes".to_owned(), tick(state))];
+        if state.store_up && state.head < MAX_HEAD {
             let mut next = state.clone();
             next.head += 1;
-            next.settled_for = 0;
-            out.push(("an amendment is accepted".to_owned(), next));
+            next.stable_for = 0;
+            transitions.push(("an amendment is accepted".to_owned(), next));
         }
-        Self::disturb(state, &mut out);
+        Self::disturbances(state, &mut transitions);
         for node in 0..NODES {
             if state.reaches_table(node) {
                 let mut next = state.clone();
@@ -268,56 +275,56 @@
                     known: state.head,
                     confirmed: Some((state.head, 0)),
                 };
-                out.push((format!("node {node} reads the table"), next));
+                transitions.push((format!("node {node} reads the table"), next));
             }
             for other in 0..NODES {
                 if other != node {
-                    self.exchange(state, other, node, &mut out);
+                    self.exchange(state, other, node, &mut transitions);
                 }
             }
-            if state.restarts < RESTARTS {
+            if state.restarts < MAX_RESTARTS {
                 let mut next = state.clone();
-                next.nodes[node] = FRESH_NODE;
+                next.nodes[node] = RESTARTED_NODE;
                 next.restarts += 1;
-                out.push((format!("node {node} restarts"), next));
+                transitions.push((format!("node {node} restarts"), next));
             }
         }
-        out
+        transitions
     }
 
-    fn violation(&self, state: &ConfigState) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &ConfigState) -> Option<&'static str> {
         if state.reverted {
-            return Some("a node went back to an older configuration");
+            return Some("a node reverted to an older configuration");
         }
-        if state.settled_for <= FORCE_TICKS {
+        if state.stable_for <= ACTIVATION_TIMEOUT {
             return None;
         }
-        for (number, node) in state.nodes.iter().enumerate() {
-            let old = node.applied < state.head && self.serves(state, number);
-            let ignorant_majority = ConfigState::side_size(state.far, number) >= MAJORITY
-                && !state.reaches_table(number)
+        for (index, node) in state.nodes.iter().enumerate() {
+            let serves_old = node.applied < state.head && self.serves(state, index);
+            let unaware_majority = ConfigState::side_size(state.isolated, index) >= MAJORITY
+                && !state.reaches_table(index)
                 && node.known <= node.applied;
-            if old && !ignorant_majority {
-                return Some("an old configuration is served long after a newer one");
+            if serves_old && !unaware_majority {
+                return Some("an old configuration is served after the activation timeout");
             }
         }
         None
     }
 }
 
-/// Time goes on. A node that reaches the table reads it at least once a tick.
+/// Advances time by a tick. A node that reaches the table reads it at least once a tick.
 fn tick(state: &ConfigState) -> ConfigState {
     let mut next = state.clone();
-    next.settled_for = (state.settled_for + 1).min(FORCE_TICKS + 1);
-    next.parted_for = (state.parted_for + 1).min(SILENCE_TICKS + 1);
-    if next.parted_for > SILENCE_TICKS {
-        next.far_before = next.far;
+    next.stable_for = (state.stable_for + 1).min(ACTIVATION_TIMEOUT + 1);
+    next.partition_age = (state.partition_age + 1).min(UNREACHABLE_TIMEOUT + 1);
+    if next.partition_age > UNREACHABLE_TIMEOUT {
+        next.isolated_before = next.isolated;
     }
-    for (number, node) in next.nodes.iter_mut().enumerate() {
+    for (index, node) in next.nodes.iter_mut().enumerate() {
         if let Some((_, age)) = &mut node.confirmed {
-            *age = (*age + 1).min(CONFIRM_TICKS + 1);
+            *age = (*age + 1).min(MAX_CONFIRMATION_AGE + 1);
         }
-        if state.reaches_table(number) {
+        if state.reaches_table(index) {
             *node = ConfigNode {
                 applied: state.head,
                 known: state.head,
--- a/crates/spec/src/formation.rs
+++ b/crates/spec/src/formation.rs
@@ -1,90 +1,94 @@
-//! Replicas without a lease: two nodes that form replicas from the same three hosts, by orders that
-//! name how many orders the host must have accepted before.
+//! Formation of replicas without a lease: two nodes form replicas from the same three hosts. Each
+//! order names the number of orders that the host must have accepted before it.
 //!
-//! Host 0 and host 1 form the first replica, host 2 is spare. Either node reads what the hosts say,
-//! now or long ago, and works towards a replica of its own: one with hosts 1 and 2, the other with
-//! hosts 0 and 2. Either may open the first replica, or its own. An answer may be lost, a copy of an
-//! order may come into effect any time later, a node may give up and start from a new reading, and a
-//! host may start again and forget everything. What must never happen: a host joins a replica while
-//! the head of its old one, which it has not left, serves; or a head serves whose replica has a
-//! member that never joined it.
+//! Hosts 0 and 1 form the first replica, host 2 is spare. Each node acts on a snapshot of the hosts,
+//! which may be outdated, and forms a replica of its own: one from hosts 1 and 2, the other from
+//! hosts 0 and 2. Each may open the first replica or its own. Responses may be lost, a copy of an
+//! order may take effect at any later time, a node may abort and start with a new snapshot, and a
+//! host may restart and lose its state. Invariants: no host joins a replica while the head of its
+//! old one is still in that and serves; and no head serves while a member has never joined its
+//! replica.
 
 use crate::search::{ProtocolModel, SpecGuard};
 
 const HOSTS: usize = 3;
 const NODES: usize = 2;
-/// Members of each replica, the head first.
+/// Members of each replica; the first is the head.
 const REPLICAS: [[usize; 2]; 3] = [[0, 1], [1, 2], [0, 2]];
-/// Orders that a host accepts before the search lets it be.
-const LAST_ORDER: u8 = 6;
+/// Maximum number of orders that a host accepts, which bounds the state space.
+const MAX_ORDERS: u8 = 6;
 
-/// A mechanism that the specification can go without.
+/// A guard of the protocol that can be removed from the specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FormationGuard {
-    /// A host takes an order only if it accepted as many before as the order names.
-    ExpectedOrders,
+    /// A host accepts an order only if it has accepted as many before as the order names.
+    ExpectedOrderCount,
     /// A head leaves its replica before it joins another.
-    HeadLeaves,
-    /// A member joins another replica only once its head is out of the old one.
-    HeadFirst,
-    /// A replica is opened only once each member was seen in it.
-    AllSeen,
-    /// A name is used for one formation; whoever starts anew takes another.
-    FreshName,
+    HeadLeavesBeforeJoin,
+    /// A member joins another replica only after the head has left the old one.
+    HeadLeavesFirst,
+    /// A replica is opened only after every member was observed in it.
+    AllMembersObserved,
+    /// A replica name is used for one formation; another attempt needs another name.
+    UniqueName,
 }
 
 impl SpecGuard for FormationGuard {
     const ALL: &'static [Self] = &[
-        Self::ExpectedOrders,
-        Self::HeadLeaves,
-        Self::HeadFirst,
-        Self::AllSeen,
-        Self::FreshName,
+        Self::ExpectedOrderCount,
+        Self::HeadLeavesBeforeJoin,
+        Self::HeadLeavesFirst,
+        Self::AllMembersObserved,
+        Self::UniqueName,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Self::ExpectedOrders => "expected number of orders",
-            Self::HeadLeaves => "a head leaves before it joins",
-            Self::HeadFirst => "the head leaves before its members",
-            Self::AllSeen => "all members seen before the opening",
-            Self::FreshName => "a fresh name for each formation",
+            Self::ExpectedOrderCount => "expected order counts",
+            Self::HeadLeavesBeforeJoin => "leaving before joining",
+            Self::HeadLeavesFirst => "the head leaving first",
+            Self::AllMembersObserved => "observing all members",
+            Self::UniqueName => "unique replica names",
         }
     }
 }
 
-/// The specification.
+/// Specification of replica formation.
 #[derive(Debug)]
 pub struct FormationModel {
-    removed: Option<FormationGuard>,
+    removed_guard: Option<FormationGuard>,
 }
 
-/// Hosts, nodes and an order that is late.
+/// State of the hosts and nodes, and at most one delayed order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FormationState {
     hosts: [HostState; HOSTS],
     nodes: [NodeState; NODES],
-    late: Option<Order>,
-    /// Members that ever joined each replica.
+    delayed: Option<Order>,
+    /// By replica and host, whether the host has ever joined the replica.
     joined: [[bool; HOSTS]; REPLICAS.len()],
     restarted: bool,
-    shared_host: bool,
-    partial_head: bool,
+    /// Whether a host joined a replica while its old one served.
+    joined_while_serving: bool,
+    /// Whether a replica was opened before all of its members had joined.
+    opened_incomplete: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct HostState {
-    orders: u8,
+    accepted_orders: u8,
     replica: Option<usize>,
     serves: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct NodeState {
-    reading: Option<[HostState; HOSTS]>,
+    /// The hosts as last read; none before the first read and after an order was not accepted.
+    snapshot: Option<[HostState; HOSTS]>,
+    /// The order that waits for its response.
     sent: Option<Order>,
-    /// Hosts that it ever told to join its replica.
-    asked: [bool; HOSTS],
+    /// Hosts that it has ever ordered to join its replica.
+    join_sent: [bool; HOSTS],
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -103,24 +107,25 @@
 }
 
 impl FormationModel {
-    fn has(&self, guard: FormationGuard) -> bool {
-        self.removed != Some(guard)
+    fn enforces(&self, guard: FormationGuard) -> bool {
+        self.removed_guard != Some(guard)
     }
 
-    /// Carries an order out, if the host takes it; whether it did.
+    /// Executes an order if the host accepts it; returns whether it did.
     fn apply(&self, state: &mut FormationState, order: Order) -> bool {
         let host = state.hosts[order.host];
-        let expected = host.orders == order.expected || !self.has(FormationGuard::ExpectedOrders);
-        if !expected || host.orders == LAST_ORDER {
+        let expected = host.accepted_orders == order.expected
+            || !self.enforces(FormationGuard::ExpectedOrderCount);
+        if !expected || host.accepted_orders == MAX_ORDERS {
             return false;
         }
         let is_member = host.replica == Some(order.replica);
         match order.kind {
             OrderKind::Join => {
-                state.shared_host |= serving_old_replica(state, order);
+                state.joined_while_serving |= leaves_serving_replica(state, order);
                 state.joined[order.replica][order.host] = true;
                 state.hosts[order.host] = HostState {
-                    orders: host.orders + 1,
+                    accepted_orders: host.accepted_orders + 1,
                     replica: Some(order.replica),
                     serves: false,
                 };
@@ -128,7 +133,7 @@
             }
             OrderKind::Leave if is_member => {
                 state.hosts[order.host] = HostState {
-                    orders: host.orders + 1,
+                    accepted_orders: host.accepted_orders + 1,
                     ..HostState::default()
                 };
                 true
@@ -138,8 +143,8 @@
                 let all = members
                     .iter()
                     .all(|member| state.joined[order.replica][*member]);
-                state.partial_head |= !all;
-                state.hosts[order.host].orders += 1;
+                state.opened_incomplete |= !all;
+                state.hosts[order.host].accepted_orders += 1;
                 state.hosts[order.host].serves = true;
                 true
             }
@@ -147,24 +152,24 @@
         }
     }
 
-    /// The next order of a node towards its replica, as it read the hosts.
+    /// The next order with which a node forms its replica, given its snapshot of the hosts.
     fn next_join(
         &self,
-        reading: &[HostState; HOSTS],
-        asked: [bool; HOSTS],
+        snapshot: &[HostState; HOSTS],
+        join_sent: [bool; HOSTS],
         replica: usize,
     ) -> Option<Order> {
         for member in REPLICAS[replica] {
-            let known = reading[member];
+            let known = snapshot[member];
             let order = |host: usize, replica, kind| Order {
                 host,
                 replica,
                 kind,
-                expected: reading[host].orders,
+                expected: snapshot[host].accepted_orders,
             };
             let join = order(member, replica, OrderKind::Join);
-            let in_it = known.replica == Some(replica);
-            if asked[member] && !in_it && self.has(FormationGuard::FreshName) {
+            let has_joined = known.replica == Some(replica);
+            if join_sent[member] && !has_joined && self.enforces(FormationGuard::UniqueName) {
                 return None;
             }
             let Some(old) = known.replica else {
@@ -175,15 +180,15 @@
             }
             let head = REPLICAS[old][0];
             if head == member {
-                let leaves = self.has(FormationGuard::HeadLeaves);
+                let leaves = self.enforces(FormationGuard::HeadLeavesBeforeJoin);
                 return Some(if leaves {
                     order(member, old, OrderKind::Leave)
                 } else {
                     join
                 });
             }
-            let head_stays = reading[head].replica == Some(old);
-            if head_stays && self.has(FormationGuard::HeadFirst) {
+            let head_stays = snapshot[head].replica == Some(old);
+            if head_stays && self.enforces(FormationGuard::HeadLeavesFirst) {
                 return Some(order(head, old, OrderKind::Leave));
             }
             return Some(join);
@@ -191,39 +196,45 @@
         None
     }
 
-    fn open(&self, reading: &[HostState; HOSTS], replica: usize) -> Option<Order> {
+    fn next_open(&self, snapshot: &[HostState; HOSTS], replica: usize) -> Option<Order> {
         let [head, other] = REPLICAS[replica];
-        let seen = |host: usize| reading[host].replica == Some(replica);
-        let all = seen(head) && (seen(other) || !self.has(FormationGuard::AllSeen));
-        (all && !reading[head].serves).then_some(Order {
+        let observed = |host: usize| snapshot[host].replica == Some(replica);
+        let all = observed(head)
+            && (observed(other) || !self.enforces(FormationGuard::AllMembersObserved));
+        (all && !snapshot[head].serves).then_some(Order {
             host: head,
             replica,
             kind: OrderKind::Open,
-            expected: reading[head].orders,
+            expected: snapshot[head].accepted_orders,
         })
     }
 
-    fn choices(&self, node: usize, known: NodeState) -> Vec<Order> {
+    fn possible_orders(&self, node: usize, known: NodeState) -> Vec<Order> {
         let own = node + 1;
-        let Some(reading) = &known.reading else {
+        let Some(snapshot) = &known.snapshot else {
             return Vec::new();
         };
-        let choices = [
-            self.next_join(reading, known.asked, own),
-            self.open(reading, own),
-            self.open(reading, 0),
+        let orders = [
+            self.next_join(snapshot, known.join_sent, own),
+            self.next_open(snapshot, own),
+            self.next_open(snapshot, 0),
         ];
-        choices.into_iter().flatten().collect()
+        orders.into_iter().flatten().collect()
     }
 
-    fn answered(&self, state: &FormationState, node: usize, order: Order) -> FormationState {
+    fn apply_with_response(
+        &self,
+        state: &FormationState,
+        node: usize,
+        order: Order,
+    ) -> FormationState {
         let mut next = state.clone();
-        let taken = self.apply(&mut next, order);
+        let accepted = self.apply(&mut next, order);
         next.nodes[node].sent = None;
         let host = next.hosts[order.host];
-        match &mut next.nodes[node].reading {
-            Some(reading) if taken => reading[order.host] = host,
-            reading => *reading = None,
+        match &mut next.nodes[node].snapshot {
+            Some(snapshot) if accepted => snapshot[order.host] = host,
+            snapshot => *snapshot = None,
         }
         next
     }
@@ -232,47 +243,51 @@
         &self,
         state: &FormationState,
         node: usize,
-        out: &mut Vec<(String, FormationState)>,
+        transitions: &mut Vec<(String, FormationState)>,
     ) {
         let known = state.nodes[node];
         let Some(order) = known.sent else {
-            if known.reading != Some(state.hosts) {
+            if known.snapshot != Some(state.hosts) {
                 let mut next = state.clone();
-                next.nodes[node].reading = Some(state.hosts);
-                out.push((format!("node {node} reads the hosts"), next));
+                next.nodes[node].snapshot = Some(state.hosts);
+                transitions.push((format!("node {node} takes a snapshot of the hosts"), next));
             }
-            for order in self.choices(node, known) {
+            for order in self.possible_orders(node, known) {
                 let mut next = state.clone();
                 next.nodes[node].sent = Some(order);
-                next.nodes[node].asked[order.host] |= order.kind == OrderKind::Join;
-                out.push((format!("node {node} sends {order:?}"), next));
+                next.nodes[node].join_sent[order.host] |= order.kind == OrderKind::Join;
+                transitions.push((format!("node {node} sends {order:?}"), next));
             }
             return;
         };
-        let answered = self.answered(state, node, order);
-        out.push((format!("{order:?} of node {node} is answered"), answered));
-        let mut unanswered = state.clone();
-        self.apply(&mut unanswered, order);
-        out.push((
-            format!("{order:?} of node {node} is not answered"),
-            unanswered,
+        let responded = self.apply_with_response(state, node, order);
+        transitions.push((
+            format!("{order:?} of node {node} gets a response"),
+            responded,
+        ));
+        let mut response_lost = state.clone();
+        self.apply(&mut response_lost, order);
+        transitions.push((
+            format!("{order:?} of node {node} loses its response"),
+            response_lost,
         ));
-        if state.late.is_none() {
-            let mut late = state.clone();
-            late.late = Some(order);
-            out.push((format!("a copy of {order:?} is late"), late));
+        if state.delayed.is_none() {
+            let mut delayed = state.clone();
+            delayed.delayed = Some(order);
+            transitions.push((format!("a copy of {order:?} is delayed"), delayed));
         }
-        let mut given_up = state.clone();
-        given_up.nodes[node] = NodeState {
-            asked: known.asked,
+        let mut aborted = state.clone();
+        aborted.nodes[node] = NodeState {
+            join_sent: known.join_sent,
             ..NodeState::default()
         };
-        out.push((format!("node {node} gives up"), given_up));
+        transitions.push((format!("node {node} aborts"), aborted));
     }
 }
 
-/// Whether a host that joins would be in two replicas: its old one's head serves.
-fn serving_old_replica(state: &FormationState, order: Order) -> bool {
+/// Whether the head of the host's old replica still serves, so that the order would put the host
+/// into two replicas.
+fn leaves_serving_replica(state: &FormationState, order: Order) -> bool {
     let Some(old) = state.hosts[order.host].replica else {
         return false;
     };
@@ -287,13 +302,13 @@
 
     type State = FormationState;
 
-    fn without(removed: Option<FormationGuard>) -> Self {
-        Self { removed }
+    fn new(removed_guard: Option<FormationGuard>) -> Self {
+        Self { removed_guard }
     }
 
-    fn start(&self) -> FormationState {
+    fn initial_state(&self) -> FormationState {
         let member = HostState {
-            orders: 1,
+            accepted_orders: 1,
             replica: Some(0),
             serves: false,
         };
@@ -302,41 +317,41 @@
         FormationState {
             hosts: [member, member, HostState::default()],
             nodes: Default::default(),
-            late: None,
+            delayed: None,
             joined,
             restarted: false,
-            shared_host: false,
-            partial_head: false,
+            joined_while_serving: false,
+            opened_incomplete: false,
         }
     }
 
-    fn steps(&self, state: &FormationState) -> Vec<(String, FormationState)> {
-        let mut out = Vec::new();
+    fn transitions(&self, state: &FormationState) -> Vec<(String, FormationState)> {
+        let mut transitions = Vec::new();
         for node in 0..NODES {
-            self.node_steps(state, node, &mut out);
+            self.node_steps(state, node, &mut transitions);
         }
-        if let Some(order) = state.late {
+        if let Some(order) = state.delayed {
             let mut next = state.clone();
-            next.late = None;
+            next.delayed = None;
             self.apply(&mut next, order);
-            out.push((format!("the late {order:?} arrives"), next));
+            transitions.push((format!("the delayed {order:?} arrives"), next));
         }
         if !state.restarted {
             for host in 0..HOSTS {
                 let mut next = state.clone();
                 next.hosts[host] = HostState::default();
                 next.restarted = true;
-                out.push((format!("host {host} starts again"), next));
+                transitions.push((format!("host {host} restarts"), next));
             }
         }
-        out
+        transitions
     }
 
-    fn violation(&self, state: &FormationState) -> Option<&'static str> {
-        if state.shared_host {
+    fn violated_invariant(&self, state: &FormationState) -> Option<&'static str> {
+        if state.joined_while_serving {
             return Some("a host joined a replica while its old one served");
         }
-        if state.partial_head {
+        if state.opened_incomplete {
             return Some("a head serves whose replica has a member that never joined");
         }
         None
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,27 +1,28 @@
-//! The ledger of non-idempotent calls: one idempotency key, two entries, a table, a service.
+//! The ledger of non-idempotent calls: one idempotency key, two entry nodes, a table, a service.
 //!
-//! The caller sends its request through the first entry and again through the second. A claim's
-//! write takes effect late, its answer may be lost, an entry may pause between any two steps, the
-//! connection to the service may be refused before any byte, and the service's answer may be lost
-//! after it ran the call. The housekeeper removes settled claims.
+//! The caller sends its request through both entry nodes. The write of a claim may take effect
+//! late, its response may be lost, an entry node may pause between any two steps, the service may
+//! refuse the connection before any byte is sent, and its response may be lost after it ran the
+//! call. Housekeeping deletes settled claims.
 
 use crate::search::{ProtocolModel, SpecGuard};
 
 const ENTRIES: usize = 2;
 
-/// A mechanism that the specification can go without.
+/// A guard of the protocol that can be removed from the specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LedgerGuard {
-    /// The claim is inserted only when there is none.
+    /// A claim is inserted only if none exists.
     ConditionalInsert,
-    /// After a lost answer the claim is settled by the token before anything is said.
+    /// If the response to a claim is lost, the claim is sent again under the same token before the
+    /// caller gets a response.
     SettleLostClaim,
-    /// Only a call of which no byte was sent is withdrawn.
+    /// A claim is withdrawn only if no byte of its call was sent.
     WithdrawUnsentOnly,
-    /// A call whose answer was lost is never sent again.
+    /// A call whose response was lost is never sent again.
     NeverResend,
-    /// Only settled claims are removed.
-    RemoveSettledOnly,
+    /// Only settled claims are deleted.
+    DeleteSettledOnly,
 }
 
 impl SpecGuard for LedgerGuard {
@@ -30,33 +31,33 @@
         Self::SettleLostClaim,
         Self::WithdrawUnsentOnly,
         Self::NeverResend,
-        Self::RemoveSettledOnly,
+        Self::DeleteSettledOnly,
     ];
 
     fn name(self) -> &'static str {
         match self {
             Self::ConditionalInsert => "conditional insert",
-            Self::SettleLostClaim => "settling a lost claim",
+            Self::SettleLostClaim => "settling claims in doubt",
             Self::WithdrawUnsentOnly => "withdrawing unsent calls only",
-            Self::NeverResend => "never sending again",
-            Self::RemoveSettledOnly => "removing settled claims only",
+            Self::NeverResend => "sending calls only once",
+            Self::DeleteSettledOnly => "deleting settled claims only",
         }
     }
 }
 
-/// The specification.
+/// Specification of the ledger.
 #[derive(Debug)]
 pub struct LedgerModel {
-    removed: Option<LedgerGuard>,
+    removed_guard: Option<LedgerGuard>,
 }
 
-/// The claim's row, each entry's request and what the service ran.
+/// The claim's row, the request at each entry node, and how often the service ran its call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LedgerState {
     row: ClaimRow,
     requests: [Request; ENTRIES],
     runs: [u8; ENTRIES],
-    removals_left: u8,
+    deletions_left: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -69,182 +70,216 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Request {
-    /// Not asked yet.
-    Waiting,
-    /// The claim's write is on its way.
+    /// The caller has not sent it yet.
+    NotSent,
+    /// The write of the claim is in transit.
     Claiming,
-    /// The claim's answer is lost; its write took effect or is still on its way.
-    InDoubt { effective: bool },
-    /// The claim is ours; nothing is sent.
+    /// The response to the claim is lost; `applied` says whether the write took effect or is still
+    /// in transit.
+    InDoubt { applied: bool },
+    /// The entry node holds the claim and has sent nothing.
     Granted,
-    /// The call is on its way.
+    /// The call is in transit.
     Sent,
-    /// The service ran the call; the answer is on its way.
+    /// The service ran the call; the response is in transit.
     Ran,
-    /// The connection was refused before any byte.
+    /// The service refused the connection before any byte was sent.
     Refused,
-    /// The caller was told.
-    Told(Told),
+    /// The caller got this result.
+    Finished(CallResult),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Told {
-    Answer,
+enum CallResult {
+    /// The response of the service.
+    Response,
+    /// The call was not run and may be sent again.
     NotRun,
+    /// The call may have run.
     Unknown,
 }
 
 impl LedgerModel {
-    fn has(&self, guard: LedgerGuard) -> bool {
-        self.removed != Some(guard)
+    fn enforces(&self, guard: LedgerGuard) -> bool {
+        self.removed_guard != Some(guard)
     }
 
-    fn claim(&self, state: &LedgerState, who: usize, out: &mut Vec<(String, LedgerState)>) {
+    fn claim(
+        &self,
+        state: &LedgerState,
+        entry: usize,
+        transitions: &mut Vec<(String, LedgerState)>,
+    ) {
         let free = matches!(state.row, ClaimRow::Absent | ClaimRow::Withdrawn(_));
-        if free || !self.has(LedgerGuard::ConditionalInsert) {
+        if free || !self.enforces(LedgerGuard::ConditionalInsert) {
             let mut next = state.clone();
-            next.row = ClaimRow::Claimed(who);
-            next.requests[who] = Request::Granted;
-            out.push((format!("entry {who} claims"), next.clone()));
-            next.requests[who] = Request::InDoubt { effective: true };
-            out.push((format!("entry {who} claims and the answer is lost"), next));
-            let mut late = state.clone();
-            late.requests[who] = Request::InDoubt { effective: false };
-            out.push((format!("the claim of entry {who} is late"), late));
-            let told = tell(state, who, Told::NotRun);
-            out.push((format!("entry {who} finds the store down"), told));
+            next.row = ClaimRow::Claimed(entry);
+            next.requests[entry] = Request::Granted;
+            transitions.push((format!("entry {entry} claims"), next.clone()));
+            next.requests[entry] = Request::InDoubt { applied: true };
+            transitions.push((format!("entry {entry} claims and loses the response"), next));
+            let mut delayed = state.clone();
+            delayed.requests[entry] = Request::InDoubt { applied: false };
+            transitions.push((format!("the claim of entry {entry} is delayed"), delayed));
+            let not_run = finish(state, entry, CallResult::NotRun);
+            transitions.push((
+                format!("entry {entry} finds the store unavailable"),
+                not_run,
+            ));
             return;
         }
-        let told = match state.row {
-            ClaimRow::Answered(_) => Told::Answer,
-            ClaimRow::Absent | ClaimRow::Claimed(_) | ClaimRow::Withdrawn(_) => Told::Unknown,
+        let result = match state.row {
+            ClaimRow::Answered(_) => CallResult::Response,
+            ClaimRow::Absent | ClaimRow::Claimed(_) | ClaimRow::Withdrawn(_) => CallResult::Unknown,
         };
-        out.push((format!("entry {who} finds a claim"), tell(state, who, told)));
+        transitions.push((
+            format!("entry {entry} finds an existing claim"),
+            finish(state, entry, result),
+        ));
     }
 
-    fn settle_doubt(
+    fn settle_claim(
         &self,
         state: &LedgerState,
-        who: usize,
-        effective: bool,
-        out: &mut Vec<(String, LedgerState)>,
+        entry: usize,
+        applied: bool,
+        transitions: &mut Vec<(String, LedgerState)>,
     ) {
         let free = matches!(state.row, ClaimRow::Absent | ClaimRow::Withdrawn(_));
-        if !effective && free {
-            let mut landed = state.clone();
-            landed.row = ClaimRow::Claimed(who);
-            landed.requests[who] = Request::InDoubt { effective: true };
-            out.push((
-                format!("the late claim of entry {who} takes effect"),
-                landed,
+        if !applied && free {
+            let mut arrived = state.clone();
+            arrived.row = ClaimRow::Claimed(entry);
+            arrived.requests[entry] = Request::InDoubt { applied: true };
+            transitions.push((
+                format!("the delayed claim of entry {entry} takes effect"),
+                arrived,
             ));
         }
-        if !self.has(LedgerGuard::SettleLostClaim) {
+        if !self.enforces(LedgerGuard::SettleLostClaim) {
             let mut granted = state.clone();
-            granted.requests[who] = Request::Granted;
-            out.push((format!("entry {who} takes the claim for granted"), granted));
+            granted.requests[entry] = Request::Granted;
+            transitions.push((
+                format!("entry {entry} assumes that its claim is granted"),
+                granted,
+            ));
             return;
         }
         let mut next = state.clone();
-        let own = state.row == ClaimRow::Claimed(who);
-        if own || (!effective && free) {
-            next.row = ClaimRow::Claimed(who);
-            next.requests[who] = Request::Granted;
+        let is_own = state.row == ClaimRow::Claimed(entry);
+        if is_own || (!applied && free) {
+            next.row = ClaimRow::Claimed(entry);
+            next.requests[entry] = Request::Granted;
         } else {
-            next.requests[who] = Request::Told(Told::Unknown);
+            next.requests[entry] = Request::Finished(CallResult::Unknown);
         }
-        out.push((
-            format!("entry {who} sends the claim again under its token"),
+        transitions.push((
+            format!("entry {entry} resends the claim under its token"),
             next,
         ));
-        out.push((
-            format!("entry {who} can't settle the claim"),
-            tell(state, who, Told::Unknown),
+        transitions.push((
+            format!("entry {entry} can't settle the claim"),
+            finish(state, entry, CallResult::Unknown),
         ));
     }
 
-    fn serve(&self, state: &LedgerState, who: usize, out: &mut Vec<(String, LedgerState)>) {
-        match state.requests[who] {
+    fn send_call(
+        &self,
+        state: &LedgerState,
+        entry: usize,
+        transitions: &mut Vec<(String, LedgerState)>,
+    ) {
+        match state.requests[entry] {
             Request::Granted => {
                 let mut sent = state.clone();
-                sent.requests[who] = Request::Sent;
-                out.push((format!("entry {who} sends the call"), sent));
+                sent.requests[entry] = Request::Sent;
+                transitions.push((format!("entry {entry} sends the call"), sent));
                 let mut refused = state.clone();
-                refused.requests[who] = Request::Refused;
-                out.push((
-                    format!("the service refuses entry {who}'s connection"),
+                refused.requests[entry] = Request::Refused;
+                transitions.push((
+                    format!("the service refuses entry {entry}'s connection"),
                     refused,
                 ));
             }
             Request::Refused => {
-                let mut next = tell(state, who, Told::NotRun);
-                if state.row == ClaimRow::Claimed(who) {
-                    next.row = ClaimRow::Withdrawn(who);
+                let mut next = finish(state, entry, CallResult::NotRun);
+                if state.row == ClaimRow::Claimed(entry) {
+                    next.row = ClaimRow::Withdrawn(entry);
                 }
-                out.push((format!("entry {who} withdraws its claim"), next));
-                let unknown = tell(state, who, Told::Unknown);
-                out.push((format!("entry {who} can't withdraw its claim"), unknown));
+                transitions.push((format!("entry {entry} withdraws its claim"), next));
+                let unknown = finish(state, entry, CallResult::Unknown);
+                transitions.push((format!("entry {entry} can't withdraw its claim"), unknown));
             }
             Request::Sent => {
                 let mut next = state.clone();
-                next.runs[who] += 1;
-                next.requests[who] = Request::Ran;
-                out.push((format!("the service runs the call of entry {who}"), next));
-                self.lose(state, who, out);
+                next.runs[entry] += 1;
+                next.requests[entry] = Request::Ran;
+                transitions.push((format!("the service runs the call of entry {entry}"), next));
+                self.lose_response(state, entry, transitions);
             }
             Request::Ran => {
-                let mut next = tell(state, who, Told::Answer);
-                if state.row == ClaimRow::Claimed(who) {
-                    next.row = ClaimRow::Answered(who);
+                let mut next = finish(state, entry, CallResult::Response);
+                if state.row == ClaimRow::Claimed(entry) {
+                    next.row = ClaimRow::Answered(entry);
                 }
-                out.push((format!("entry {who} records the answer"), next));
-                self.lose(state, who, out);
+                transitions.push((format!("entry {entry} records the response"), next));
+                self.lose_response(state, entry, transitions);
             }
-            Request::Waiting | Request::Claiming | Request::InDoubt { .. } | Request::Told(_) => {}
+            Request::NotSent
+            | Request::Claiming
+            | Request::InDoubt { .. }
+            | Request::Finished(_) => {}
         }
     }
 
-    fn lose(&self, state: &LedgerState, who: usize, out: &mut Vec<(String, LedgerState)>) {
-        let unknown = tell(state, who, Told::Unknown);
-        out.push((format!("entry {who} loses the answer"), unknown));
-        if !self.has(LedgerGuard::NeverResend) {
+    fn lose_response(
+        &self,
+        state: &LedgerState,
+        entry: usize,
+        transitions: &mut Vec<(String, LedgerState)>,
+    ) {
+        let unknown = finish(state, entry, CallResult::Unknown);
+        transitions.push((format!("entry {entry} loses the response"), unknown));
+        if !self.enforces(LedgerGuard::NeverResend) {
             let mut next = state.clone();
-            next.requests[who] = Request::Granted;
-            out.push((
-                format!("entry {who} loses the answer and sends again"),
+            next.requests[entry] = Request::Granted;
+            transitions.push((
+                format!("entry {entry} loses the response and resends"),
                 next,
             ));
         }
-        if !self.has(LedgerGuard::WithdrawUnsentOnly) {
-            let mut next = tell(state, who, Told::NotRun);
-            next.row = ClaimRow::Withdrawn(who);
-            out.push((format!("entry {who} loses the answer and withdraws"), next));
+        if !self.enforces(LedgerGuard::WithdrawUnsentOnly) {
+            let mut next = finish(state, entry, CallResult::NotRun);
+            next.row = ClaimRow::Withdrawn(entry);
+            transitions.push((
+                format!("entry {entry} loses the response and withdraws"),
+                next,
+            ));
         }
     }
 
-    fn remove(&self, state: &LedgerState) -> Option<LedgerState> {
-        let removable = match state.row {
+    fn delete_claim(&self, state: &LedgerState) -> Option<LedgerState> {
+        let deletable = match state.row {
             ClaimRow::Absent => false,
-            ClaimRow::Claimed(_) => !self.has(LedgerGuard::RemoveSettledOnly),
-            // A settled claim is removed long after the last retry of its caller.
+            ClaimRow::Claimed(_) => !self.enforces(LedgerGuard::DeleteSettledOnly),
+            // A settled claim is deleted long after its caller's last retry.
             ClaimRow::Answered(_) | ClaimRow::Withdrawn(_) => state
                 .requests
                 .iter()
-                .all(|request| matches!(request, Request::Told(_))),
+                .all(|request| matches!(request, Request::Finished(_))),
         };
-        if !removable || state.removals_left == 0 {
+        if !deletable || state.deletions_left == 0 {
             return None;
         }
         let mut next = state.clone();
         next.row = ClaimRow::Absent;
-        next.removals_left -= 1;
+        next.deletions_left -= 1;
         Some(next)
     }
 }
 
-fn tell(state: &LedgerState, who: usize, told: Told) -> LedgerState {
+fn finish(state: &LedgerState, entry: usize, result: CallResult) -> LedgerState {
     let mut next = state.clone();
-    next.requests[who] = Request::Told(told);
+    next.requests[entry] = Request::Finished(result);
     next
 }
 
@@ -255,52 +290,55 @@
 
     type State = LedgerState;
 
-    fn without(removed: Option<LedgerGuard>) -> Self {
-        Self { removed }
+    fn new(removed_guard: Option<LedgerGuard>) -> Self {
+        Self { removed_guard }
     }
 
-    fn start(&self) -> LedgerState {
+    fn initial_state(&self) -> LedgerState {
         LedgerState {
             row: ClaimRow::Absent,
-            requests: [Request::Waiting; ENTRIES],
+            requests: [Request::NotSent; ENTRIES],
             runs: [0; ENTRIES],
-            removals_left: 1,
+            deletions_left: 1,
         }
     }
 
-    fn steps(&self, state: &LedgerState) -> Vec<(String, LedgerState)> {
-        let mut out = Vec::new();
-        for who in 0..ENTRIES {
-            match state.requests[who] {
-                Request::Waiting => {
+    fn transitions(&self, state: &LedgerState) -> Vec<(String, LedgerState)> {
+        let mut transitions = Vec::new();
+        for entry in 0..ENTRIES {
+            match state.requests[entry] {
+                Request::NotSent => {
                     let mut next = state.clone();
-                    next.requests[who] = Request::Claiming;
-                    out.push((format!("the caller asks entry {who}"), next));
+                    next.requests[entry] = Request::Claiming;
+                    transitions.push((
+                        format!("the caller sends the request to entry {entry}"),
+                        next,
+                    ));
                 }
-                Request::Claiming => self.claim(state, who, &mut out),
-                Request::InDoubt { effective } => {
-                    self.settle_doubt(state, who, effective, &mut out);
+                Request::Claiming => self.claim(state, entry, &mut transitions),
+                Request::InDoubt { applied } => {
+                    self.settle_claim(state, entry, applied, &mut transitions);
                 }
                 Request::Granted | Request::Sent | Request::Ran | Request::Refused => {
-                    self.serve(state, who, &mut out);
+                    self.send_call(state, entry, &mut transitions);
                 }
-                Request::Told(_) => {}
+                Request::Finished(_) => {}
             }
         }
-        if let Some(next) = self.remove(state) {
-            out.push(("the housekeeper removes the claim".to_owned(), next));
+        if let Some(next) = self.delete_claim(state) {
+            transitions.push(("housekeeping deletes the claim".to_owned(), next));
         }
-        out.retain(|(_, next)| next.runs.iter().all(|runs| *runs <= 2));
-        out
+        transitions.retain(|(_, next)| next.runs.iter().all(|runs| *runs <= 2));
+        transitions
     }
 
-    fn violation(&self, state: &LedgerState) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &LedgerState) -> Option<&'static str> {
         if state.runs.iter().sum::<u8>() > 1 {
             return Some("a call ran twice");
         }
         for (request, runs) in state.requests.iter().zip(state.runs) {
-            if *request == Request::Told(Told::NotRun) && runs > 0 {
-                return Some("a call ran that the caller was told had not");
+            if *request == Request::Finished(CallResult::NotRun) && runs > 0 {
+                return Some("a call ran although the caller was told that it did not");
             }
         }
         None
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small specifications of the core protocols and their search.
+//! Model checker and state-machine specifications of the core protocols.
 //!
-//! Each specification is a state machine with every interleaving of its processes, messages,
-//! pauses and losses, searched breadth first to the last reachable state. Each also runs once for
-//! every guard with that guard removed, and must then reach a violation: a specification that
-//! can't fail proves nothing.
+//! Each specification covers every interleaving of its processes, messages, pauses and losses. A
+//! breadth-first search visits all of its reachable states and checks the invariants in each. It
+//! runs again once per guard with that guard removed and must then find a violation; otherwise the
+//! specification could not detect the failure that the guard prevents.
 
 pub mod assembly;
 pub mod config;
@@ -14,30 +14,30 @@
 
 use search::{ProtocolModel, SearchReport, SpecGuard, search};
 
-/// States after which a search gives up; an unfinished search counts as a failure.
-pub const STATE_BOUND: usize = 6_000_000;
+/// Number of states after which a search stops; an incomplete search counts as a failure.
+pub const MAX_STATES: usize = 6_000_000;
 
-/// One run of a specification: whole, or with one guard removed.
+/// Result of checking a specification with all guards, or with one guard removed.
 #[derive(Debug)]
 pub struct SpecRun {
-    /// Name of the specification.
+    /// Name of the specification, as its module is called.
     pub spec: &'static str,
-    /// The guard that is removed; none in a run of the whole specification.
-    pub removed: Option<&'static str>,
-    /// What the search found.
+    /// Name of the removed guard; none when all guards are in place.
+    pub removed_guard: Option<&'static str>,
+    /// Result of the search.
     pub report: SearchReport,
 }
 
 impl SpecRun {
-    /// Whether the run found what it must: nothing when whole, a violation without a guard.
+    /// Whether a complete search found no violation with all guards, or one with a guard removed.
     #[must_use]
-    pub fn passes(&self) -> bool {
+    pub fn passed(&self) -> bool {
         let violated = self.report.violation.is_some();
-        self.report.complete && violated == self.removed.is_some()
+        self.report.complete && violated == self.removed_guard.is_some()
     }
 }
 
-/// Runs every specification, whole and with each guard removed.
+/// Checks every specification with all guards, and again with each guard removed.
 #[must_use]
 pub fn run_all() -> Vec<SpecRun> {
     let mut runs = Vec::new();
@@ -56,11 +56,11 @@
     }
 }
 
-fn run_once<M: ProtocolModel>(removed: Option<M::Guard>) -> SpecRun {
-    let report = search(&M::without(removed), STATE_BOUND);
+fn run_once<M: ProtocolModel>(removed_guard: Option<M::Guard>) -> SpecRun {
+    let report = search(&M::new(removed_guard), MAX_STATES);
     SpecRun {
         spec: M::NAME,
-        removed: removed.map(SpecGuard::name),
+        removed_guard: removed_guard.map(SpecGuard::name),
         report,
     }
 }
--- a/crates/spec/src/main.rs
+++ b/crates/spec/src/main.rs
@@ -1,16 +1,17 @@
-//! Checks every specification and prints the states visited.
+//! Checks every specification and prints a line for each run; `--traces` adds the steps that lead
+//! to each violation.
 
 use std::process::ExitCode;
 
 use spec::{SpecRun, run_all};
 
 fn main() -> ExitCode {
-    let with_traces = std::env::args().any(|argument| argument == "--traces");
+    let print_traces = std::env::args().any(|argument| argument == "--traces");
     let runs = run_all();
     for run in &runs {
-        print_run(run, with_traces);
+        print_run(run, print_traces);
     }
-    let failed = runs.iter().filter(|run| !run.passes()).count();
+    let failed = runs.iter().filter(|run| !run.passed()).count();
     println!("{} specification runs, {failed} failed", runs.len());
     if failed == 0 {
         ExitCode::SUCCESS
@@ -19,28 +20,28 @@
     }
 }
 
-fn print_run(run: &SpecRun, with_traces: bool) {
+fn print_run(run: &SpecRun, print_traces: bool) {
     let guard = run
-        .removed
-        .map_or("whole".to_owned(), |guard| format!("without {guard}"));
-    let found = match &run.report.violation {
+        .removed_guard
+        .map_or("all guards".to_owned(), |guard| format!("without {guard}"));
+    let result = match &run.report.violation {
         Some(violation) => format!(
             "{} after {} steps",
-            violation.promise,
+            violation.invariant,
             violation.trace.len()
         ),
         None if run.report.complete => "no violation".to_owned(),
-        None => "unfinished".to_owned(),
+        None => "search incomplete".to_owned(),
     };
-    let verdict = if run.passes() { "ok" } else { "FAILED" };
+    let status = if run.passed() { "ok" } else { "FAILED" };
     println!(
-        "{verdict:6} {:14} {guard:34} {:>9} states: {found}",
+        "{status:6} {:14} {guard:34} {:>9} states: {result}",
         run.spec, run.report.states
     );
     let Some(violation) = &run.report.violation else {
         return;
     };
-    if !with_traces && run.passes() {
+    if !print_traces && run.passed() {
         return;
     }
     for step in &violation.trace {
--- a/crates/spec/src/search.rs
+++ b/crates/spec/src/search.rs
@@ -1,4 +1,4 @@
-//! Explicit-state search over a specification.
+//! Explicit-state model checking by breadth-first search.
 
 use std::cell::Cell;
 use std::fmt::Debug;
@@ -6,95 +6,97 @@
 
 use pathfinding::prelude::bfs;
 
-/// The mechanisms of a specification that it can go without.
+/// The protection mechanisms of a protocol, each of which can be removed from its specification.
 pub trait SpecGuard: Copy + 'static {
-    /// Every guard.
+    /// All guards; the specification is checked once without each of them.
     const ALL: &'static [Self];
 
-    /// Its name in reports.
+    /// Name of the guard in reports.
     fn name(self) -> &'static str;
 }
 
-/// A specification: states, steps and what must hold of every state.
+/// A specification: an initial state, transitions, and invariants that hold in every state.
 pub trait ProtocolModel {
-    /// Its name in reports.
+    /// Name of the specification in reports.
     const NAME: &'static str;
 
-    /// Its guards.
+    /// The guards that can be removed.
     type Guard: SpecGuard;
 
-    /// The specification with one guard removed, or whole.
-    fn without(removed: Option<Self::Guard>) -> Self;
+    /// The specification with one guard removed, or with all guards if none is given.
+    fn new(removed_guard: Option<Self::Guard>) -> Self;
 
-    /// A state; equal states are visited once.
+    /// A state of the whole system; equal states are expanded once.
     type State: Clone + Eq + Hash + Debug;
 
-    /// The first state.
-    fn start(&self) -> Self::State;
+    /// The state from which the search starts.
+    fn initial_state(&self) -> Self::State;
 
-    /// Every step that may be taken in a state, with its name.
-    fn steps(&self, state: &Self::State) -> Vec<(String, Self::State)>;
+    /// The successors of a state, each with a description of the step that leads to it.
+    fn transitions(&self, state: &Self::State) -> Vec<(String, Self::State)>;
 
-    /// The promise that a state breaks.
-    fn violation(&self, state: &Self::State) -> Option<&'static str>;
+    /// The invariant that a state violates, if any.
+    fn violated_invariant(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug)]
 pub struct SearchReport {
-    /// States whose steps were taken.
+    /// Number of states that were expanded.
     pub states: usize,
-    /// Whether every reachable state was visited, or a violation ended the search.
+    /// Whether the search expanded every reachable state or ended at a violation; false when it
+    /// reached the limit on states.
     pub complete: bool,
-    /// The shortest way to a violation.
+    /// The violation with the shortest trace; none when every expanded state is valid.
     pub violation: Option<SpecViolation>,
 }
 
-/// A broken promise.
+/// A violated invariant and the steps that lead to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpecViolation {
-    /// The promise.
-    pub promise: &'static str,
-    /// Names of the steps that lead to it.
+    /// Description of the violation.
+    pub invariant: &'static str,
+    /// Descriptions of the steps from the initial state.
     pub trace: Vec<String>,
 }
 
-/// Visits every reachable state, up to `bound` states, until one breaks a promise.
+/// Expands reachable states breadth first until one violates an invariant, all are expanded, or
+/// `max_states` have been expanded.
 #[must_use]
-pub fn search<M: ProtocolModel>(model: &M, bound: usize) -> SearchReport {
-    let visited = Cell::new(0_usize);
+pub fn search<M: ProtocolModel>(model: &M, max_states: usize) -> SearchReport {
+    let expanded = Cell::new(0_usize);
     let successors = |state: &M::State| {
-        if visited.get() >= bound {
+        if expanded.get() >= max_states {
             return Vec::new();
         }
-        visited.set(visited.get() + 1);
+        expanded.set(expanded.get() + 1);
         model
-            .steps(state)
+            .transitions(state)
             .into_iter()
             .map(|(_, next)| next)
             .collect::<Vec<_>>()
     };
-    let path = bfs(&model.start(), successors, |state| {
-        model.violation(state).is_some()
+    let path = bfs(&model.initial_state(), successors, |state| {
+        model.violated_invariant(state).is_some()
     });
-    let violation = path.and_then(|path| describe(model, &path));
-    let complete = violation.is_some() || visited.get() < bound;
+    let violation = path.and_then(|path| build_violation(model, &path));
+    let complete = violation.is_some() || expanded.get() < max_states;
     SearchReport {
-        states: visited.get(),
+        states: expanded.get(),
         complete,
         violation,
     }
 }
 
-fn describe<M: ProtocolModel>(model: &M, path: &[M::State]) -> Option<SpecViolation> {
-    let promise = model.violation(path.last()?)?;
+fn build_violation<M: ProtocolModel>(model: &M, path: &[M::State]) -> Option<SpecViolation> {
+    let invariant = model.violated_invariant(path.last()?)?;
     let mut trace = Vec::new();
     for pair in path.windows(2) {
         let step = model
-            .steps(&pair[0])
+            .transitions(&pair[0])
             .into_iter()
             .find(|(_, next)| *next == pair[1]);
-        trace.extend(step.map(|(name, _)| name));
+        trace.extend(step.map(|(description, _)| description));
     }
-    Some(SpecViolation { promise, trace })
+    Some(SpecViolation { invariant, trace })
 }
--- a/crates/spec/tests/search_bounds.rs
+++ b/crates/spec/tests/search_bounds.rs
@@ -1,4 +1,4 @@
-//! The search itself: shortest traces, and no verdict without a whole search.
+//! The search finds shortest traces, and an incomplete search never counts as passed.
 
 use spec::SpecRun;
 use spec::search::{ProtocolModel, SearchReport, SpecGuard, search};
@@ -14,9 +14,9 @@
     }
 }
 
-/// Counts up by one or two; the promise breaks at `bad`.
+/// Counts up by one or two; the state `forbidden` violates the invariant.
 struct CountModel {
-    bad: u32,
+    forbidden: u32,
 }
 
 impl ProtocolModel for CountModel {
@@ -26,55 +26,55 @@
 
     type State = u32;
 
-    fn without(_removed: Option<NoGuard>) -> Self {
-        Self { bad: 10 }
+    fn new(_removed_guard: Option<NoGuard>) -> Self {
+        Self { forbidden: 10 }
     }
 
-    fn start(&self) -> u32 {
+    fn initial_state(&self) -> u32 {
         0
     }
 
-    fn steps(&self, state: &u32) -> Vec<(String, u32)> {
+    fn transitions(&self, state: &u32) -> Vec<(String, u32)> {
         let sums = [("one", state + 1), ("two", state + 2)];
         sums.into_iter()
             .filter(|(_, sum)| *sum <= 20)
-            .map(|(name, sum)| (name.to_owned(), sum))
+            .map(|(step, sum)| (step.to_owned(), sum))
             .collect()
     }
 
-    fn violation(&self, state: &u32) -> Option<&'static str> {
-        (*state == self.bad).then_some("the count is bad")
+    fn violated_invariant(&self, state: &u32) -> Option<&'static str> {
+        (*state == self.forbidden).then_some("the count is forbidden")
     }
 }
 
 #[test]
-fn shortest_trace() {
-    let report = search(&CountModel { bad: 10 }, 1_000);
-    let violation = report.violation.expect("10 can be reached");
+fn finds_shortest_trace() {
+    let report = search(&CountModel { forbidden: 10 }, 1_000);
+    let violation = report.violation.expect("10 is reachable");
     assert_eq!(violation.trace, vec!["two"; 5]);
 }
 
 #[test]
-fn all_visited() {
-    let report = search(&CountModel { bad: 99 }, 1_000);
+fn visits_all_states() {
+    let report = search(&CountModel { forbidden: 99 }, 1_000);
     assert!(report.complete && report.violation.is_none());
     assert_eq!(report.states, 21);
 }
 
 #[test]
-fn unfinished_fails() {
-    let report = search(&CountModel { bad: 99 }, 5);
+fn incomplete_search_fails() {
+    let report = search(&CountModel { forbidden: 99 }, 5);
     assert!(!report.complete);
     let run = SpecRun {
         spec: "count",
-        removed: None,
+        removed_guard: None,
         report,
     };
-    assert!(!run.passes(), "an unfinished search is no proof");
+    assert!(!run.passed(), "an incomplete search proves nothing");
 }
 
 #[test]
-fn idle_guard_fails() {
+fn ineffective_guard_fails() {
     let report = SearchReport {
         states: 21,
         complete: true,
@@ -82,11 +82,11 @@
     };
     let run = SpecRun {
         spec: "count",
-        removed: Some("nothing"),
+        removed_guard: Some("unneeded guard"),
         report,
     };
     assert!(
-        !run.passes(),
-        "a guard that prevents nothing shows a specification that can't fail"
+        !run.passed(),
+        "no violation without the guard: the specification can't detect its absence"
     );
 }
