--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -12,7 +12,7 @@
 use wire::engine::{ResumeRequest, StreamEvent, StreamRequest};
 
 use crate::context::EntryContext;
-use crate::dispatch::ask::PlacedSlot;
+use crate::dispatch::request::SlotGuard;
 use crate::order::CompletionOrder;
 use crate::progress::{AnswerEnd, AnswerProgress, MatchFault, MatchStep, StreamMatcher};
 use crate::sink::AnswerSink;
@@ -134,7 +134,7 @@
     /// How it begins.
     pub kind: AttemptKind,
     /// The slot that it fills; none for a stream that fills one since an earlier connection.
-    pub slot: Option<&'a mut PlacedSlot>,
+    pub slot: Option<&'a mut SlotGuard>,
 }
 
 impl<E: EngineClient> AttemptRun<'_, E> {
@@ -255,7 +255,7 @@
     stream: E::Stream,
     matcher: StreamMatcher,
     begin_limit: Duration,
-    slot: Option<&'a mut PlacedSlot>,
+    slot: Option<&'a mut SlotGuard>,
 }
 
 /// What a follower waited for.
@@ -316,7 +316,7 @@
             last_event = Instant::now();
             begun = true;
             if let Some(slot) = &mut self.slot {
-                slot.note_first_token();
+                slot.record_first_token();
             }
         }
     }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -11,7 +11,7 @@
 
 use crate::attempt::{AttemptEnd, AttemptFault, AttemptKind, AttemptRun, AttemptSite};
 use crate::context::EntryContext;
-use crate::dispatch::ask::{PlacedSlot, PlacementAsk, SlotOutcome};
+use crate::dispatch::request::{DispatchRequest, SlotGuard, SlotOutcome};
 use crate::failure::CallerFailure;
 use crate::order::CompletionOrder;
 use crate::progress::{AnswerEnd, AnswerProgress, MatchFault};
@@ -45,7 +45,7 @@
     order: &'a CompletionOrder,
     progress: AnswerProgress,
     /// What the dispatcher is asked for the next attempt.
-    ask: PlacementAsk,
+    ask: DispatchRequest,
     /// Attempts so far.
     attempts: u32,
     /// Whether an engine may have run something.
@@ -60,7 +60,7 @@
             context,
             order,
             progress: AnswerProgress::default(),
-            ask: PlacementAsk::new(order),
+            ask: DispatchRequest::new(order),
             attempts: 0,
             may_have_run: false,
         }
@@ -157,7 +157,7 @@
         };
         SlotOutcome {
             outcome,
-            actual: self.ask.prompt_tokens.saturating_add(delivered),
+            actual_cost: self.ask.prompt_tokens.saturating_add(delivered),
             cached_tokens,
         }
     }
@@ -225,7 +225,7 @@
         &mut self,
         site: &AttemptSite,
         kind: AttemptKind,
-        slot: Option<&mut PlacedSlot>,
+        slot: Option<&mut SlotGuard>,
         sink: &mut A,
     ) -> Result<CompletionEnd, AttemptFault> {
         self.attempts += 1;
--- a/crates/entry/src/dispatch/actor.rs
+++ b/crates/entry/src/dispatch/actor.rs
@@ -8,12 +8,12 @@
 use tokio::sync::{mpsc, watch};
 use xtra::{Context, Handler, WeakAddress};
 
-use super::ask::{DispatchNote, PlacementAsk};
-use super::moment::SlotReply;
+use super::request::{DispatchEvent, DispatchRequest};
 use super::state::DispatchState;
+use super::time::SlotReply;
 
 /// Time between two looks at what expired: a refusal may come so much late.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Owns the dispatcher's state.
 #[derive(Debug, xtra::Actor)]
@@ -28,14 +28,14 @@
 }
 
 /// A request asks for a replica.
-pub struct OfferAsk {
+pub struct EnqueueRequest {
     pub number: u64,
-    pub ask: PlacementAsk,
+    pub request: DispatchRequest,
     pub reply: SlotReply,
 }
 
 /// The replicas changed, or time has passed.
-struct TakeView(Option<Arc<TargetView>>);
+struct UpdateTargets(Option<Arc<TargetView>>);
 
 /// Asks whether a failed request is tried again.
 pub struct DecideRetry {
@@ -46,42 +46,44 @@
 /// Tells how many entries there are.
 pub struct SetEntries(pub u32);
 
-impl Handler<OfferAsk> for DispatchActor {
+impl Handler<EnqueueRequest> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, offer: OfferAsk, _: &mut Context<Self>) {
-        let at = self.state.moment();
-        self.state.offer(at, offer.number, offer.ask, offer.reply);
+    async fn handle(&mut self, offer: EnqueueRequest, _: &mut Context<Self>) {
+        let at = self.state.current_time();
+        self.state
+            .offer(at, offer.number, offer.request, offer.reply);
     }
 }
 
-impl Handler<TakeView> for DispatchActor {
+impl Handler<UpdateTargets> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, view: TakeView, _: &mut Context<Self>) {
-        let at = self.state.moment();
+    async fn handle(&mut self, view: UpdateTargets, _: &mut Context<Self>) {
+        let at = self.state.current_time();
         match view.0 {
-            Some(view) => self.state.take_view(at, &view),
+            Some(view) => self.state.update_targets(at, &view),
             None => self.state.tick(at),
         }
     }
 }
 
-impl Handler<DispatchNote> for DispatchActor {
+impl Handler<DispatchEvent> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, note: DispatchNote, _: &mut Context<Self>) {
-        let at = self.state.moment();
-        self.state.take_note(at, note);
+    async fn handle(&mut self, event: DispatchEvent, _: &mut Context<Self>) {
+        let at = self.state.current_time();
+        self.state.handle_event(at, event);
     }
 }
 
 impl Handler<DecideRetry> for DispatchActor {
     type Return = RetryDecision;
 
-    async fn handle(&mut self, ask: DecideRetry, _: &mut Context<Self>) -> RetryDecision {
-        let at = self.state.moment();
-        self.state.decide_retry(at, ask.number, ask.deadline)
+    async fn handle(&mut self, request: DecideRetry, _: &mut Context<Self>) -> RetryDecision {
+        let at = self.state.current_time();
+        self.state
+            .decide_retry(at, request.number, request.deadline)
     }
 }
 
@@ -93,31 +95,31 @@
     }
 }
 
-/// Hands notes on; they come from places that can't wait.
-pub async fn forward_notes(
-    mut notes: mpsc::UnboundedReceiver<DispatchNote>,
+/// Hands events on; they come from places that can't wait.
+pub async fn forward_events(
+    mut events: mpsc::UnboundedReceiver<DispatchEvent>,
     address: WeakAddress<DispatchActor>,
 ) {
-    while let Some(note) = notes.recv().await {
-        if address.send(note).await.is_err() {
+    while let Some(event) = events.recv().await {
+        if address.send(event).await.is_err() {
             return;
         }
     }
 }
 
 /// Hands new views on, and ticks in between.
-pub async fn follow_targets(
+pub async fn watch_targets(
     mut targets: watch::Receiver<Arc<TargetView>>,
     address: WeakAddress<DispatchActor>,
 ) {
     targets.mark_changed();
     loop {
-        let view = match tokio::time::timeout(TICK, targets.changed()).await {
+        let view = match tokio::time::timeout(TICK_INTERVAL, targets.changed()).await {
             Ok(Ok(())) => Some(Arc::clone(&targets.borrow_and_update())),
             Ok(Err(_)) => return,
             Err(_) => None,
         };
-        if address.send(TakeView(view)).await.is_err() {
+        if address.send(UpdateTargets(view)).await.is_err() {
             return;
         }
     }
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -12,10 +12,10 @@
 };
 use rand::rngs::SmallRng;
 
-use super::ask::PlacementAsk;
+use super::request::DispatchRequest;
 
 /// Assumed round trip to a replica in another failure domain of the region.
-const OTHER_DOMAIN: Duration = Duration::from_millis(1);
+const CROSS_DOMAIN_ROUND_TRIP: Duration = Duration::from_millis(1);
 
 /// All replicas.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     }
 
     /// Takes a new view in and tells each model's replicas.
-    pub fn take_view(
+    pub fn update_targets(
         &mut self,
         view: &TargetView,
         now: Duration,
@@ -99,7 +99,11 @@
         let near = self.local_domain.is_none() || replica.domain == self.local_domain;
         TargetProperties {
             slots: replica.load.map_or(0, |(load, _)| load.slots),
-            round_trip: if near { Duration::ZERO } else { OTHER_DOMAIN },
+            round_trip: if near {
+                Duration::ZERO
+            } else {
+                CROSS_DOMAIN_ROUND_TRIP
+            },
             adapters: replica.plan.adapters.clone(),
         }
     }
@@ -118,35 +122,35 @@
     pub fn place(
         &mut self,
         candidates: &CandidateList,
-        ask: &PlacementAsk,
+        request: &DispatchRequest,
         now: Duration,
         instant: Instant,
     ) -> Option<(PlacementChoice, Arc<ReplicaView>)> {
-        let request = PlacementRequest {
-            prompt_tokens: ask.prompt_tokens,
-            prefixes: &ask.prefixes,
-            adapter: ask.adapter.as_ref(),
+        let placement = PlacementRequest {
+            prompt_tokens: request.prompt_tokens,
+            prefixes: &request.prefixes,
+            adapter: request.adapter.as_ref(),
         };
         let (views, limit) = (&self.views, self.max_evidence_age);
         let fits = |key: TargetKey| {
             views.get(&key).is_some_and(|view| {
-                let version = ask.version.as_ref();
+                let version = request.version.as_ref();
                 version.is_none_or(|version| view.plan.version == *version)
                     && view.dispatchable(instant, limit)
             })
         };
-        let fresh = |key: TargetKey| {
+        let untried = |key: TargetKey| {
             let tried = views
                 .get(&key)
-                .is_some_and(|view| ask.tried.contains(&view.plan.id));
+                .is_some_and(|view| request.tried.contains(&view.plan.id));
             !tried && fits(key)
         };
         let pool = &mut self.pool;
         let choice = pool
-            .choose(candidates, &request, now, fresh, &mut self.rng)
-            .or_else(|| pool.choose(candidates, &request, now, fits, &mut self.rng))?;
+            .choose(candidates, &placement, now, untried, &mut self.rng)
+            .or_else(|| pool.choose(candidates, &placement, now, fits, &mut self.rng))?;
         let view = Arc::clone(views.get(&choice.target)?);
-        pool.record_sent(&choice, &request, now);
+        pool.record_sent(&choice, &placement, now);
         Some((choice, view))
     }
 }
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -4,11 +4,11 @@
 //! actor owns the state.
 
 mod actor;
-pub mod ask;
 mod index;
-mod moment;
 mod queue;
+pub mod request;
 pub mod state;
+mod time;
 
 use events::log_skipped;
 use std::sync::Arc;
@@ -23,18 +23,18 @@
 use xtra::{Address, Mailbox};
 
 use crate::failure::CallerFailure;
-use actor::{DecideRetry, DispatchActor, OfferAsk, SetEntries};
-use ask::{DispatchNote, NoteSender, PlacedSlot, PlacementAsk};
+use actor::{DecideRetry, DispatchActor, EnqueueRequest, SetEntries};
+use request::{DispatchEvent, DispatchEventSender, DispatchRequest, SlotGuard};
 use state::{DispatchSettings, DispatchState};
 
 /// Messages that wait for the actor; senders wait beyond that.
-const MAILBOX: usize = 1_024;
+const MAILBOX_CAPACITY: usize = 1_024;
 
 /// A handle of the dispatcher. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct RequestDispatcher {
     address: Address<DispatchActor>,
-    notes: NoteSender,
+    events: DispatchEventSender,
     numbers: Arc<AtomicU64>,
     waiting: Arc<AtomicUsize>,
 }
@@ -43,14 +43,17 @@
     /// Starts a dispatcher. Needs a tokio runtime.
     #[must_use]
     pub fn start(settings: DispatchSettings, targets: watch::Receiver<Arc<TargetView>>) -> Self {
-        let (notes, received) = mpsc::unbounded_channel();
-        let state = DispatchState::new(settings, Instant::now(), notes.clone());
-        let address = xtra::spawn_tokio(DispatchActor::new(state), Mailbox::bounded(MAILBOX));
-        tokio::spawn(actor::forward_notes(received, address.downgrade()));
-        tokio::spawn(actor::follow_targets(targets, address.downgrade()));
+        let (events, received) = mpsc::unbounded_channel();
+        let state = DispatchState::new(settings, Instant::now(), events.clone());
+        let address = xtra::spawn_tokio(
+            DispatchActor::new(state),
+            Mailbox::bounded(MAILBOX_CAPACITY),
+        );
+        tokio::spawn(actor::forward_events(received, address.downgrade()));
+        tokio::spawn(actor::watch_targets(targets, address.downgrade()));
         Self {
             address,
-            notes,
+            events,
             numbers: Arc::default(),
             waiting: Arc::default(),
         }
@@ -61,20 +64,24 @@
     /// # Errors
     ///
     /// [`CallerFailure`] as not run: refused at once, or given up at its deadline.
-    pub async fn place(&self, ask: PlacementAsk) -> Result<PlacedSlot, CallerFailure> {
+    pub async fn place(&self, request: DispatchRequest) -> Result<SlotGuard, CallerFailure> {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let mut leave = LeaveGuard {
+        let mut guard = WaitGuard {
             waiting: &self.waiting,
-            notes: &self.notes,
-            model: Some(ask.model.clone()),
+            events: &self.events,
+            model: Some(request.model.clone()),
+            number,
+        };
+        let offer = EnqueueRequest {
             number,
+            request,
+            reply,
         };
-        let offer = OfferAsk { number, ask, reply };
         let sent = self.address.send(offer).await.is_ok();
         let result = if sent { answer.await.ok() } else { None };
-        leave.model = None;
+        guard.model = None;
         result.unwrap_or_else(|| {
             let message = "the dispatcher has stopped";
             Err(CallerFailure::not_run(ErrorCode::Internal, message))
@@ -105,19 +112,19 @@
 
 /// Counts a waiting caller, and tells the dispatcher when it is gone, so that it doesn't fill a
 /// place in the queue.
-struct LeaveGuard<'a> {
+struct WaitGuard<'a> {
     waiting: &'a AtomicUsize,
-    notes: &'a NoteSender,
+    events: &'a DispatchEventSender,
     model: Option<ModelName>,
     number: u64,
 }
 
-impl Drop for LeaveGuard<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         if let Some(model) = self.model.take() {
             let number = self.number;
-            let _ = self.notes.send(DispatchNote::Left { model, number });
+            let _ = self.events.send(DispatchEvent::Abandoned { model, number });
         }
     }
 }
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -8,39 +8,39 @@
 use policy::placement::CandidateList;
 use wire::caller::ErrorCode;
 
-use super::ask::{NoteSender, PlacedSlot, PlacementAsk, SlotFacts};
 use super::index::ReplicaIndex;
-use super::moment::{DispatchMoment, SlotReply};
+use super::request::{DispatchEventSender, DispatchRequest, SlotGuard, SlotInfo};
+use super::time::{DispatchTime, SlotReply};
 use crate::failure::CallerFailure;
 
 /// Time without any whole replica after which waiting is hopeless.
 ///
 /// A missed round of reports, or a host that is replaced by a spare, is over within a few seconds.
 /// Beyond that a caller is better off with an answer now.
-const ABSENCE_LIMIT: Duration = Duration::from_secs(5);
+const NO_REPLICA_GRACE: Duration = Duration::from_secs(5);
 
 /// When to come back while no whole replica serves a model.
-const ABSENCE_RETRY: Duration = Duration::from_secs(2);
+const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// An ask that waits.
 #[derive(Debug)]
-pub(super) struct WaitingAsk {
+pub(super) struct QueuedRequest {
     pub number: u64,
-    pub ask: PlacementAsk,
+    pub request: DispatchRequest,
     pub customer: CustomerKey,
     pub deadline: Duration,
     pub reply: SlotReply,
 }
 
-impl WaitingAsk {
-    fn fail(self, failure: CallerFailure) {
+impl QueuedRequest {
+    fn reject(self, failure: CallerFailure) {
         // A caller that is gone needs no answer.
         let _ = self.reply.send(Err(failure));
     }
 
-    fn absent(&self) -> CallerFailure {
-        let message = format!("no whole replica serves {} now", self.ask.model);
-        CallerFailure::not_run(ErrorCode::NoReplica, message).retry(ABSENCE_RETRY)
+    fn no_replica_error(&self) -> CallerFailure {
+        let message = format!("no whole replica serves {} now", self.request.model);
+        CallerFailure::not_run(ErrorCode::NoReplica, message).retry(NO_REPLICA_RETRY_AFTER)
     }
 }
 
@@ -50,11 +50,11 @@
     pub queue: AdmissionQueue,
     pub share: CapacityShare,
     pub candidates: CandidateList,
-    queued: FastMap<RequestKey, WaitingAsk>,
+    queued: FastMap<RequestKey, QueuedRequest>,
     /// Admitted asks that found no replica that fits them.
-    parked: Vec<WaitingAsk>,
+    unplaced: Vec<QueuedRequest>,
     usable: bool,
-    absent_since: Duration,
+    unusable_since: Duration,
 }
 
 impl ModelQueue {
@@ -65,51 +65,51 @@
             share: CapacityShare::new(settings, seed),
             candidates: CandidateList::default(),
             queued: FastMap::default(),
-            parked: Vec::new(),
+            unplaced: Vec::new(),
             usable: false,
-            absent_since: now,
+            unusable_since: now,
         }
     }
 
     pub fn waiting(&self) -> usize {
-        self.queued.len() + self.parked.len()
+        self.queued.len() + self.unplaced.len()
     }
 
     /// Judges whether any replica takes work.
-    pub fn refresh(&mut self, index: &ReplicaIndex, at: DispatchMoment) {
+    pub fn refresh(&mut self, index: &ReplicaIndex, at: DispatchTime) {
         let was_usable = self.usable;
         self.usable = index.any_usable(&self.candidates, at.instant);
         if self.usable {
             if !was_usable {
                 self.queue.reset_drain_rate();
             }
-            self.absent_since = at.now;
+            self.unusable_since = at.now;
         }
     }
 
-    fn is_absent(&self, now: Duration) -> bool {
-        now.saturating_sub(self.absent_since) > ABSENCE_LIMIT
+    fn is_unavailable(&self, now: Duration) -> bool {
+        now.saturating_sub(self.unusable_since) > NO_REPLICA_GRACE
     }
 
     /// Lets an ask in, or answers it at once.
-    pub fn offer(&mut self, at: DispatchMoment, waiting: WaitingAsk) {
-        if waiting.ask.admitted {
-            self.parked.push(waiting);
+    pub fn offer(&mut self, at: DispatchTime, waiting: QueuedRequest) {
+        if waiting.request.admitted {
+            self.unplaced.push(waiting);
             return;
         }
         self.share.record_offered(at.now);
-        if self.is_absent(at.now) {
-            let failure = waiting.absent();
-            waiting.fail(failure);
+        if self.is_unavailable(at.now) {
+            let failure = waiting.no_replica_error();
+            waiting.reject(failure);
             return;
         }
-        let request = AdmissionRequest::builder()
+        let admission = AdmissionRequest::builder()
             .customer(waiting.customer)
-            .share(waiting.ask.share)
+            .share(waiting.request.share)
             .deadline(waiting.deadline)
-            .cost(waiting.ask.cost)
+            .cost(waiting.request.cost)
             .build();
-        match self.queue.offer(at.now, request) {
+        match self.queue.offer(at.now, admission) {
             OfferOutcome::Admitted(key) => {
                 self.queued.insert(key, waiting);
             }
@@ -118,14 +118,14 @@
                 retry_after,
             } => {
                 let failure = CallerFailure::not_run(ErrorCode::Overloaded, reason.to_string());
-                waiting.fail(failure.retry(retry_after));
+                waiting.reject(failure.retry(retry_after));
             }
         }
     }
 
     /// The caller of an ask is gone.
-    pub fn leave(&mut self, number: u64) {
-        self.parked.retain(|waiting| waiting.number != number);
+    pub fn cancel(&mut self, number: u64) {
+        self.unplaced.retain(|waiting| waiting.number != number);
         let found = self
             .queued
             .iter()
@@ -137,10 +137,15 @@
     }
 
     /// Answers what expired and gives out what may be sent.
-    pub fn pump(&mut self, index: &mut ReplicaIndex, at: DispatchMoment, notes: &NoteSender) {
+    pub fn dispatch_ready(
+        &mut self,
+        index: &mut ReplicaIndex,
+        at: DispatchTime,
+        events: &DispatchEventSender,
+    ) {
         self.expire(at);
-        for waiting in std::mem::take(&mut self.parked) {
-            self.give(index, at, notes, waiting);
+        for waiting in std::mem::take(&mut self.unplaced) {
+            self.dispatch(index, at, events, waiting);
         }
         loop {
             let free = if self.usable { self.share.free() } else { 0 };
@@ -150,11 +155,11 @@
             let Some(waiting) = self.queued.remove(&key) else {
                 continue;
             };
-            self.give(index, at, notes, waiting);
+            self.dispatch(index, at, events, waiting);
         }
     }
 
-    fn expire(&mut self, at: DispatchMoment) {
+    fn expire(&mut self, at: DispatchTime) {
         for key in self.queue.expire(at.now) {
             let Some(waiting) = self.queued.remove(&key) else {
                 continue;
@@ -162,61 +167,61 @@
             // Without a usable replica the queue's rate says nothing of when to come back, and
             // "too late" would send an operator after load where a host is missing.
             if !self.usable {
-                let failure = waiting.absent();
-                waiting.fail(failure);
+                let failure = waiting.no_replica_error();
+                waiting.reject(failure);
                 continue;
             }
-            let after = self.queue.retry_after(at.now, waiting.ask.cost);
+            let after = self.queue.retry_after(at.now, waiting.request.cost);
             let message = "the answer could not begin within the request's timeout";
             let failure = CallerFailure::not_run(ErrorCode::DeadlineExceeded, message);
-            waiting.fail(failure.retry(after));
+            waiting.reject(failure.retry(after));
         }
-        for waiting in std::mem::take(&mut self.parked) {
+        for waiting in std::mem::take(&mut self.unplaced) {
             if waiting.deadline > at.now {
-                self.parked.push(waiting);
+                self.unplaced.push(waiting);
                 continue;
             }
-            let failure = waiting.absent();
-            waiting.fail(failure);
+            let failure = waiting.no_replica_error();
+            waiting.reject(failure);
         }
-        if !self.is_absent(at.now) {
+        if !self.is_unavailable(at.now) {
             return;
         }
         for (key, waiting) in self.queued.drain() {
             self.queue.cancel(key);
-            let failure = waiting.absent();
-            waiting.fail(failure);
+            let failure = waiting.no_replica_error();
+            waiting.reject(failure);
         }
     }
 
     /// Gives an ask its slot, or parks it until a replica fits it.
-    fn give(
+    fn dispatch(
         &mut self,
         index: &mut ReplicaIndex,
-        at: DispatchMoment,
-        notes: &NoteSender,
-        waiting: WaitingAsk,
+        at: DispatchTime,
+        events: &DispatchEventSender,
+        waiting: QueuedRequest,
     ) {
         if waiting.reply.is_closed() {
             return;
         }
-        let placed = index.place(&self.candidates, &waiting.ask, at.now, at.instant);
+        let placed = index.place(&self.candidates, &waiting.request, at.now, at.instant);
         let Some((choice, view)) = placed else {
-            self.parked.push(waiting);
+            self.unplaced.push(waiting);
             return;
         };
         self.share.record_sent(at.now);
-        let facts = SlotFacts {
-            model: waiting.ask.model.clone(),
+        let info = SlotInfo {
+            model: waiting.request.model.clone(),
             customer: waiting.customer,
             choice,
-            predicted: waiting.ask.cost,
+            predicted_cost: waiting.request.cost,
         };
         let Some(leader) = view.leader else {
             // The gate admits no replica whose leader is unknown.
             return;
         };
-        let slot = PlacedSlot::new(view.plan.clone(), leader, facts, notes.clone());
+        let slot = SlotGuard::new(view.plan.clone(), leader, info, events.clone());
         // When the caller left meanwhile the slot comes back and reports its own end.
         let _ = waiting.reply.send(Ok(slot));
     }
--- a/crates/entry/src/dispatch/ask.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -18,7 +18,7 @@
 
 /// What a request asks of the dispatcher.
 #[derive(Debug, Clone)]
-pub struct PlacementAsk {
+pub struct DispatchRequest {
     /// Who asks.
     pub customer: CustomerId,
     /// Weight of the customer.
@@ -43,7 +43,7 @@
     pub deadline: Instant,
 }
 
-impl PlacementAsk {
+impl DispatchRequest {
     /// The first ask of an order.
     #[must_use]
     pub fn new(order: &CompletionOrder) -> Self {
@@ -68,7 +68,7 @@
 
 /// What the dispatcher has to know of a slot that it gave.
 #[derive(Debug, Clone)]
-pub struct SlotFacts {
+pub struct SlotInfo {
     /// The model.
     pub model: ModelName,
     /// The customer.
@@ -76,7 +76,7 @@
     /// The choice.
     pub choice: PlacementChoice,
     /// Tokens that were predicted.
-    pub predicted: u32,
+    pub predicted_cost: u32,
 }
 
 /// How an attempt ended.
@@ -85,89 +85,96 @@
     /// How it ended for the target.
     pub outcome: AttemptOutcome,
     /// Tokens of prompt and answer that it took.
-    pub actual: u32,
+    pub actual_cost: u32,
     /// Prompt tokens that were cached, when the target told.
     pub cached_tokens: Option<u32>,
 }
 
 /// What the dispatcher is told.
 #[derive(Debug)]
-pub enum DispatchNote {
+pub enum DispatchEvent {
     /// The first token of an attempt came.
     FirstToken {
         /// The slot.
-        facts: SlotFacts,
+        info: SlotInfo,
         /// Time since the slot was given.
         elapsed: Duration,
     },
     /// An attempt ended.
     Ended {
         /// The slot.
-        facts: SlotFacts,
+        info: SlotInfo,
         /// How.
         outcome: SlotOutcome,
         /// Time since the slot was given.
-        stay: Duration,
+        duration: Duration,
         /// Time to the first token; none when none came.
         first_token: Option<Duration>,
     },
     /// The caller of a waiting request is gone.
-    Left {
+    Abandoned {
         /// The model.
         model: ModelName,
-        /// Number of the ask.
+        /// Number of the request.
         number: u64,
     },
 }
 
-/// Sends notes to the dispatcher.
-pub type NoteSender = mpsc::UnboundedSender<DispatchNote>;
+/// Sends events to the dispatcher.
+pub type DispatchEventSender = mpsc::UnboundedSender<DispatchEvent>;
 
 /// A replica's slot for one attempt; it is given back when it is dropped.
 ///
 /// A slot that was never given back would lower this entry's part of the replica for good, so it
 /// doesn't depend on any path of the caller's code.
 #[derive(Debug)]
-pub struct PlacedSlot {
+pub struct SlotGuard {
     /// The replica.
     pub plan: ReplicaPlan,
     /// Address of its leading host.
     pub leader: SocketAddr,
-    facts: SlotFacts,
-    notes: NoteSender,
-    given: Instant,
+    info: SlotInfo,
+    events: DispatchEventSender,
+    granted_at: Instant,
     first_token: Option<Duration>,
     outcome: SlotOutcome,
 }
 
-impl PlacedSlot {
+impl SlotGuard {
     /// A slot that is given now.
     #[must_use]
-    pub fn new(plan: ReplicaPlan, leader: SocketAddr, facts: SlotFacts, notes: NoteSender) -> Self {
+    pub fn new(
+        plan: ReplicaPlan,
+        leader: SocketAddr,
+        info: SlotInfo,
+        events: DispatchEventSender,
+    ) -> Self {
         Self {
             plan,
             leader,
-            facts,
-            notes,
-            given: Instant::now(),
+            info,
+            events,
+            granted_at: Instant::now(),
             first_token: None,
             outcome: SlotOutcome {
                 outcome: AttemptOutcome::Cancelled,
-                actual: 0,
+                actual_cost: 0,
                 cached_tokens: None,
             },
         }
     }
 
     /// The first event of the stream came.
-    pub fn note_first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         if self.first_token.is_some() {
             return;
         }
-        let elapsed = self.given.elapsed();
+        let elapsed = self.granted_at.elapsed();
         self.first_token = Some(elapsed);
-        let facts = self.facts.clone();
-        let _ = self.notes.send(DispatchNote::FirstToken { facts, elapsed });
+        let info = self.info.clone();
+        let _ = self
+            .events
+            .send(DispatchEvent::FirstToken { info, elapsed });
     }
 
     /// Gives the slot back.
@@ -176,12 +183,12 @@
     }
 }
 
-impl Drop for PlacedSlot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let _ = self.notes.send(DispatchNote::Ended {
-            facts: self.facts.clone(),
+        let _ = self.events.send(DispatchEvent::Ended {
+            info: self.info.clone(),
             outcome: self.outcome,
-            stay: self.given.elapsed(),
+            duration: self.granted_at.elapsed(),
             first_token: self.first_token,
         });
     }
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -11,10 +11,10 @@
 use rand::rngs::SmallRng;
 use slotmap::SlotMap;
 
-use super::ask::{DispatchNote, NoteSender, PlacementAsk, SlotFacts, SlotOutcome};
 use super::index::ReplicaIndex;
-use super::moment::{DispatchMoment, SlotReply};
-use super::queue::{ModelQueue, WaitingAsk};
+use super::queue::{ModelQueue, QueuedRequest};
+use super::request::{DispatchEvent, DispatchEventSender, DispatchRequest, SlotInfo, SlotOutcome};
+use super::time::{DispatchTime, SlotReply};
 
 /// Settings of a dispatcher.
 #[derive(Debug, Clone, bon::Builder)]
@@ -40,14 +40,14 @@
     customers: FastMap<CustomerId, CustomerKey>,
     customer_keys: SlotMap<CustomerKey, ()>,
     budget: RetryBudget,
-    notes: NoteSender,
+    events: DispatchEventSender,
     entries: u32,
 }
 
 impl DispatchState {
-    /// A dispatcher without replicas; slots report to `notes`.
+    /// A dispatcher without replicas; slots report to `events`.
     #[must_use]
-    pub fn new(settings: DispatchSettings, started: Instant, notes: NoteSender) -> Self {
+    pub fn new(settings: DispatchSettings, started: Instant, events: DispatchEventSender) -> Self {
         let rng = SmallRng::seed_from_u64(settings.seed);
         let retry = RetrySettings::builder()
             .max_attempts(settings.max_attempts)
@@ -62,7 +62,7 @@
             customers: FastMap::default(),
             customer_keys: SlotMap::with_key(),
             budget: RetryBudget::new(retry),
-            notes,
+            events,
             entries: 1,
             started,
             settings,
@@ -71,9 +71,9 @@
 
     /// The moment now.
     #[must_use]
-    pub fn moment(&self) -> DispatchMoment {
+    pub fn current_time(&self) -> DispatchTime {
         let instant = Instant::now();
-        DispatchMoment {
+        DispatchTime {
             now: instant.saturating_duration_since(self.started),
             instant,
         }
@@ -85,62 +85,68 @@
             return;
         }
         self.entries = entries;
-        for dispatcher in self.models.values_mut() {
-            dispatcher.share.set_entries(entries);
+        for model_queue in self.models.values_mut() {
+            model_queue.share.set_entries(entries);
         }
     }
 
     /// Takes a new view of the replicas in and gives out what became free.
-    pub fn take_view(&mut self, at: DispatchMoment, view: &TargetView) {
-        let mut targets = self.index.take_view(view, at.now, at.instant);
+    pub fn update_targets(&mut self, at: DispatchTime, view: &TargetView) {
+        let mut targets = self.index.update_targets(view, at.now, at.instant);
         for name in targets.keys() {
             if !self.models.contains_key(name) {
-                let dispatcher = self.new_model(at);
-                self.models.insert(name.clone(), dispatcher);
+                let model_queue = self.new_model(at);
+                self.models.insert(name.clone(), model_queue);
             }
         }
-        for (name, dispatcher) in &mut self.models {
+        for (name, model_queue) in &mut self.models {
             let targets = targets.remove(name).unwrap_or_default();
-            dispatcher.candidates = self.index.pool.candidates(targets.keys);
+            model_queue.candidates = self.index.pool.candidates(targets.keys);
             if let Some(report) = targets.report {
-                dispatcher.share.record_report(at.now, report);
+                model_queue.share.record_report(at.now, report);
             }
         }
         self.tick(at);
     }
 
-    fn new_model(&self, at: DispatchMoment) -> ModelQueue {
+    fn new_model(&self, at: DispatchTime) -> ModelQueue {
         ModelQueue::new(self.entries, self.settings.seed, at.now)
     }
 
     /// Answers what expired and gives out what became free.
-    pub fn tick(&mut self, at: DispatchMoment) {
-        for dispatcher in self.models.values_mut() {
-            dispatcher.refresh(&self.index, at);
-            dispatcher.pump(&mut self.index, at, &self.notes);
+    pub fn tick(&mut self, at: DispatchTime) {
+        for model_queue in self.models.values_mut() {
+            model_queue.refresh(&self.index, at);
+            model_queue.dispatch_ready(&mut self.index, at, &self.events);
         }
     }
 
     /// Takes an ask; its reply comes now or when its turn comes.
-    pub fn offer(&mut self, at: DispatchMoment, number: u64, ask: PlacementAsk, reply: SlotReply) {
-        let customer = self.customer_key(&ask.customer);
-        if !self.models.contains_key(&ask.model) {
-            let dispatcher = self.new_model(at);
-            self.models.insert(ask.model.clone(), dispatcher);
+    pub fn offer(
+        &mut self,
+        at: DispatchTime,
+        number: u64,
+        request: DispatchRequest,
+        reply: SlotReply,
+    ) {
+        let customer = self.customer_key(&request.customer);
+        if !self.models.contains_key(&request.model) {
+            let model_queue = self.new_model(at);
+            self.models.insert(request.model.clone(), model_queue);
         }
-        let deadline = ask.deadline.saturating_duration_since(self.started);
-        let Some(dispatcher) = self.models.get_mut(&ask.model) else {
+        let deadline = request.deadline.saturating_duration_since(self.started);
+        let Some(model_queue) = self.models.get_mut(&request.model) else {
             return;
         };
-        let waiting = WaitingAsk {
+        let waiting = QueuedRequest {
             number,
-            ask,
+            request,
             customer,
             deadline,
             reply,
         };
-        dispatcher.offer(at, waiting);
-        dispatcher.pump(&mut self.index, at, &self.notes);
+        model_queue.offer(at, waiting);
+        model_queue.dispatch_ready(&mut self.index, at, &self.events);
     }
 
     fn customer_key(&mut self, customer: &CustomerId) -> CustomerKey {
@@ -152,65 +158,65 @@
         key
     }
 
-    /// Takes a note in.
-    pub fn take_note(&mut self, at: DispatchMoment, note: DispatchNote) {
-        match note {
-            DispatchNote::FirstToken { facts, elapsed } => {
+    /// Takes a event in.
+    pub fn handle_event(&mut self, at: DispatchTime, event: DispatchEvent) {
+        match event {
+            DispatchEvent::FirstToken { info, elapsed } => {
                 self.index
                     .pool
-                    .record_first_token(&facts.choice, at.now, elapsed);
+                    .record_first_token(&info.choice, at.now, elapsed);
             }
-            DispatchNote::Left { model, number } => {
-                if let Some(dispatcher) = self.models.get_mut(&model) {
-                    dispatcher.leave(number);
+            DispatchEvent::Abandoned { model, number } => {
+                if let Some(model_queue) = self.models.get_mut(&model) {
+                    model_queue.cancel(number);
                 }
             }
-            DispatchNote::Ended {
-                facts,
+            DispatchEvent::Ended {
+                info,
                 outcome,
-                stay,
+                duration,
                 first_token,
-            } => self.end(at, &facts, outcome, stay, first_token),
+            } => self.end(at, &info, outcome, duration, first_token),
         }
     }
 
     fn end(
         &mut self,
-        at: DispatchMoment,
-        facts: &SlotFacts,
+        at: DispatchTime,
+        info: &SlotInfo,
         outcome: SlotOutcome,
-        stay: Duration,
+        duration: Duration,
         first_token: Option<Duration>,
     ) {
         let pool = &mut self.index.pool;
-        pool.record_ended(facts.choice.target, at.now, stay, outcome.outcome);
+        pool.record_ended(info.choice.target, at.now, duration, outcome.outcome);
         if let Some(cached) = outcome.cached_tokens {
-            pool.record_cached_tokens(&facts.choice, cached);
+            pool.record_cached_tokens(&info.choice, cached);
         }
         if outcome.outcome == AttemptOutcome::Finished {
             self.budget.record_success();
         }
-        let Some(dispatcher) = self.models.get_mut(&facts.model) else {
+        let Some(model_queue) = self.models.get_mut(&info.model) else {
             return;
         };
-        dispatcher.share.record_finished(at.now, stay);
+        model_queue.share.record_finished(at.now, duration);
         if outcome.outcome == AttemptOutcome::Full {
-            dispatcher.share.record_full(at.now);
+            model_queue.share.record_full(at.now);
         }
         let work = FinishedRequest::builder()
-            .customer(facts.customer)
-            .predicted_cost(facts.predicted)
-            .actual_cost(outcome.actual)
+            .customer(info.customer)
+            .predicted_cost(info.predicted_cost)
+            .actual_cost(outcome.actual_cost)
             .maybe_first_token(first_token)
             .build();
-        dispatcher.queue.record_finished(at.now, work);
-        dispatcher.pump(&mut self.index, at, &self.notes);
+        model_queue.queue.record_finished(at.now, work);
+        model_queue.dispatch_ready(&mut self.index, at, &self.events);
     }
 
     /// Decides whether a request that failed without a token is tried again.
     pub fn decide_retry(
         &mut self,
-        at: DispatchMoment,
+        at: DispatchTime,
         number: u32,
         deadline: Instant,
     ) -> RetryDecision {
--- a/crates/entry/src/dispatch/moment.rs
+++ b/crates/entry/src/dispatch/time.rs
@@ -4,15 +4,15 @@
 
 use tokio::sync::oneshot;
 
-use super::ask::PlacedSlot;
+use super::request::SlotGuard;
 use crate::failure::CallerFailure;
 
-/// The answer to an ask.
-pub type SlotReply = oneshot::Sender<Result<PlacedSlot, CallerFailure>>;
+/// The answer to an request.
+pub type SlotReply = oneshot::Sender<Result<SlotGuard, CallerFailure>>;
 
 /// A moment, on the clock of the policies and on that of the evidence.
 #[derive(Debug, Clone, Copy)]
-pub struct DispatchMoment {
+pub struct DispatchTime {
     /// Since the dispatcher's start.
     pub now: Duration,
     /// The same moment.
