--- a/crates/entry/benches/event_cost.rs
+++ b/crates/entry/benches/event_cost.rs
@@ -6,16 +6,16 @@
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use domain::IncarnationNumber;
 use entry::digest::TextDigest;
-use entry::frame::AnswerFrame;
-use entry::order::{AnswerShape, CompletionOrder};
-use entry::sink::{AnswerSink, EventSink};
+use entry::formatter::ResponseFormatter;
+use entry::generation::{GenerationRequest, ResponseFormat};
+use entry::sink::{EventSink, ResponseSink};
 use entry::token::{StreamOffset, TokenScope, TokenSigner};
 use tokio::sync::{mpsc, oneshot};
 
 const TOKENS: u32 = 256;
 
-fn order(shape: AnswerShape) -> CompletionOrder {
-    CompletionOrder {
+fn order(shape: ResponseFormat) -> GenerationRequest {
+    GenerationRequest {
         request: "e0.0123456789abcdef.17".parse().expect("an id"),
         customer: "sandaga-traders".parse().expect("an id"),
         share: 1,
@@ -31,10 +31,10 @@
 }
 
 /// Feeds a stream of tokens and reads its events at once.
-async fn feed(order: &CompletionOrder, signer: &TokenSigner) {
+async fn feed(order: &GenerationRequest, signer: &TokenSigner) {
     let (events, mut read) = mpsc::channel(4);
     let (head, _begun) = oneshot::channel();
-    let mut sink = EventSink::new(AnswerFrame::new(order), events, head, false, false);
+    let mut sink = EventSink::new(ResponseFormatter::new(order), events, head, false, false);
     let scope = TokenScope {
         request: order.request.clone(),
         customer: order.customer.clone(),
@@ -64,7 +64,10 @@
     let signer = TokenSigner::new(Some(&"one key for all entries".into()));
     let mut group = criterion.benchmark_group("event");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
-    for (name, shape) in [("chat", AnswerShape::Chat), ("text", AnswerShape::Text)] {
+    for (name, shape) in [
+        ("chat", ResponseFormat::Chat),
+        ("text", ResponseFormat::Text),
+    ] {
         let order = order(shape);
         group.bench_function(name, |bencher| {
             bencher.iter(|| runtime.block_on(feed(&order, &signer)));
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -13,10 +13,12 @@
 
 use crate::context::EntryContext;
 use crate::dispatch::request::SlotGuard;
-use crate::order::CompletionOrder;
-use crate::progress::{AnswerEnd, AnswerProgress, MatchFault, MatchStep, StreamMatcher};
-use crate::sink::AnswerSink;
-use crate::standing::ReplicaStanding;
+use crate::generation::GenerationRequest;
+use crate::progress::{
+    GenerationSummary, ResponseProgress, StreamAction, StreamError, StreamValidator,
+};
+use crate::replica_health::ReplicaHealth;
+use crate::sink::ResponseSink;
 use crate::token::TokenScope;
 
 /// Wait for the answer to a cancel; nothing depends on it but the engine's own room.
@@ -24,7 +26,7 @@
 
 /// Where an attempt runs.
 #[derive(Debug, Clone)]
-pub struct AttemptSite {
+pub struct AttemptTarget {
     /// The attempt.
     pub attempt: AttemptId,
     /// The replica as it was planned when the attempt began.
@@ -39,25 +41,25 @@
     /// A new stream of the engine.
     Start,
     /// A stream that the engine kept when an earlier connection was lost.
-    Kept,
+    Resume,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum AttemptEnd {
+pub enum AttemptResult {
     /// The answer is whole.
-    Finished(AnswerEnd),
+    Finished(GenerationSummary),
     /// The caller is gone; the engine keeps the stream for a while, in case it comes back.
-    CallerGone,
+    ClientDisconnected,
     /// This entry stops; the caller shall go on at another.
     HandOver,
     /// The replica was left.
-    Failed(AttemptFault),
+    Failed(AttemptError),
 }
 
 /// Why a replica was left.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum AttemptFault {
+pub enum AttemptError {
     /// The engine proved that it ran nothing.
     #[error("the engine refused: {}", if *replica_changed { "another replica or incarnation" } else { "full" })]
     Refused {
@@ -80,10 +82,10 @@
     HostMissing,
     /// The events don't fit.
     #[error("{0}")]
-    Mismatch(#[from] MatchFault),
+    Mismatch(#[from] StreamError),
 }
 
-impl AttemptFault {
+impl AttemptError {
     /// Whether it is certain that the engine ran nothing.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
@@ -128,9 +130,9 @@
     /// What the request path works with.
     pub context: &'a EntryContext<E>,
     /// What is wanted.
-    pub order: &'a CompletionOrder,
+    pub request: &'a GenerationRequest,
     /// Where.
-    pub site: &'a AttemptSite,
+    pub target: &'a AttemptTarget,
     /// How it begins.
     pub kind: AttemptKind,
     /// The slot that it fills; none for a stream that fills one since an earlier connection.
@@ -139,98 +141,104 @@
 
 impl<E: EngineClient> AttemptRun<'_, E> {
     /// Runs it.
-    pub async fn run<A: AnswerSink>(
+    pub async fn run<A: ResponseSink>(
         self,
-        progress: &mut AnswerProgress,
+        progress: &mut ResponseProgress,
         sink: &mut A,
-    ) -> AttemptEnd {
-        let (context, order, site) = (self.context, self.order, self.site);
+    ) -> AttemptResult {
+        let (context, request, target) = (self.context, self.request, self.target);
         let mut guard = CancelGuard {
             engine: context.engine.clone(),
-            leader: site.leader,
-            attempt: Some(site.attempt.clone()),
+            leader: target.leader,
+            attempt: Some(target.attempt.clone()),
         };
-        let stream = match open_stream(context, order, site, self.kind, progress).await {
+        let stream = match open_stream(context, request, target, self.kind, progress).await {
             Ok(stream) => stream,
-            Err(fault) => {
-                if fault.is_not_run() {
+            Err(error) => {
+                if error.is_not_run() {
                     guard.disarm();
                 }
-                return AttemptEnd::Failed(fault);
+                return AttemptResult::Failed(error);
             }
         };
         let scope = TokenScope {
-            request: order.request.clone(),
-            customer: order.customer.clone(),
-            attempt: site.attempt.clone(),
-            replica: site.plan.id.clone(),
-            incarnation: site.plan.incarnation,
-            content: order.content(),
+            request: request.request.clone(),
+            customer: request.customer.clone(),
+            attempt: target.attempt.clone(),
+            replica: target.plan.id.clone(),
+            incarnation: target.plan.incarnation,
+            content: request.content(),
         };
         sink.begin(context.signer.scope(&scope), progress.offset());
-        let mut follower = StreamFollower {
+        let mut forwarder = StreamForwarder {
             context,
-            site,
+            target,
             targets: context.targets.clone(),
             stream,
-            matcher: matcher(site, self.kind, progress),
-            begin_limit: order.deadline.saturating_duration_since(Instant::now()),
+            validator: validator(target, self.kind, progress),
+            first_token_timeout: request.deadline.saturating_duration_since(Instant::now()),
             slot: self.slot,
         };
-        let end = follower.follow(progress, sink).await;
+        let end = forwarder.forward(progress, sink).await;
         match end {
-            AttemptEnd::Finished(_) | AttemptEnd::CallerGone | AttemptEnd::HandOver => {
+            AttemptResult::Finished(_)
+            | AttemptResult::ClientDisconnected
+            | AttemptResult::HandOver => {
                 guard.disarm();
             }
-            AttemptEnd::Failed(_) => {}
+            AttemptResult::Failed(_) => {}
         }
         end
     }
 }
 
-fn matcher(site: &AttemptSite, kind: AttemptKind, progress: &AnswerProgress) -> StreamMatcher {
-    let attempt = site.attempt.clone();
-    let incarnation = site.plan.incarnation;
-    if kind == AttemptKind::Kept || progress.known_tokens().is_some() {
-        return StreamMatcher::behind(attempt, incarnation, progress);
+fn validator(
+    target: &AttemptTarget,
+    kind: AttemptKind,
+    progress: &ResponseProgress,
+) -> StreamValidator {
+    let attempt = target.attempt.clone();
+    let incarnation = target.plan.incarnation;
+    if kind == AttemptKind::Resume || progress.delivered_tokens().is_some() {
+        return StreamValidator::continuing(attempt, incarnation, progress);
     }
-    StreamMatcher::again(attempt, incarnation)
+    StreamValidator::regenerating(attempt, incarnation)
 }
 
 async fn open_stream<E: EngineClient>(
     context: &EntryContext<E>,
-    order: &CompletionOrder,
-    site: &AttemptSite,
+    request: &GenerationRequest,
+    target: &AttemptTarget,
     kind: AttemptKind,
-    progress: &AnswerProgress,
-) -> Result<E::Stream, AttemptFault> {
+    progress: &ResponseProgress,
+) -> Result<E::Stream, AttemptError> {
     let timeout = context.settings.start_timeout();
     let started = match kind {
         AttemptKind::Start => {
-            let stream_order = StreamRequest {
-                attempt: site.attempt.clone(),
-                replica: site.plan.id.clone(),
-                incarnation: site.plan.incarnation,
-                model: order.model.clone(),
-                adapter: order.adapter.clone(),
-                prompt: order.prompt.clone(),
-                max_tokens: order.max_tokens,
-                seed: order.seed,
+            let stream_request = StreamRequest {
+                attempt: target.attempt.clone(),
+                replica: target.plan.id.clone(),
+                incarnation: target.plan.incarnation,
+                model: request.model.clone(),
+                adapter: request.adapter.clone(),
+                prompt: request.prompt.clone(),
+                max_tokens: request.max_tokens,
+                seed: request.seed,
                 priority: 0,
-                resume: progress.known_tokens().unwrap_or_default().to_vec(),
+                resume: progress.delivered_tokens().unwrap_or_default().to_vec(),
             };
             context
                 .engine
-                .start(site.leader, &stream_order, timeout)
+                .start(target.leader, &stream_request, timeout)
                 .await
         }
-        AttemptKind::Kept => {
+        AttemptKind::Resume => {
             let resume = ResumeRequest {
                 from: progress.offset().count,
             };
             context
                 .engine
-                .resume(site.leader, &site.attempt, resume, timeout)
+                .resume(target.leader, &target.attempt, resume, timeout)
                 .await
         }
     };
@@ -239,82 +247,82 @@
         Ok(StreamStart::Refused {
             replica_changed,
             retry_after,
-        }) => Err(AttemptFault::Refused {
+        }) => Err(AttemptError::Refused {
             replica_changed,
             retry_after,
         }),
-        Err(error) if error.is_unsent() => Err(AttemptFault::Unsent(error.to_string())),
-        Err(error) => Err(AttemptFault::Broken(error.to_string())),
+        Err(error) if error.is_unsent() => Err(AttemptError::Unsent(error.to_string())),
+        Err(error) => Err(AttemptError::Broken(error.to_string())),
     }
 }
 
-struct StreamFollower<'a, E: EngineClient> {
+struct StreamForwarder<'a, E: EngineClient> {
     context: &'a EntryContext<E>,
-    site: &'a AttemptSite,
+    target: &'a AttemptTarget,
     targets: watch::Receiver<Arc<TargetView>>,
     stream: E::Stream,
-    matcher: StreamMatcher,
-    begin_limit: Duration,
+    validator: StreamValidator,
+    first_token_timeout: Duration,
     slot: Option<&'a mut SlotGuard>,
 }
 
-/// What a follower waited for.
-enum FollowStep {
+/// What a forwarder waited for.
+enum ForwardStep {
     Event(StreamEvent),
-    Left(AttemptEnd),
-    NewView,
+    Ended(AttemptResult),
+    TargetsChanged,
 }
 
-impl<E: EngineClient> StreamFollower<'_, E> {
-    async fn follow<A: AnswerSink>(
+impl<E: EngineClient> StreamForwarder<'_, E> {
+    async fn forward<A: ResponseSink>(
         &mut self,
-        progress: &mut AnswerProgress,
+        progress: &mut ResponseProgress,
         sink: &mut A,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let mut shutdown = self.context.shutdown.watch();
-        let mut last_event = Instant::now();
-        let mut begun = false;
+        let mut last_event_at = Instant::now();
+        let mut first_event_seen = false;
         loop {
-            let standing = self.standing();
-            let Some(limit) = standing.silence_limit(&self.context.settings) else {
-                return AttemptEnd::Failed(AttemptFault::HostMissing);
+            let replica_health = self.replica_health();
+            let Some(limit) = replica_health.silence_limit(&self.context.settings) else {
+                return AttemptResult::Failed(AttemptError::HostMissing);
             };
-            let limit = self.with_begin(limit, begun);
-            let left = limit.saturating_sub(last_event.elapsed());
+            let limit = self.extend_before_first_token(limit, first_event_seen);
+            let left = limit.saturating_sub(last_event_at.elapsed());
             let can_hand_over = sink.can_hand_over();
-            let seen = tokio::select! {
+            let step = tokio::select! {
                 biased;
-                () = sink.gone() => FollowStep::Left(AttemptEnd::CallerGone),
+                () = sink.gone() => ForwardStep::Ended(AttemptResult::ClientDisconnected),
                 () = shutdown.handing_over(), if can_hand_over => {
-                    FollowStep::Left(AttemptEnd::HandOver)
+                    ForwardStep::Ended(AttemptResult::HandOver)
                 }
                 changed = self.targets.changed() => match changed {
-                    Ok(()) => FollowStep::NewView,
-                    Err(_) => FollowStep::Left(AttemptEnd::Failed(AttemptFault::HostMissing)),
+                    Ok(()) => ForwardStep::TargetsChanged,
+                    Err(_) => ForwardStep::Ended(AttemptResult::Failed(AttemptError::HostMissing)),
                 },
                 event = tokio::time::timeout(left, self.stream.next_event(limit)) => {
-                    read_step(event, limit)
+                    classify_read(event, limit)
                 }
             };
-            let event = match seen {
-                FollowStep::NewView => continue,
-                FollowStep::Left(end) => return end,
-                FollowStep::Event(event) => event,
+            let event = match step {
+                ForwardStep::TargetsChanged => continue,
+                ForwardStep::Ended(end) => return end,
+                ForwardStep::Event(event) => event,
             };
-            match self.matcher.take(progress, event) {
+            match self.validator.accept(progress, event) {
                 // Events of another attempt are no sign that this one lives.
-                MatchStep::Drop => continue,
-                MatchStep::Known => {}
-                MatchStep::Deliver(text) => {
+                StreamAction::Ignore => continue,
+                StreamAction::AlreadyDelivered => {}
+                StreamAction::Deliver(text) => {
                     if sink.token(text, progress.offset()).await.is_err() {
-                        return AttemptEnd::CallerGone;
+                        return AttemptResult::ClientDisconnected;
                     }
                 }
-                MatchStep::Finished(end) => return AttemptEnd::Finished(end),
-                MatchStep::Fault(fault) => return AttemptEnd::Failed(fault.into()),
+                StreamAction::Finished(end) => return AttemptResult::Finished(end),
+                StreamAction::Fail(error) => return AttemptResult::Failed(error.into()),
             }
-            last_event = Instant::now();
-            begun = true;
+            last_event_at = Instant::now();
+            first_event_seen = true;
             if let Some(slot) = &mut self.slot {
                 slot.record_first_token();
             }
@@ -323,28 +331,28 @@
 
     /// A stream may wait in the engine's queue and read a long prompt before its first token; the
     /// request's own deadline bounds that better than the silence between two tokens.
-    fn with_begin(&self, limit: Duration, begun: bool) -> Duration {
-        if begun {
+    fn extend_before_first_token(&self, limit: Duration, first_event_seen: bool) -> Duration {
+        if first_event_seen {
             return limit;
         }
-        limit.max(self.begin_limit)
+        limit.max(self.first_token_timeout)
     }
 
-    fn standing(&mut self) -> ReplicaStanding {
+    fn replica_health(&mut self) -> ReplicaHealth {
         let view = Arc::clone(&self.targets.borrow_and_update());
         let limit = self.context.settings.max_evidence_age();
-        ReplicaStanding::judge(&view, &self.site.plan, Instant::now(), limit)
+        ReplicaHealth::assess(&view, &self.target.plan, Instant::now(), limit)
     }
 }
 
 type EventRead = Result<Result<Option<StreamEvent>, web::ClientError>, tokio::time::error::Elapsed>;
 
-fn read_step(read: EventRead, limit: Duration) -> FollowStep {
-    let fault = match read {
-        Ok(Ok(Some(event))) => return FollowStep::Event(event),
-        Ok(Ok(None)) => AttemptFault::Broken("it ended without a final mark".to_owned()),
-        Ok(Err(web::ClientError::TimedOut(_))) | Err(_) => AttemptFault::Silent(limit),
-        Ok(Err(error)) => AttemptFault::Broken(error.to_string()),
+fn classify_read(read: EventRead, limit: Duration) -> ForwardStep {
+    let error = match read {
+        Ok(Ok(Some(event))) => return ForwardStep::Event(event),
+        Ok(Ok(None)) => AttemptError::Broken("it ended without a final mark".to_owned()),
+        Ok(Err(web::ClientError::TimedOut(_))) | Err(_) => AttemptError::Silent(limit),
+        Ok(Err(error)) => AttemptError::Broken(error.to_string()),
     };
-    FollowStep::Left(AttemptEnd::Failed(fault))
+    ForwardStep::Ended(AttemptResult::Failed(error))
 }
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -9,9 +9,9 @@
 use subtle::ConstantTimeEq;
 use wire::caller::ErrorCode;
 
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
-const KEY_PLACE: &str = "header Authorization";
+const KEY_PARAM: &str = "header Authorization";
 
 /// SHA-256 as 64 hexadecimal digits in lower case.
 #[must_use]
@@ -35,12 +35,11 @@
 pub fn authenticate<'view>(
     view: &'view ConfigView,
     headers: &HeaderMap,
-) -> Result<&'view CustomerRecord, CallerFailure> {
+) -> Result<&'view CustomerRecord, RequestError> {
     let key = bearer_key(headers)?;
     let hash = sha256_hex(key);
     let unknown = || {
-        CallerFailure::not_run(ErrorCode::InvalidKey, "the key belongs to no customer")
-            .at(KEY_PLACE)
+        RequestError::not_run(ErrorCode::InvalidKey, "the key belongs to no customer").at(KEY_PARAM)
     };
     let customer = view
         .key_owners
@@ -53,9 +52,9 @@
     Err(unknown())
 }
 
-fn bearer_key(headers: &HeaderMap) -> Result<&[u8], CallerFailure> {
+fn bearer_key(headers: &HeaderMap) -> Result<&[u8], RequestError> {
     let missing =
-        |message: &str| Err(CallerFailure::not_run(ErrorCode::InvalidKey, message).at(KEY_PLACE));
+        |message: &str| Err(RequestError::not_run(ErrorCode::InvalidKey, message).at(KEY_PARAM));
     let Some(value) = headers.get(header::AUTHORIZATION) else {
         return missing("no key: send 'Authorization: Bearer <key>'");
     };
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -9,43 +9,43 @@
 use target::EngineClient;
 use wire::caller::ErrorCode;
 
-use crate::attempt::{AttemptEnd, AttemptFault, AttemptKind, AttemptRun, AttemptSite};
+use crate::attempt::{AttemptError, AttemptKind, AttemptResult, AttemptRun, AttemptTarget};
 use crate::context::EntryContext;
 use crate::dispatch::request::{DispatchRequest, SlotGuard, SlotOutcome};
-use crate::failure::CallerFailure;
-use crate::order::CompletionOrder;
-use crate::progress::{AnswerEnd, AnswerProgress, MatchFault};
-use crate::sink::AnswerSink;
-use crate::timing::TimedSink;
+use crate::error::RequestError;
+use crate::generation::GenerationRequest;
+use crate::latency::LatencySink;
+use crate::progress::{GenerationSummary, ResponseProgress, StreamError};
+use crate::sink::ResponseSink;
 use crate::token::ResumeToken;
 
 /// When to come back after every attempt failed.
-const FAILED_RETRY: Duration = Duration::from_secs(2);
+const FAILED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Shortest pause before a replica is asked again after one was full.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest backoff before a replica is asked again after one was full.
+const MIN_FULL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How a completion ended.
 #[derive(Debug)]
-pub enum CompletionEnd {
+pub enum CompletionResult {
     /// The answer is whole.
-    Finished(AnswerEnd),
+    Finished(GenerationSummary),
     /// The caller is gone.
-    CallerGone,
+    ClientDisconnected,
     /// The caller shall go on at another entry.
     HandOver,
     /// The final answer is an error.
-    Failed(CallerFailure),
+    Failed(RequestError),
 }
 
 /// Runs one request.
 #[derive(Debug)]
 pub struct CompletionRun<'a, E: EngineClient> {
     context: &'a EntryContext<E>,
-    order: &'a CompletionOrder,
-    progress: AnswerProgress,
+    request: &'a GenerationRequest,
+    progress: ResponseProgress,
     /// What the dispatcher is asked for the next attempt.
-    ask: DispatchRequest,
+    dispatch_request: DispatchRequest,
     /// Attempts so far.
     attempts: u32,
     /// Whether an engine may have run something.
@@ -53,49 +53,49 @@
 }
 
 impl<'a, E: EngineClient> CompletionRun<'a, E> {
-    /// A run of an order.
+    /// A run of an request.
     #[must_use]
-    pub fn new(context: &'a EntryContext<E>, order: &'a CompletionOrder) -> Self {
+    pub fn new(context: &'a EntryContext<E>, request: &'a GenerationRequest) -> Self {
         Self {
             context,
-            order,
-            progress: AnswerProgress::default(),
-            ask: DispatchRequest::new(order),
+            request,
+            progress: ResponseProgress::default(),
+            dispatch_request: DispatchRequest::new(request),
             attempts: 0,
             may_have_run: false,
         }
     }
 
-    /// Runs the order from its begin.
-    pub async fn run<A: AnswerSink>(mut self, sink: &mut A) -> CompletionEnd {
-        let mut timed = TimedSink::new(sink, &self.context.recorder, &self.order.model);
-        self.run_placed(&mut timed).await
+    /// Runs the request from its begin.
+    pub async fn run<A: ResponseSink>(mut self, sink: &mut A) -> CompletionResult {
+        let mut timed = LatencySink::new(sink, &self.context.recorder, &self.request.model);
+        self.run_attempts(&mut timed).await
     }
 
     /// Goes on with a stream that the caller has a part of: first with the one that the engine may
     /// have kept, else by generating it again.
-    pub async fn resume<A: AnswerSink>(
+    pub async fn resume<A: ResponseSink>(
         mut self,
         token: &ResumeToken,
         sink: &mut A,
-    ) -> CompletionEnd {
-        self.progress = AnswerProgress::resumed(token.offset);
+    ) -> CompletionResult {
+        self.progress = ResponseProgress::resumed(token.offset);
         self.may_have_run = true;
-        self.ask.admitted = true;
+        self.dispatch_request.admitted = true;
         let subject = self.subject().and_replica(&token.scope.replica);
         let detail = format!("behind token {}", token.offset.count);
         self.context
             .recorder
             .note(EventCode::RequestResumed, subject, detail);
-        if let Some(site) = self.kept_site(token)
-            && let Ok(end) = self.attempt(&site, AttemptKind::Kept, None, sink).await
+        if let Some(target) = self.resumable_target(token)
+            && let Ok(end) = self.attempt(&target, AttemptKind::Resume, None, sink).await
         {
             return end;
         }
-        self.run_placed(sink).await
+        self.run_attempts(sink).await
     }
 
-    fn kept_site(&self, token: &ResumeToken) -> Option<AttemptSite> {
+    fn resumable_target(&self, token: &ResumeToken) -> Option<AttemptTarget> {
         let view = self.context.targets.borrow();
         let replica = view
             .replicas
@@ -104,52 +104,55 @@
         if replica.plan.incarnation != token.scope.incarnation {
             return None;
         }
-        Some(AttemptSite {
+        Some(AttemptTarget {
             attempt: token.scope.attempt.clone(),
             plan: replica.plan.clone(),
             leader: replica.leader?,
         })
     }
 
-    async fn run_placed<A: AnswerSink>(&mut self, sink: &mut A) -> CompletionEnd {
+    async fn run_attempts<A: ResponseSink>(&mut self, sink: &mut A) -> CompletionResult {
         while self.attempts < self.context.settings.max_attempts {
-            let placed = tokio::select! {
-                placed = self.context.dispatcher.place(self.ask.clone()) => placed,
-                () = sink.gone() => return CompletionEnd::CallerGone,
+            let placement = tokio::select! {
+                placement = self.context.dispatcher.place(self.dispatch_request.clone()) => placement,
+                () = sink.gone() => return CompletionResult::ClientDisconnected,
             };
-            let mut slot = match placed {
+            let mut slot = match placement {
                 Ok(slot) => slot,
-                Err(failure) => return CompletionEnd::Failed(self.judged(failure)),
+                Err(error) => return CompletionResult::Failed(self.with_execution(error)),
             };
-            self.ask.admitted = true;
-            let site = AttemptSite {
-                attempt: self.context.ids.attempt(&self.order.request),
+            self.dispatch_request.admitted = true;
+            let target = AttemptTarget {
+                attempt: self.context.ids.attempt(&self.request.request),
                 plan: slot.plan.clone(),
                 leader: slot.leader,
             };
-            let followed = self
-                .attempt(&site, AttemptKind::Start, Some(&mut slot), sink)
+            let result = self
+                .attempt(&target, AttemptKind::Start, Some(&mut slot), sink)
                 .await;
-            slot.end(self.slot_outcome(&followed));
-            let fault = match followed {
+            slot.end(self.slot_outcome(&result));
+            let error = match result {
                 Ok(end) => return end,
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if let Err(failure) = self.before_next(&fault).await {
-                return CompletionEnd::Failed(self.judged(failure));
+            if let Err(error) = self.prepare_next_attempt(&error).await {
+                return CompletionResult::Failed(self.with_execution(error));
             }
         }
         let message = format!("{} attempts failed to finish the answer", self.attempts);
-        let failure = CallerFailure::not_run(ErrorCode::TargetFailed, message).retry(FAILED_RETRY);
-        CompletionEnd::Failed(self.judged(failure))
+        let error =
+            RequestError::not_run(ErrorCode::TargetFailed, message).retry(FAILED_RETRY_AFTER);
+        CompletionResult::Failed(self.with_execution(error))
     }
 
-    fn slot_outcome(&self, followed: &Result<CompletionEnd, AttemptFault>) -> SlotOutcome {
+    fn slot_outcome(&self, result: &Result<CompletionResult, AttemptError>) -> SlotOutcome {
         let delivered = self.progress.offset().count;
-        let (outcome, cached_tokens) = match followed {
-            Ok(CompletionEnd::Finished(end)) => (AttemptOutcome::Finished, Some(end.cached_tokens)),
+        let (outcome, cached_tokens) = match result {
+            Ok(CompletionResult::Finished(end)) => {
+                (AttemptOutcome::Finished, Some(end.cached_tokens))
+            }
             Ok(_) => (AttemptOutcome::Cancelled, None),
-            Err(AttemptFault::Refused {
+            Err(AttemptError::Refused {
                 replica_changed: false,
                 ..
             }) => (AttemptOutcome::Full, None),
@@ -157,7 +160,10 @@
         };
         SlotOutcome {
             outcome,
-            actual_cost: self.ask.prompt_tokens.saturating_add(delivered),
+            actual_cost: self
+                .dispatch_request
+                .prompt_tokens
+                .saturating_add(delivered),
             cached_tokens,
         }
     }
@@ -168,38 +174,41 @@
     /// caller that has a part of its answer is never given up for the budget's sake, since the
     /// work that goes on elsewhere has left the lost replica; and neither a refusal nor a missing
     /// host has cost any target anything.
-    async fn before_next(&mut self, fault: &AttemptFault) -> Result<(), CallerFailure> {
+    async fn prepare_next_attempt(&mut self, error: &AttemptError) -> Result<(), RequestError> {
         if self.progress.offset().count > 0 {
-            self.ask.deadline = Instant::now() + self.context.settings.recovery();
+            self.dispatch_request.deadline = Instant::now() + self.context.settings.recovery();
             return Ok(());
         }
-        match fault {
-            AttemptFault::Refused {
+        match error {
+            AttemptError::Refused {
                 replica_changed: true,
                 ..
             }
-            | AttemptFault::HostMissing
-            | AttemptFault::Unsent(_) => Ok(()),
-            AttemptFault::Refused {
+            | AttemptError::HostMissing
+            | AttemptError::Unsent(_) => Ok(()),
+            AttemptError::Refused {
                 replica_changed: false,
                 retry_after,
             } => {
                 // An engine that is full took nothing; waiting for it counts as no attempt.
                 self.attempts -= 1;
-                let left = self.ask.deadline.saturating_duration_since(Instant::now());
-                let pause = retry_after
-                    .unwrap_or(FULL_PAUSE)
-                    .clamp(FULL_PAUSE, FULL_PAUSE * 10);
-                if left <= pause {
-                    let message = format!("every replica of {} is full", self.order.model);
-                    let failure = CallerFailure::not_run(ErrorCode::Overloaded, message);
-                    return Err(failure.retry(FAILED_RETRY));
+                let left = self
+                    .dispatch_request
+                    .deadline
+                    .saturating_duration_since(Instant::now());
+                let backoff = retry_after
+                    .unwrap_or(MIN_FULL_BACKOFF)
+                    .clamp(MIN_FULL_BACKOFF, MIN_FULL_BACKOFF * 10);
+                if left <= backoff {
+                    let message = format!("every replica of {} is full", self.request.model);
+                    let error = RequestError::not_run(ErrorCode::Overloaded, message);
+                    return Err(error.retry(FAILED_RETRY_AFTER));
                 }
-                tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
+                tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
                 Ok(())
             }
-            AttemptFault::Broken(_) | AttemptFault::Silent(_) | AttemptFault::Mismatch(_) => {
-                let deadline = self.ask.deadline;
+            AttemptError::Broken(_) | AttemptError::Silent(_) | AttemptError::Mismatch(_) => {
+                let deadline = self.dispatch_request.deadline;
                 match self
                     .context
                     .dispatcher
@@ -211,71 +220,71 @@
                         Ok(())
                     }
                     RetryDecision::GiveUp(reason) => {
-                        let message = format!("{fault}; {reason}");
-                        let failure = CallerFailure::not_run(ErrorCode::TargetFailed, message);
-                        Err(failure.retry(FAILED_RETRY))
+                        let message = format!("{error}; {reason}");
+                        let error = RequestError::not_run(ErrorCode::TargetFailed, message);
+                        Err(error.retry(FAILED_RETRY_AFTER))
                     }
                 }
             }
         }
     }
 
-    /// Runs one attempt; a fault means that the request shall go on elsewhere.
-    async fn attempt<A: AnswerSink>(
+    /// Runs one attempt; a error means that the request shall go on elsewhere.
+    async fn attempt<A: ResponseSink>(
         &mut self,
-        site: &AttemptSite,
+        target: &AttemptTarget,
         kind: AttemptKind,
         slot: Option<&mut SlotGuard>,
         sink: &mut A,
-    ) -> Result<CompletionEnd, AttemptFault> {
+    ) -> Result<CompletionResult, AttemptError> {
         self.attempts += 1;
-        let replica = &site.plan.id;
-        self.note(EventCode::AttemptStarted, replica, site.attempt.as_str());
+        let replica = &target.plan.id;
+        self.record(EventCode::AttemptStarted, replica, target.attempt.as_str());
         let attempt = AttemptRun {
             context: self.context,
-            order: self.order,
-            site,
+            request: self.request,
+            target,
             kind,
             slot,
         };
-        let fault = match attempt.run(&mut self.progress, sink).await {
-            AttemptEnd::Finished(end) => return Ok(CompletionEnd::Finished(end)),
-            AttemptEnd::CallerGone => return Ok(CompletionEnd::CallerGone),
-            AttemptEnd::HandOver => return Ok(CompletionEnd::HandOver),
-            AttemptEnd::Failed(fault) => fault,
+        let error = match attempt.run(&mut self.progress, sink).await {
+            AttemptResult::Finished(end) => return Ok(CompletionResult::Finished(end)),
+            AttemptResult::ClientDisconnected => return Ok(CompletionResult::ClientDisconnected),
+            AttemptResult::HandOver => return Ok(CompletionResult::HandOver),
+            AttemptResult::Failed(error) => error,
         };
-        let detail = format!("{}: {fault}", site.attempt);
-        self.note(EventCode::AttemptFailed, replica, &detail);
-        self.may_have_run |= !fault.is_not_run();
-        if fault == AttemptFault::Mismatch(MatchFault::TextDiffers) {
-            return Ok(CompletionEnd::Failed(text_differs()));
+        let detail = format!("{}: {error}", target.attempt);
+        self.record(EventCode::AttemptFailed, replica, &detail);
+        self.may_have_run |= !error.is_not_run();
+        if error == AttemptError::Mismatch(StreamError::ContentMismatch) {
+            return Ok(CompletionResult::Failed(content_mismatch()));
         }
         if kind == AttemptKind::Start {
-            self.ask.tried.insert(replica.clone());
+            self.dispatch_request.tried.insert(replica.clone());
         }
-        Err(fault)
+        Err(error)
     }
 
-    /// A failure with the truth about whether the request was run.
-    fn judged(&self, failure: CallerFailure) -> CallerFailure {
+    /// A error with the truth about whether the request was run.
+    fn with_execution(&self, error: RequestError) -> RequestError {
         if self.may_have_run {
-            return failure.maybe_run();
+            return error.with_unknown_execution();
         }
-        failure
+        error
     }
 
     fn subject(&self) -> EventSubject {
-        EventSubject::request(&self.order.request).and_customer(&self.order.customer)
+        EventSubject::request(&self.request.request).and_customer(&self.request.customer)
     }
 
-    fn note(&self, code: EventCode, replica: &ReplicaId, detail: &str) {
+    fn record(&self, code: EventCode, replica: &ReplicaId, detail: &str) {
         let subject = self.subject().and_replica(replica);
         self.context.recorder.note(code, subject, detail);
     }
 }
 
-fn text_differs() -> CallerFailure {
+fn content_mismatch() -> RequestError {
     let message = "the answer can't be continued: generated again, it differs from what you have; \
                    send the request without Last-Event-ID";
-    CallerFailure::unknown(ErrorCode::InvalidResume, message).at("header last-event-id")
+    RequestError::unknown(ErrorCode::InvalidResume, message).at("header last-event-id")
 }
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -11,22 +11,22 @@
 use web::{WebResponse, json_response};
 use wire::caller::{ErrorCode, LAST_EVENT_HEADER};
 
-use crate::completion::{CompletionEnd, CompletionRun};
+use crate::completion::{CompletionResult, CompletionRun};
 use crate::context::EntryContext;
-use crate::failure::CallerFailure;
-use crate::frame::AnswerFrame;
-use crate::headers::{last_event, request_deadline};
-use crate::order::{CompletionAsk, CompletionOrder, plan_order};
-use crate::progress::AnswerEnd;
+use crate::error::RequestError;
+use crate::formatter::ResponseFormatter;
+use crate::generation::{CompletionParams, GenerationRequest, build_request};
+use crate::headers::{last_event_id, request_deadline};
+use crate::progress::GenerationSummary;
 use crate::sink::{EventSink, TextSink};
 use crate::token::ResumeToken;
 
 /// Events that wait for a slow reader; its engine's stream is then held back.
-const EVENT_BUFFER: usize = 64;
+const EVENT_BUFFER_CAPACITY: usize = 64;
 
 /// A completion that a caller asked for.
 #[derive(Debug)]
-pub struct CompletionCall<'a> {
+pub struct CompletionContext<'a> {
     /// The configuration in force.
     pub view: &'a ConfigView,
     /// Who calls.
@@ -36,28 +36,28 @@
     /// Name of the request.
     pub request: RequestId,
     /// What is asked for.
-    pub ask: CompletionAsk,
+    pub ask: CompletionParams,
 }
 
 /// Answers a completion.
 ///
 /// # Errors
 ///
-/// [`CallerFailure`] when it fails before the first event of a stream, or at all when it is not
+/// [`RequestError`] when it fails before the first event of a stream, or at all when it is not
 /// streamed.
-pub async fn answer_completion<E: EngineClient>(
+pub async fn handle_completion<E: EngineClient>(
     context: &EntryContext<E>,
-    call: CompletionCall<'_>,
-) -> Result<WebResponse, CallerFailure> {
+    call: CompletionContext<'_>,
+) -> Result<WebResponse, RequestError> {
     let deadline = request_deadline(call.headers, &context.settings)?;
-    let resume = opened_token(context, &call)?;
+    let resume = verified_token(context, &call)?;
     let stream = call.ask.stream;
     let include_usage = call.ask.include_usage;
     let request = match &resume {
         Some(token) => &token.scope.request,
         None => &call.request,
     };
-    let order = plan_order(
+    let order = build_request(
         call.view,
         call.customer,
         &context.settings,
@@ -71,30 +71,30 @@
         let message = "the request differs from the one that the stream answers";
         return Err(invalid_resume(message));
     }
-    let subject = order_subject(&order);
+    let subject = request_subject(&order);
     context
         .recorder
         .note(EventCode::RequestAdmitted, subject, order.model.as_str());
     if stream {
-        return answer_stream(context, order, resume, include_usage).await;
+        return respond_streaming(context, order, resume, include_usage).await;
     }
-    answer_whole(context, &order).await
+    respond_whole(context, &order).await
 }
 
-fn order_subject(order: &CompletionOrder) -> EventSubject {
+fn request_subject(order: &GenerationRequest) -> EventSubject {
     EventSubject::request(&order.request).and_customer(&order.customer)
 }
 
-fn invalid_resume(message: impl Into<String>) -> CallerFailure {
-    CallerFailure::not_run(ErrorCode::InvalidResume, message)
+fn invalid_resume(message: impl Into<String>) -> RequestError {
+    RequestError::not_run(ErrorCode::InvalidResume, message)
         .at(format!("header {LAST_EVENT_HEADER}"))
 }
 
-fn opened_token<E: EngineClient>(
+fn verified_token<E: EngineClient>(
     context: &EntryContext<E>,
-    call: &CompletionCall<'_>,
-) -> Result<Option<ResumeToken>, CallerFailure> {
-    let Some(text) = last_event(call.headers)? else {
+    call: &CompletionContext<'_>,
+) -> Result<Option<ResumeToken>, RequestError> {
+    let Some(text) = last_event_id(call.headers)? else {
         return Ok(None);
     };
     if !call.ask.stream {
@@ -112,42 +112,42 @@
     Ok(Some(token))
 }
 
-async fn answer_whole<E: EngineClient>(
+async fn respond_whole<E: EngineClient>(
     context: &EntryContext<E>,
-    order: &CompletionOrder,
-) -> Result<WebResponse, CallerFailure> {
+    order: &GenerationRequest,
+) -> Result<WebResponse, RequestError> {
     let mut sink = TextSink::default();
     match CompletionRun::new(context, order).run(&mut sink).await {
-        CompletionEnd::Finished(end) => {
-            note_answered(context, order, &end);
-            let body = AnswerFrame::new(order).whole(sink.text, &end);
+        CompletionResult::Finished(end) => {
+            record_answered(context, order, &end);
+            let body = ResponseFormatter::new(order).whole(sink.text, &end);
             Ok(json_response(StatusCode::OK, &body))
         }
-        CompletionEnd::Failed(failure) => Err(failure),
-        CompletionEnd::CallerGone | CompletionEnd::HandOver => {
+        CompletionResult::Failed(error) => Err(error),
+        CompletionResult::ClientDisconnected | CompletionResult::HandOver => {
             let message = "the answer was left before its end";
-            Err(CallerFailure::unknown(ErrorCode::Internal, message))
+            Err(RequestError::unknown(ErrorCode::Internal, message))
         }
     }
 }
 
-async fn answer_stream<E: EngineClient>(
+async fn respond_streaming<E: EngineClient>(
     context: &EntryContext<E>,
-    order: CompletionOrder,
+    order: GenerationRequest,
     resume: Option<ResumeToken>,
     include_usage: bool,
-) -> Result<WebResponse, CallerFailure> {
-    let (events, body) = channel_body(EVENT_BUFFER);
+) -> Result<WebResponse, RequestError> {
+    let (events, body) = channel_body(EVENT_BUFFER_CAPACITY);
     let (head, begun) = oneshot::channel();
-    let frame = AnswerFrame::new(&order);
+    let frame = ResponseFormatter::new(&order);
     let sink = EventSink::new(frame, events, head, include_usage, resume.is_some());
     tokio::spawn(feed_stream(context.clone(), order, resume, sink));
     match begun.await {
         Ok(Ok(())) => {}
-        Ok(Err(failure)) => return Err(failure),
+        Ok(Err(error)) => return Err(error),
         Err(_) => {
             let message = "the stream ended before it began";
-            return Err(CallerFailure::unknown(ErrorCode::Internal, message));
+            return Err(RequestError::unknown(ErrorCode::Internal, message));
         }
     }
     let mut answer = http::Response::new(body);
@@ -162,7 +162,7 @@
 
 async fn feed_stream<E: EngineClient>(
     context: EntryContext<E>,
-    order: CompletionOrder,
+    order: GenerationRequest,
     resume: Option<ResumeToken>,
     mut sink: EventSink,
 ) {
@@ -171,47 +171,47 @@
         Some(token) => run.resume(token, &mut sink).await,
         None => run.run(&mut sink).await,
     };
-    let subject = order_subject(&order);
+    let subject = request_subject(&order);
     match end {
-        CompletionEnd::Finished(end) => {
+        CompletionResult::Finished(end) => {
             if sink.finish(&end).await.is_ok() {
-                note_answered(&context, &order, &end);
+                record_answered(&context, &order, &end);
                 return;
             }
             context
                 .recorder
                 .note(EventCode::CallerLeft, subject, "at the end of the answer");
         }
-        CompletionEnd::CallerGone => {
+        CompletionResult::ClientDisconnected => {
             context
                 .recorder
                 .note(EventCode::CallerLeft, subject, "within the answer");
         }
-        CompletionEnd::HandOver => {
+        CompletionResult::HandOver => {
             context
                 .recorder
                 .note(EventCode::StreamHandedOver, subject, "");
             sink.hand_over().await;
         }
-        CompletionEnd::Failed(failure) => {
-            let body = failure.body(&order.request);
+        CompletionResult::Failed(error) => {
+            let body = error.body(&order.request);
             if sink.has_begun() {
                 context
                     .recorder
-                    .note(EventCode::RequestFailed, subject, failure.to_string());
+                    .note(EventCode::RequestFailed, subject, error.to_string());
             }
-            sink.fail(failure, &body).await;
+            sink.fail(error, &body).await;
         }
     }
 }
 
-fn note_answered<E: EngineClient>(
+fn record_answered<E: EngineClient>(
     context: &EntryContext<E>,
-    order: &CompletionOrder,
-    end: &AnswerEnd,
+    order: &GenerationRequest,
+    end: &GenerationSummary,
 ) {
     let detail = format!("{} tokens", end.count);
     context
         .recorder
-        .note(EventCode::RequestAnswered, order_subject(order), detail);
+        .note(EventCode::RequestAnswered, request_subject(order), detail);
 }
--- a/crates/entry/src/digest.rs
+++ b/crates/entry/src/digest.rs
@@ -18,7 +18,7 @@
         let mut hash = Sha256::new();
         hash.update(self.0);
         hash.update(token.as_bytes());
-        Self(first_half(hash))
+        Self(truncate(hash))
     }
 }
 
@@ -36,11 +36,11 @@
             hash.update(length.to_be_bytes());
             hash.update(part);
         }
-        Self(first_half(hash))
+        Self(truncate(hash))
     }
 }
 
-fn first_half(hash: Sha256) -> [u8; DIGEST_BYTES] {
+fn truncate(hash: Sha256) -> [u8; DIGEST_BYTES] {
     let whole = hash.finalize();
     let mut half = [0; DIGEST_BYTES];
     half.copy_from_slice(&whole[..DIGEST_BYTES]);
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -14,7 +14,7 @@
 
 use super::request::DispatchRequest;
 
-/// Assumed round trip to a replica in another failure domain of the region.
+/// Assumed round trip to a replica in another error domain of the region.
 const CROSS_DOMAIN_ROUND_TRIP: Duration = Duration::from_millis(1);
 
 /// All replicas.
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -22,7 +22,7 @@
 use wire::caller::ErrorCode;
 use xtra::{Address, Mailbox};
 
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 use actor::{DecideRetry, DispatchActor, EnqueueRequest, SetEntries};
 use request::{DispatchEvent, DispatchEventSender, DispatchRequest, SlotGuard};
 use state::{DispatchSettings, DispatchState};
@@ -63,8 +63,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallerFailure`] as not run: refused at once, or given up at its deadline.
-    pub async fn place(&self, request: DispatchRequest) -> Result<SlotGuard, CallerFailure> {
+    /// [`RequestError`] as not run: refused at once, or given up at its deadline.
+    pub async fn place(&self, request: DispatchRequest) -> Result<SlotGuard, RequestError> {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         self.waiting.fetch_add(1, Ordering::Relaxed);
@@ -84,7 +84,7 @@
         guard.model = None;
         result.unwrap_or_else(|| {
             let message = "the dispatcher has stopped";
-            Err(CallerFailure::not_run(ErrorCode::Internal, message))
+            Err(RequestError::not_run(ErrorCode::Internal, message))
         })
     }
 
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -11,7 +11,7 @@
 use super::index::ReplicaIndex;
 use super::request::{DispatchEventSender, DispatchRequest, SlotGuard, SlotInfo};
 use super::time::{DispatchTime, SlotReply};
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
 /// Time without any whole replica after which waiting is hopeless.
 ///
@@ -33,14 +33,14 @@
 }
 
 impl QueuedRequest {
-    fn reject(self, failure: CallerFailure) {
+    fn reject(self, error: RequestError) {
         // A caller that is gone needs no answer.
-        let _ = self.reply.send(Err(failure));
+        let _ = self.reply.send(Err(error));
     }
 
-    fn no_replica_error(&self) -> CallerFailure {
+    fn no_replica_error(&self) -> RequestError {
         let message = format!("no whole replica serves {} now", self.request.model);
-        CallerFailure::not_run(ErrorCode::NoReplica, message).retry(NO_REPLICA_RETRY_AFTER)
+        RequestError::not_run(ErrorCode::NoReplica, message).retry(NO_REPLICA_RETRY_AFTER)
     }
 }
 
@@ -99,8 +99,8 @@
         }
         self.share.record_offered(at.now);
         if self.is_unavailable(at.now) {
-            let failure = waiting.no_replica_error();
-            waiting.reject(failure);
+            let error = waiting.no_replica_error();
+            waiting.reject(error);
             return;
         }
         let admission = AdmissionRequest::builder()
@@ -117,8 +117,8 @@
                 reason,
                 retry_after,
             } => {
-                let failure = CallerFailure::not_run(ErrorCode::Overloaded, reason.to_string());
-                waiting.reject(failure.retry(retry_after));
+                let error = RequestError::not_run(ErrorCode::Overloaded, reason.to_string());
+                waiting.reject(error.retry(retry_after));
             }
         }
     }
@@ -167,30 +167,30 @@
             // Without a usable replica the queue's rate says nothing of when to come back, and
             // "too late" would send an operator after load where a host is missing.
             if !self.usable {
-                let failure = waiting.no_replica_error();
-                waiting.reject(failure);
+                let error = waiting.no_replica_error();
+                waiting.reject(error);
                 continue;
             }
             let after = self.queue.retry_after(at.now, waiting.request.cost);
             let message = "the answer could not begin within the request's timeout";
-            let failure = CallerFailure::not_run(ErrorCode::DeadlineExceeded, message);
-            waiting.reject(failure.retry(after));
+            let error = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
+            waiting.reject(error.retry(after));
         }
         for waiting in std::mem::take(&mut self.unplaced) {
             if waiting.deadline > at.now {
                 self.unplaced.push(waiting);
                 continue;
             }
-            let failure = waiting.no_replica_error();
-            waiting.reject(failure);
+            let error = waiting.no_replica_error();
+            waiting.reject(error);
         }
         if !self.is_unavailable(at.now) {
             return;
         }
         for (key, waiting) in self.queued.drain() {
             self.queue.cancel(key);
-            let failure = waiting.no_replica_error();
-            waiting.reject(failure);
+            let error = waiting.no_replica_error();
+            waiting.reject(error);
         }
     }
 
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use wire::engine::prefix_hashes;
 
-use crate::order::CompletionOrder;
+use crate::generation::GenerationRequest;
 
 /// Bytes of a prompt that count as one token, for predictions only.
 const BYTES_PER_TOKEN: usize = 4;
@@ -46,7 +46,7 @@
 impl DispatchRequest {
     /// The first ask of an order.
     #[must_use]
-    pub fn new(order: &CompletionOrder) -> Self {
+    pub fn new(order: &GenerationRequest) -> Self {
         let prompt_tokens = order.prompt.len().div_ceil(BYTES_PER_TOKEN);
         let prompt_tokens = u32::try_from(prompt_tokens).unwrap_or(u32::MAX);
         let prefixes = prefix_hashes(&order.model, order.adapter.as_ref(), &order.prompt);
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -21,7 +21,7 @@
 pub struct DispatchSettings {
     /// Oldest evidence of wholeness that allows dispatch.
     pub max_evidence_age: Duration,
-    /// The entry's own failure domain.
+    /// The entry's own error domain.
     pub local_domain: Option<DomainId>,
     /// Attempts of one request.
     #[builder(default = 8)]
--- a/crates/entry/src/dispatch/time.rs
+++ b/crates/entry/src/dispatch/time.rs
@@ -5,10 +5,10 @@
 use tokio::sync::oneshot;
 
 use super::request::SlotGuard;
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
 /// The answer to an request.
-pub type SlotReply = oneshot::Sender<Result<SlotGuard, CallerFailure>>;
+pub type SlotReply = oneshot::Sender<Result<SlotGuard, RequestError>>;
 
 /// A moment, on the clock of the policies and on that of the evidence.
 #[derive(Debug, Clone, Copy)]
--- a/crates/entry/src/failure.rs
+++ b/crates/entry/src/error.rs
@@ -10,7 +10,7 @@
 /// A request's failure.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
-pub struct CallerFailure {
+pub struct RequestError {
     /// Stable code.
     pub code: ErrorCode,
     /// What happened and what to do.
@@ -25,7 +25,7 @@
     pub allowed: Option<Method>,
 }
 
-impl CallerFailure {
+impl RequestError {
     /// A failure of a request that was not run.
     #[must_use]
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
@@ -50,7 +50,7 @@
 
     /// The same failure of a request that may have been run.
     #[must_use]
-    pub fn maybe_run(mut self) -> Self {
+    pub fn with_unknown_execution(mut self) -> Self {
         self.execution = ExecutionState::Unknown;
         self
     }
--- a/crates/entry/src/frame.rs
+++ b/crates/entry/src/formatter.rs
@@ -7,22 +7,22 @@
 use serde::Serialize;
 use wire::openai::{ChoiceMessage, CompletionBody, CompletionChoice, UsageCounts};
 
-use crate::order::{AnswerShape, CompletionOrder};
-use crate::progress::AnswerEnd;
+use crate::generation::{GenerationRequest, ResponseFormat};
+use crate::progress::GenerationSummary;
 
 /// What all pieces of one answer have in common.
 #[derive(Debug, Clone)]
-pub struct AnswerFrame {
+pub struct ResponseFormatter {
     request: RequestId,
     model: ModelName,
-    shape: AnswerShape,
+    shape: ResponseFormat,
     created: u64,
 }
 
-impl AnswerFrame {
+impl ResponseFormatter {
     /// The frame of an order's answer.
     #[must_use]
-    pub fn new(order: &CompletionOrder) -> Self {
+    pub fn new(order: &GenerationRequest) -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
@@ -47,20 +47,20 @@
 
     /// A whole answer.
     #[must_use]
-    pub fn whole(&self, text: String, end: &AnswerEnd) -> CompletionBody {
+    pub fn whole(&self, text: String, end: &GenerationSummary) -> CompletionBody {
         let mut choice = CompletionChoice {
-            finish_reason: Some(end.finish.clone()),
+            finish_reason: Some(end.finish_reason.clone()),
             ..CompletionChoice::default()
         };
         let object = match self.shape {
-            AnswerShape::Chat => {
+            ResponseFormat::Chat => {
                 choice.message = Some(ChoiceMessage {
                     role: Some("assistant".to_owned()),
                     content: Some(text),
                 });
                 "chat.completion"
             }
-            AnswerShape::Text => {
+            ResponseFormat::Text => {
                 choice.text = Some(text);
                 "text_completion"
             }
@@ -74,14 +74,14 @@
     #[must_use]
     pub fn opening(&self) -> Option<CompletionBody> {
         match self.shape {
-            AnswerShape::Chat => {
+            ResponseFormat::Chat => {
                 let delta = ChoiceMessage {
                     role: Some("assistant".to_owned()),
                     content: Some(String::new()),
                 };
                 Some(self.piece(delta, None))
             }
-            AnswerShape::Text => None,
+            ResponseFormat::Text => None,
         }
     }
 
@@ -97,13 +97,13 @@
 
     /// The piece that says why the answer ended.
     #[must_use]
-    pub fn finish(&self, end: &AnswerEnd) -> CompletionBody {
-        self.piece(ChoiceMessage::default(), Some(end.finish.clone()))
+    pub fn finish(&self, end: &GenerationSummary) -> CompletionBody {
+        self.piece(ChoiceMessage::default(), Some(end.finish_reason.clone()))
     }
 
     /// The piece with the counts, for callers that asked for it.
     #[must_use]
-    pub fn usage(&self, end: &AnswerEnd) -> CompletionBody {
+    pub fn usage(&self, end: &GenerationSummary) -> CompletionBody {
         let mut body = self.body(self.piece_object(), Vec::new());
         body.usage = Some(usage_counts(end));
         body
@@ -111,8 +111,8 @@
 
     fn piece_object(&self) -> &'static str {
         match self.shape {
-            AnswerShape::Chat => "chat.completion.chunk",
-            AnswerShape::Text => "text_completion",
+            ResponseFormat::Chat => "chat.completion.chunk",
+            ResponseFormat::Text => "text_completion",
         }
     }
 
@@ -122,14 +122,14 @@
             ..CompletionChoice::default()
         };
         match self.shape {
-            AnswerShape::Chat => choice.delta = Some(delta),
-            AnswerShape::Text => choice.text = Some(delta.content.unwrap_or_default()),
+            ResponseFormat::Chat => choice.delta = Some(delta),
+            ResponseFormat::Text => choice.text = Some(delta.content.unwrap_or_default()),
         }
         self.body(self.piece_object(), vec![choice])
     }
 }
 
-fn usage_counts(end: &AnswerEnd) -> UsageCounts {
+fn usage_counts(end: &GenerationSummary) -> UsageCounts {
     UsageCounts {
         prompt_tokens: end.prompt_tokens,
         completion_tokens: end.count,
--- a/crates/entry/src/order.rs
+++ b/crates/entry/src/generation.rs
@@ -9,19 +9,19 @@
 use wire::openai::{ChatRequest, CompletionRequest, MessageContent, PromptText};
 
 use crate::digest::ContentDigest;
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 use crate::settings::EntrySettings;
 
 /// Shape of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerShape {
+pub enum ResponseFormat {
     /// Of `/v1/chat/completions`.
     Chat,
     /// Of `/v1/completions`.
     Text,
 }
 
-impl AnswerShape {
+impl ResponseFormat {
     fn as_bytes(self) -> &'static [u8] {
         match self {
             Self::Chat => b"chat",
@@ -32,7 +32,7 @@
 
 /// What a request's body asks for, whichever of the two calls it came by.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CompletionAsk {
+pub struct CompletionParams {
     /// The model, or `model:adapter`.
     pub model: String,
     /// The prompt.
@@ -42,7 +42,7 @@
     /// Seed, when the caller names one.
     pub seed: Option<u64>,
     /// Shape of the answer.
-    pub shape: AnswerShape,
+    pub shape: ResponseFormat,
     /// Whether to stream.
     pub stream: bool,
     /// Whether a stream closes with the usage.
@@ -51,7 +51,7 @@
 
 /// A checked order.
 #[derive(Debug, Clone)]
-pub struct CompletionOrder {
+pub struct GenerationRequest {
     /// The request.
     pub request: RequestId,
     /// Who asks.
@@ -73,10 +73,10 @@
     /// Moment by which the answer shall have begun.
     pub deadline: Instant,
     /// Shape of the answer.
-    pub shape: AnswerShape,
+    pub shape: ResponseFormat,
 }
 
-impl CompletionOrder {
+impl GenerationRequest {
     /// Digest of everything that decides the answer's text.
     #[must_use]
     pub fn content(&self) -> ContentDigest {
@@ -92,11 +92,11 @@
     }
 }
 
-fn invalid(message: impl Into<String>, place: &str) -> CallerFailure {
-    CallerFailure::not_run(ErrorCode::InvalidRequest, message).at(place)
+fn invalid(message: impl Into<String>, place: &str) -> RequestError {
+    RequestError::not_run(ErrorCode::InvalidRequest, message).at(place)
 }
 
-fn check_choices(choices: Option<u32>) -> Result<(), CallerFailure> {
+fn check_choices(choices: Option<u32>) -> Result<(), RequestError> {
     if choices.is_none_or(|count| count == 1) {
         return Ok(());
     }
@@ -106,10 +106,10 @@
     ))
 }
 
-impl TryFrom<ChatRequest> for CompletionAsk {
-    type Error = CallerFailure;
+impl TryFrom<ChatRequest> for CompletionParams {
+    type Error = RequestError;
 
-    fn try_from(body: ChatRequest) -> Result<Self, CallerFailure> {
+    fn try_from(body: ChatRequest) -> Result<Self, RequestError> {
         check_choices(body.n)?;
         if body.messages.is_empty() {
             return Err(invalid("send at least one message", "messages"));
@@ -130,17 +130,17 @@
             prompt: lines.join("\n"),
             limit: newer.or(body.max_tokens.map(|limit| (limit, "max_tokens"))),
             seed: body.seed,
-            shape: AnswerShape::Chat,
+            shape: ResponseFormat::Chat,
             stream: body.stream.unwrap_or(false),
             include_usage: body.stream_options.unwrap_or_default().include_usage,
         })
     }
 }
 
-impl TryFrom<CompletionRequest> for CompletionAsk {
-    type Error = CallerFailure;
+impl TryFrom<CompletionRequest> for CompletionParams {
+    type Error = RequestError;
 
-    fn try_from(body: CompletionRequest) -> Result<Self, CallerFailure> {
+    fn try_from(body: CompletionRequest) -> Result<Self, RequestError> {
         check_choices(body.n)?;
         let prompt = match body.prompt {
             PromptText::One(text) => text,
@@ -154,7 +154,7 @@
             prompt,
             limit: body.max_tokens.map(|limit| (limit, "max_tokens")),
             seed: body.seed,
-            shape: AnswerShape::Text,
+            shape: ResponseFormat::Text,
             stream: body.stream.unwrap_or(false),
             include_usage: body.stream_options.unwrap_or_default().include_usage,
         })
@@ -165,15 +165,15 @@
 ///
 /// # Errors
 ///
-/// [`CallerFailure`] with its place; nothing was sent anywhere.
-pub fn plan_order(
+/// [`RequestError`] with its place; nothing was sent anywhere.
+pub fn build_request(
     view: &ConfigView,
     customer: &CustomerRecord,
     settings: &EntrySettings,
-    ask: CompletionAsk,
+    ask: CompletionParams,
     request: &RequestId,
     deadline: Instant,
-) -> Result<CompletionOrder, CallerFailure> {
+) -> Result<GenerationRequest, RequestError> {
     let (model, adapter) = match ask.model.split_once(':') {
         Some((model, adapter)) => (model, Some(adapter)),
         None => (ask.model.as_str(), None),
@@ -183,7 +183,7 @@
         Some(adapter) => Some(find_adapter(grant, adapter)?),
         None => None,
     };
-    Ok(CompletionOrder {
+    Ok(GenerationRequest {
         request: request.clone(),
         customer: customer.name.clone(),
         share: customer.share,
@@ -191,7 +191,7 @@
         version: grant.version.clone(),
         adapter,
         prompt: ask.prompt,
-        max_tokens: token_limit(ask.limit, settings)?,
+        max_tokens: check_max_tokens(ask.limit, settings)?,
         seed: ask.seed.unwrap_or_else(|| own_seed(request)),
         deadline,
         shape: ask.shape,
@@ -202,24 +202,24 @@
     view: &ConfigView,
     customer: &'view CustomerRecord,
     model: &str,
-) -> Result<&'view ModelGrant, CallerFailure> {
+) -> Result<&'view ModelGrant, RequestError> {
     for grant in &customer.grants {
         if grant.model.as_str() == model {
             return Ok(grant);
         }
     }
     let known = view.models.keys().any(|name| name.as_str() == model);
-    let failure = if known {
+    let error = if known {
         let message = format!("the customer may not use {model:?}");
-        CallerFailure::not_run(ErrorCode::NotGranted, message)
+        RequestError::not_run(ErrorCode::NotGranted, message)
     } else {
         let message = format!("there is no model {model:?}; GET /v1/models lists yours");
-        CallerFailure::not_run(ErrorCode::NotFound, message)
+        RequestError::not_run(ErrorCode::NotFound, message)
     };
-    Err(failure.at("model"))
+    Err(error.at("model"))
 }
 
-fn find_adapter(grant: &ModelGrant, adapter: &str) -> Result<AdapterName, CallerFailure> {
+fn find_adapter(grant: &ModelGrant, adapter: &str) -> Result<AdapterName, RequestError> {
     for granted in &grant.adapters {
         if granted.as_str() == adapter {
             return Ok(granted.clone());
@@ -229,13 +229,13 @@
         "the customer may not use adapter {adapter:?} of {}, or there is none",
         grant.model
     );
-    Err(CallerFailure::not_run(ErrorCode::NotGranted, message).at("model"))
+    Err(RequestError::not_run(ErrorCode::NotGranted, message).at("model"))
 }
 
-fn token_limit(
+fn check_max_tokens(
     limit: Option<(u32, &'static str)>,
     settings: &EntrySettings,
-) -> Result<u32, CallerFailure> {
+) -> Result<u32, RequestError> {
     let Some((limit, place)) = limit else {
         return Ok(settings.default_max_tokens);
     };
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -6,7 +6,7 @@
 use wire::caller::{ErrorCode, LAST_EVENT_HEADER, REQUEST_TIMEOUT_HEADER};
 use wire::service::{IDEMPOTENCY_HEADER, MAX_KEY_BYTES};
 
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 use crate::settings::EntrySettings;
 
 /// The moment by which a request shall have begun to be answered.
@@ -18,7 +18,7 @@
 pub fn request_deadline(
     headers: &HeaderMap,
     settings: &EntrySettings,
-) -> Result<Instant, CallerFailure> {
+) -> Result<Instant, RequestError> {
     let now = Instant::now();
     let Some(text) = header_text(headers, REQUEST_TIMEOUT_HEADER)? else {
         return Ok(now + settings.request_timeout());
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// [`ErrorCode::InvalidRequest`] when it is no text.
-pub fn last_event(headers: &HeaderMap) -> Result<Option<&str>, CallerFailure> {
+pub fn last_event_id(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
     let text = header_text(headers, LAST_EVENT_HEADER)?;
     // Browsers send an empty id when the stream they lost had not begun.
     Ok(text.filter(|text| !text.is_empty()))
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// [`ErrorCode::InvalidRequest`].
-pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, CallerFailure> {
+pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
     let Some(key) = header_text(headers, IDEMPOTENCY_HEADER)? else {
         return Ok(None);
     };
@@ -69,7 +69,7 @@
 fn header_text<'headers>(
     headers: &'headers HeaderMap,
     name: &str,
-) -> Result<Option<&'headers str>, CallerFailure> {
+) -> Result<Option<&'headers str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -83,6 +83,6 @@
     Ok(Some(text))
 }
 
-fn invalid_header(name: &str, message: impl Into<String>) -> CallerFailure {
-    CallerFailure::not_run(ErrorCode::InvalidRequest, message).at(format!("header {name}"))
+fn invalid_header(name: &str, message: impl Into<String>) -> RequestError {
+    RequestError::not_run(ErrorCode::InvalidRequest, message).at(format!("header {name}"))
 }
--- a/crates/entry/src/timing.rs
+++ b/crates/entry/src/latency.rs
@@ -5,11 +5,11 @@
 use domain::ModelName;
 use events::{EventRecorder, NodeMetrics};
 
-use crate::sink::{AnswerSink, CallerGone};
+use crate::sink::{ClientDisconnected, ResponseSink};
 use crate::token::{ScopeSigner, StreamOffset};
 
 /// A sink that notes when tokens reach the one behind it.
-pub struct TimedSink<'a, A> {
+pub struct LatencySink<'a, A> {
     sink: &'a mut A,
     metrics: Option<NodeMetrics>,
     model: &'a ModelName,
@@ -17,7 +17,7 @@
     last: Option<Instant>,
 }
 
-impl<'a, A: AnswerSink> TimedSink<'a, A> {
+impl<'a, A: ResponseSink> LatencySink<'a, A> {
     /// A sink before `sink`; the time to the first token counts from now.
     pub fn new(sink: &'a mut A, recorder: &EventRecorder, model: &'a ModelName) -> Self {
         Self {
@@ -40,12 +40,16 @@
     }
 }
 
-impl<A: AnswerSink> AnswerSink for TimedSink<'_, A> {
+impl<A: ResponseSink> ResponseSink for LatencySink<'_, A> {
     fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
         self.sink.begin(signer, offset);
     }
 
-    async fn token(&mut self, text: String, offset: StreamOffset) -> Result<(), CallerGone> {
+    async fn token(
+        &mut self,
+        text: String,
+        offset: StreamOffset,
+    ) -> Result<(), ClientDisconnected> {
         self.note_token();
         self.sink.token(text, offset).await
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,27 +1,27 @@
 //! The request path from a caller to a target and back.
 
-pub mod answer;
 pub mod attempt;
 pub mod auth;
-pub mod call;
 pub mod completion;
+pub mod completion_handler;
 pub mod context;
 pub mod digest;
 pub mod dispatch;
-pub mod failure;
-pub mod frame;
+pub mod error;
+pub mod formatter;
+pub mod generation;
 pub mod headers;
+pub mod latency;
 pub mod models;
-pub mod order;
 pub mod progress;
+pub mod replica_health;
+pub mod request_head;
 pub mod routes;
 pub mod server;
 pub mod services;
 pub mod settings;
 pub mod shutdown;
 pub mod sink;
-pub mod standing;
-pub mod timing;
 pub mod token;
 
 pub use context::{EntryContext, IdGenerator};
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -6,7 +6,7 @@
 use wire::caller::ErrorCode;
 use wire::openai::{ModelEntry, ModelList};
 
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
 fn entries(customer: &CustomerRecord) -> Vec<ModelEntry> {
     let mut entries = Vec::new();
@@ -43,12 +43,12 @@
 /// # Errors
 ///
 /// [`ErrorCode::NotFound`].
-pub fn show_model(customer: &CustomerRecord, name: &str) -> Result<WebResponse, CallerFailure> {
+pub fn show_model(customer: &CustomerRecord, name: &str) -> Result<WebResponse, RequestError> {
     for entry in entries(customer) {
         if entry.id == name {
             return Ok(json_response(StatusCode::OK, &entry));
         }
     }
     let message = format!("the customer has no model {name:?}");
-    Err(CallerFailure::not_run(ErrorCode::NotFound, message).at("path"))
+    Err(RequestError::not_run(ErrorCode::NotFound, message).at("path"))
 }
--- a/crates/entry/src/progress.rs
+++ b/crates/entry/src/progress.rs
@@ -10,13 +10,13 @@
 
 /// What a caller has of an answer, over all attempts and entries.
 #[derive(Debug, Clone)]
-pub struct AnswerProgress {
+pub struct ResponseProgress {
     offset: StreamOffset,
     /// The tokens; none when an earlier entry delivered some, of which only the digest is known.
     tokens: Option<Vec<String>>,
 }
 
-impl Default for AnswerProgress {
+impl Default for ResponseProgress {
     fn default() -> Self {
         Self {
             offset: StreamOffset::default(),
@@ -25,7 +25,7 @@
     }
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     /// The progress of a caller that has so much from an earlier connection.
     #[must_use]
     pub fn resumed(offset: StreamOffset) -> Self {
@@ -47,7 +47,7 @@
     /// The tokens that a new attempt goes on behind; none when it has to begin again, because an
     /// earlier entry delivered some.
     #[must_use]
-    pub fn known_tokens(&self) -> Option<&[String]> {
+    pub fn delivered_tokens(&self) -> Option<&[String]> {
         self.tokens.as_deref()
     }
 
@@ -62,7 +62,7 @@
 
 /// How an answer ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerEnd {
+pub struct GenerationSummary {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Prompt tokens that the prefix cache held.
@@ -70,49 +70,49 @@
     /// Tokens of the answer.
     pub count: u32,
     /// Why it ended: `stop` or `length`.
-    pub finish: String,
+    pub finish_reason: String,
 }
 
 /// Why an attempt can't be followed any longer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum MatchFault {
+pub enum StreamError {
     /// A token before this one is lost.
-    #[error("token {got} came where {wanted} was due")]
-    Gap {
+    #[error("token {received} came where {expected} was due")]
+    MissingToken {
         /// The index that was due.
-        wanted: u32,
+        expected: u32,
         /// The index that came.
-        got: u32,
+        received: u32,
     },
     /// The final mark counts other tokens than came.
-    #[error("the final mark counts {counted} tokens where {got} came")]
-    WrongCount {
+    #[error("the final mark counts {counted} tokens where {received} came")]
+    CountMismatch {
         /// The mark's count.
         counted: u32,
         /// Tokens that came.
-        got: u32,
+        received: u32,
     },
     /// An answer that was begun again is another than the caller has.
     #[error("the answer, generated again, differs from what was delivered")]
-    TextDiffers,
+    ContentMismatch,
     /// The engine gives up.
     #[error("the engine gave up: {0}")]
-    GivenUp(String),
+    EngineFailed(String),
 }
 
 /// What to do with an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MatchStep {
+pub enum StreamAction {
     /// Deliver this token; the progress counts it already.
     Deliver(String),
     /// Drop it: of another attempt, or a duplicate.
-    Drop,
+    Ignore,
     /// A token of this attempt that the caller has already.
-    Known,
+    AlreadyDelivered,
     /// The answer is whole.
-    Finished(AnswerEnd),
+    Finished(GenerationSummary),
     /// Leave the attempt.
-    Fault(MatchFault),
+    Fail(StreamError),
 }
 
 /// Matches the events of one attempt.
@@ -121,50 +121,50 @@
 /// come late or crossed. A caller would notice by words that are doubled, missing or somebody
 /// else's. So an event counts only with its attempt, incarnation and index.
 #[derive(Debug)]
-pub struct StreamMatcher {
+pub struct StreamValidator {
     attempt: AttemptId,
     incarnation: IncarnationNumber,
     /// Index of the next token that this attempt shall give.
     next: u32,
     /// Tokens and their digest so far, while an answer is generated again.
-    again: Option<AgainState>,
+    regeneration: Option<Regeneration>,
 }
 
 #[derive(Debug, Default)]
-struct AgainState {
+struct Regeneration {
     tokens: Vec<String>,
     digest: TextDigest,
 }
 
-impl StreamMatcher {
+impl StreamValidator {
     /// A matcher for an attempt that goes on behind what was delivered.
     #[must_use]
-    pub fn behind(
+    pub fn continuing(
         attempt: AttemptId,
         incarnation: IncarnationNumber,
-        progress: &AnswerProgress,
+        progress: &ResponseProgress,
     ) -> Self {
         Self {
             attempt,
             incarnation,
             next: progress.offset.count,
-            again: None,
+            regeneration: None,
         }
     }
 
     /// A matcher for an attempt that generates the answer again from its first token.
     #[must_use]
-    pub fn again(attempt: AttemptId, incarnation: IncarnationNumber) -> Self {
+    pub fn regenerating(attempt: AttemptId, incarnation: IncarnationNumber) -> Self {
         Self {
             attempt,
             incarnation,
             next: 0,
-            again: Some(AgainState::default()),
+            regeneration: Some(Regeneration::default()),
         }
     }
 
     /// Takes an event and counts what is to be delivered into `progress`.
-    pub fn take(&mut self, progress: &mut AnswerProgress, event: StreamEvent) -> MatchStep {
+    pub fn accept(&mut self, progress: &mut ResponseProgress, event: StreamEvent) -> StreamAction {
         match event {
             StreamEvent::Token {
                 attempt,
@@ -172,16 +172,16 @@
                 index,
                 text,
             } => {
-                if !self.is_own(&attempt, incarnation) || index < self.next {
-                    return MatchStep::Drop;
+                if !self.belongs_to_attempt(&attempt, incarnation) || index < self.next {
+                    return StreamAction::Ignore;
                 }
                 if index > self.next {
-                    return MatchStep::Fault(MatchFault::Gap {
-                        wanted: self.next,
-                        got: index,
+                    return StreamAction::Fail(StreamError::MissingToken {
+                        expected: self.next,
+                        received: index,
                     });
                 }
-                self.take_token(progress, text)
+                self.accept_token(progress, text)
             }
             StreamEvent::Done {
                 attempt,
@@ -191,51 +191,51 @@
                 cached_tokens,
                 finish,
             } => {
-                if !self.is_own(&attempt, incarnation) {
-                    return MatchStep::Drop;
+                if !self.belongs_to_attempt(&attempt, incarnation) {
+                    return StreamAction::Ignore;
                 }
                 if count != self.next || count != progress.offset.count {
-                    return MatchStep::Fault(MatchFault::WrongCount {
+                    return StreamAction::Fail(StreamError::CountMismatch {
                         counted: count,
-                        got: self.next,
+                        received: self.next,
                     });
                 }
-                MatchStep::Finished(AnswerEnd {
+                StreamAction::Finished(GenerationSummary {
                     prompt_tokens,
                     cached_tokens,
                     count,
-                    finish,
+                    finish_reason: finish,
                 })
             }
             StreamEvent::Failed { attempt, reason } => {
                 if attempt != self.attempt {
-                    return MatchStep::Drop;
+                    return StreamAction::Ignore;
                 }
-                MatchStep::Fault(MatchFault::GivenUp(reason))
+                StreamAction::Fail(StreamError::EngineFailed(reason))
             }
         }
     }
 
-    fn is_own(&self, attempt: &AttemptId, incarnation: IncarnationNumber) -> bool {
+    fn belongs_to_attempt(&self, attempt: &AttemptId, incarnation: IncarnationNumber) -> bool {
         *attempt == self.attempt && incarnation == self.incarnation
     }
 
-    fn take_token(&mut self, progress: &mut AnswerProgress, text: String) -> MatchStep {
+    fn accept_token(&mut self, progress: &mut ResponseProgress, text: String) -> StreamAction {
         self.next += 1;
-        let Some(again) = &mut self.again else {
+        let Some(regeneration) = &mut self.regeneration else {
             progress.push(&text);
-            return MatchStep::Deliver(text);
+            return StreamAction::Deliver(text);
         };
-        again.digest = again.digest.extended(&text);
-        again.tokens.push(text);
+        regeneration.digest = regeneration.digest.extended(&text);
+        regeneration.tokens.push(text);
         if self.next < progress.offset.count {
-            return MatchStep::Known;
+            return StreamAction::AlreadyDelivered;
         }
-        if again.digest != progress.offset.digest {
-            return MatchStep::Fault(MatchFault::TextDiffers);
+        if regeneration.digest != progress.offset.digest {
+            return StreamAction::Fail(StreamError::ContentMismatch);
         }
-        progress.tokens = Some(std::mem::take(&mut again.tokens));
-        self.again = None;
-        MatchStep::Known
+        progress.tokens = Some(std::mem::take(&mut regeneration.tokens));
+        self.regeneration = None;
+        StreamAction::AlreadyDelivered
     }
 }
--- a/crates/entry/src/standing.rs
+++ b/crates/entry/src/replica_health.rs
@@ -9,16 +9,16 @@
 
 /// How a replica stands while it runs a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplicaStanding {
+pub enum ReplicaHealth {
     /// Fresh evidence says that all its hosts are there.
-    Whole,
+    Healthy,
     /// There is no fresh evidence.
-    Doubtful,
+    Unconfirmed,
     /// Evidence says that a host is missing, or that the hosts run something else by now.
     Lost,
 }
 
-impl ReplicaStanding {
+impl ReplicaHealth {
     /// Judges a replica by the newest view.
     ///
     /// A replica that lost a host takes seconds to notice, and its streams stand still meanwhile;
@@ -27,26 +27,26 @@
     /// put every stream of the node onto other replicas at the same moment. A drain is no loss
     /// either: a leaving replica finishes its streams.
     #[must_use]
-    pub fn judge(view: &TargetView, plan: &ReplicaPlan, now: Instant, limit: Duration) -> Self {
+    pub fn assess(view: &TargetView, plan: &ReplicaPlan, now: Instant, limit: Duration) -> Self {
         let found = view
             .replicas
             .iter()
             .find(|replica| replica.plan.id == plan.id);
         let Some(replica) = found else {
-            return Self::Doubtful;
+            return Self::Unconfirmed;
         };
         if replica.plan.incarnation != plan.incarnation {
             return Self::Lost;
         }
         let Some((evidence, received)) = &replica.evidence else {
-            return Self::Doubtful;
+            return Self::Unconfirmed;
         };
         let age = evidence.age + now.saturating_duration_since(*received);
         if age > limit || evidence.incarnation != plan.incarnation {
-            return Self::Doubtful;
+            return Self::Unconfirmed;
         }
         if evidence.hosts == plan.hosts {
-            return Self::Whole;
+            return Self::Healthy;
         }
         Self::Lost
     }
@@ -55,8 +55,8 @@
     #[must_use]
     pub fn silence_limit(self, settings: &EntrySettings) -> Option<Duration> {
         match self {
-            Self::Whole => Some(settings.silence()),
-            Self::Doubtful => Some(settings.doubt_silence().min(settings.silence())),
+            Self::Healthy => Some(settings.silence()),
+            Self::Unconfirmed => Some(settings.doubt_silence().min(settings.silence())),
             Self::Lost => None,
         }
     }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/request_head.rs
@@ -5,7 +5,7 @@
 
 /// Head of a caller's request.
 #[derive(Debug)]
-pub struct CallerCall {
+pub struct RequestHead {
     /// Name of the request.
     pub request: RequestId,
     /// Method.
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -3,11 +3,11 @@
 use http::Method;
 use wire::caller::ErrorCode;
 
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
 /// What a request's path and method ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallerRoute<'path> {
+pub enum Route<'path> {
     /// Whether the process lives.
     Health,
     /// Whether it shall be sent requests.
@@ -29,50 +29,45 @@
     },
 }
 
-const SERVICES: &str = "/v1/services/";
-const MODELS: &str = "/v1/models/";
+const SERVICES_PREFIX: &str = "/v1/services/";
+const MODELS_PREFIX: &str = "/v1/models/";
 
 /// Finds the route of a request.
 ///
 /// # Errors
 ///
 /// [`ErrorCode::NotFound`] or [`ErrorCode::MethodNotAllowed`].
-pub fn find_route<'path>(
-    method: &Method,
-    path: &'path str,
-) -> Result<CallerRoute<'path>, CallerFailure> {
-    let route = known_path(path).ok_or_else(|| {
+pub fn find_route<'path>(method: &Method, path: &'path str) -> Result<Route<'path>, RequestError> {
+    let route = match_path(path).ok_or_else(|| {
         let message = format!("there is no path {path:?}");
-        CallerFailure::not_run(ErrorCode::NotFound, message).at("path")
+        RequestError::not_run(ErrorCode::NotFound, message).at("path")
     })?;
     let allowed = match route {
-        CallerRoute::Health | CallerRoute::Ready | CallerRoute::Models | CallerRoute::Model(_) => {
-            Method::GET
-        }
-        CallerRoute::Chat | CallerRoute::Completion | CallerRoute::Service { .. } => Method::POST,
+        Route::Health | Route::Ready | Route::Models | Route::Model(_) => Method::GET,
+        Route::Chat | Route::Completion | Route::Service { .. } => Method::POST,
     };
     if *method == allowed {
         return Ok(route);
     }
     let message = format!("{path} takes {allowed} only");
-    let failure = CallerFailure::not_run(ErrorCode::MethodNotAllowed, message);
-    Err(failure.at("method").allow(allowed))
+    let error = RequestError::not_run(ErrorCode::MethodNotAllowed, message);
+    Err(error.at("method").allow(allowed))
 }
 
-fn known_path(path: &str) -> Option<CallerRoute<'_>> {
-    if let Some(rest) = path.strip_prefix(SERVICES) {
+fn match_path(path: &str) -> Option<Route<'_>> {
+    if let Some(rest) = path.strip_prefix(SERVICES_PREFIX) {
         let (name, call) = rest.split_once('/')?;
-        return Some(CallerRoute::Service { name, call });
+        return Some(Route::Service { name, call });
     }
-    if let Some(name) = path.strip_prefix(MODELS) {
-        return Some(CallerRoute::Model(name));
+    if let Some(name) = path.strip_prefix(MODELS_PREFIX) {
+        return Some(Route::Model(name));
     }
     match path {
-        "/healthz" => Some(CallerRoute::Health),
-        "/readyz" => Some(CallerRoute::Ready),
-        "/v1/models" => Some(CallerRoute::Models),
-        "/v1/chat/completions" => Some(CallerRoute::Chat),
-        "/v1/completions" => Some(CallerRoute::Completion),
+        "/healthz" => Some(Route::Health),
+        "/readyz" => Some(Route::Ready),
+        "/v1/models" => Some(Route::Models),
+        "/v1/chat/completions" => Some(Route::Chat),
+        "/v1/completions" => Some(Route::Completion),
         _ => None,
     }
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -16,19 +16,19 @@
 use wire::caller::ErrorCode;
 use wire::openai::{ChatRequest, CompletionRequest};
 
-use crate::answer::{CompletionCall, answer_completion};
 use crate::auth::authenticate;
-use crate::call::CallerCall;
+use crate::completion_handler::{CompletionContext, handle_completion};
 use crate::context::EntryContext;
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
+use crate::generation::CompletionParams;
 use crate::models::{list_models, show_model};
-use crate::order::CompletionAsk;
-use crate::routes::{CallerRoute, find_route};
-use crate::services::{ServiceDispatcher, find_call};
+use crate::request_head::RequestHead;
+use crate::routes::{Route, find_route};
+use crate::services::{ServiceDispatcher, resolve_call};
 use crate::shutdown::ShutdownHandle;
 
 /// When to come back to a node that does not know its configuration yet, or that stops.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The callers' listener.
 #[derive(Debug)]
@@ -54,32 +54,32 @@
 
     async fn route(
         &self,
-        call: &CallerCall,
+        call: &RequestHead,
         body: impl RequestBody,
-    ) -> Result<WebResponse, CallerFailure> {
+    ) -> Result<WebResponse, RequestError> {
         let route = find_route(&call.method, &call.path)?;
         let view = Arc::clone(&self.context.config.borrow());
         match route {
-            CallerRoute::Health => return Ok(text_response(StatusCode::OK, "live\n")),
-            CallerRoute::Ready => return self.ready(&view),
+            Route::Health => return Ok(text_response(StatusCode::OK, "live\n")),
+            Route::Ready => return self.ready(&view),
             _ => {}
         }
-        known_config(&view)?;
+        require_current_config(&view)?;
         let customer = authenticate(&view, &call.headers)?;
         match route {
-            CallerRoute::Health | CallerRoute::Ready => self.ready(&view),
-            CallerRoute::Models => Ok(list_models(customer)),
-            CallerRoute::Model(name) => show_model(customer, name),
-            CallerRoute::Chat => {
+            Route::Health | Route::Ready => self.ready(&view),
+            Route::Models => Ok(list_models(customer)),
+            Route::Model(name) => show_model(customer, name),
+            Route::Chat => {
                 let body: ChatRequest = self.read_json(body).await?;
                 self.complete(&view, customer, call, body.try_into()?).await
             }
-            CallerRoute::Completion => {
+            Route::Completion => {
                 let body: CompletionRequest = self.read_json(body).await?;
                 self.complete(&view, customer, call, body.try_into()?).await
             }
-            CallerRoute::Service { name, call: path } => {
-                let found = find_call(&view, customer, name, path)?;
+            Route::Service { name, call: path } => {
+                let found = resolve_call(&view, customer, name, path)?;
                 let bytes = self.read_limited(body).await?;
                 self.services.call(found, call, bytes).await
             }
@@ -90,47 +90,47 @@
         &self,
         view: &ConfigView,
         customer: &CustomerRecord,
-        call: &CallerCall,
-        ask: CompletionAsk,
-    ) -> Result<WebResponse, CallerFailure> {
-        let completion = CompletionCall {
+        call: &RequestHead,
+        ask: CompletionParams,
+    ) -> Result<WebResponse, RequestError> {
+        let completion = CompletionContext {
             view,
             customer,
             headers: &call.headers,
             request: call.request.clone(),
             ask,
         };
-        answer_completion(&self.context, completion).await
+        handle_completion(&self.context, completion).await
     }
 
-    fn ready(&self, view: &ConfigView) -> Result<WebResponse, CallerFailure> {
+    fn ready(&self, view: &ConfigView) -> Result<WebResponse, RequestError> {
         if self.context.shutdown.is_stopping() {
             let message = "this node stops";
-            let failure = CallerFailure::not_run(ErrorCode::NotReady, message);
-            return Err(failure.retry(NOT_READY_RETRY));
+            let error = RequestError::not_run(ErrorCode::NotReady, message);
+            return Err(error.retry(NOT_READY_RETRY_AFTER));
         }
-        known_config(view)?;
+        require_current_config(view)?;
         Ok(text_response(StatusCode::OK, "ready\n"))
     }
 
-    async fn read_limited(&self, body: impl RequestBody) -> Result<Bytes, CallerFailure> {
+    async fn read_limited(&self, body: impl RequestBody) -> Result<Bytes, RequestError> {
         read_body(body, self.context.settings.max_body_bytes)
             .await
-            .map_err(body_failure)
+            .map_err(body_error)
     }
 
     async fn read_json<R: serde::de::DeserializeOwned>(
         &self,
         body: impl RequestBody,
-    ) -> Result<R, CallerFailure> {
+    ) -> Result<R, RequestError> {
         let bytes = self.read_limited(body).await?;
-        parse_json(&bytes).map_err(body_failure)
+        parse_json(&bytes).map_err(body_error)
     }
 
     /// Answers one request, whatever its body is read from.
-    pub async fn answer_parts<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
+    pub async fn handle_request<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
         let (head, body) = request.into_parts();
-        let call = CallerCall {
+        let call = RequestHead {
             request: self.context.ids.request(),
             method: head.method,
             path: head.uri.path().to_owned(),
@@ -138,7 +138,7 @@
         };
         let mut answer = match self.route(&call, body).await {
             Ok(answer) => answer,
-            Err(failure) => self.fail(&call.request, &failure),
+            Err(error) => self.fail(&call.request, &error),
         };
         if self.context.shutdown.is_stopping() && head.version < Version::HTTP_2 {
             // The client must not send its next request on a connection that is about to close.
@@ -148,16 +148,14 @@
         answer
     }
 
-    fn fail(&self, request: &RequestId, failure: &CallerFailure) -> WebResponse {
+    fn fail(&self, request: &RequestId, error: &RequestError) -> WebResponse {
         let subject = EventSubject::request(request);
-        let code = match failure.code {
+        let code = match error.code {
             ErrorCode::Overloaded => EventCode::RequestRefused,
             _ => EventCode::RequestFailed,
         };
-        self.context
-            .recorder
-            .note(code, subject, failure.to_string());
-        failure.answer(request)
+        self.context.recorder.note(code, subject, error.to_string());
+        error.answer(request)
     }
 }
 
@@ -172,40 +170,40 @@
 {
 }
 
-fn known_config(view: &ConfigView) -> Result<(), CallerFailure> {
+fn require_current_config(view: &ConfigView) -> Result<(), RequestError> {
     if view.revision.0 > 0 && view.gate.is_open(Instant::now()) {
         return Ok(());
     }
     let message = "this node does not know the configuration in force";
-    Err(CallerFailure::not_run(ErrorCode::NotReady, message).retry(NOT_READY_RETRY))
+    Err(RequestError::not_run(ErrorCode::NotReady, message).retry(NOT_READY_RETRY_AFTER))
 }
 
 /// Place of a parse error as a caller writes it: a body that breaks off inside a field is given
 /// with that field, one that can't be read at all as a whole.
-fn body_place(path: &str) -> &str {
+fn body_param(path: &str) -> &str {
     match path.trim_end_matches(['.', '?']) {
         "" => "body",
         place => place,
     }
 }
 
-fn body_failure(error: BodyError) -> CallerFailure {
+fn body_error(error: BodyError) -> RequestError {
     let message = error.to_string();
     match error {
         BodyError::TooLarge(_) => {
-            CallerFailure::not_run(ErrorCode::BodyTooLarge, message).at("body")
+            RequestError::not_run(ErrorCode::BodyTooLarge, message).at("body")
         }
         BodyError::Broken(_) => {
-            CallerFailure::not_run(ErrorCode::InvalidRequest, message).at("body")
+            RequestError::not_run(ErrorCode::InvalidRequest, message).at("body")
         }
         BodyError::Json { place, .. } => {
-            CallerFailure::not_run(ErrorCode::InvalidRequest, message).at(body_place(&place))
+            RequestError::not_run(ErrorCode::InvalidRequest, message).at(body_param(&place))
         }
     }
 }
 
 impl<E: EngineClient, T: TableStore, S: ServiceClient> WebHandler for EntryServer<E, T, S> {
     async fn handle(&self, request: WebRequest) -> WebResponse {
-        self.answer_parts(request).await
+        self.handle_request(request).await
     }
 }
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -33,10 +33,11 @@
 use wire::caller::ErrorCode;
 
 use super::{
-    CALL_RETRY, STORE_RETRY, ServiceDispatcher, ServiceRun, answer_from_service, no_instance,
+    CALL_RETRY_AFTER, PendingCall, STORE_RETRY_AFTER, ServiceDispatcher, no_instance,
+    response_from_service,
 };
 use crate::auth::sha256_hex;
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 
 /// Time that a claimant has to record an answer, besides the service's own.
 const CLAIMANT_GRACE: Duration = Duration::from_secs(2);
@@ -53,9 +54,9 @@
 impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
     pub(super) async fn call_claimed(
         &self,
-        run: &ServiceRun,
+        run: &PendingCall,
         key: &str,
-    ) -> Result<WebResponse, CallerFailure> {
+    ) -> Result<WebResponse, RequestError> {
         if run.found.service.targets.is_empty() {
             return Err(no_instance(run));
         }
@@ -73,57 +74,58 @@
             .ledger
             .claim(claim_key.clone(), attempt, body_hash(run))
             .await
-            .map_err(|error| store_failure(&error))?;
+            .map_err(|error| store_error(&error))?;
         match claimed {
             ClaimOutcome::Granted(ticket) => {
                 self.note(EventCode::ClaimGranted, run, "");
                 self.send_claimed(run, ticket).await
             }
             ClaimOutcome::Existing(claim) => {
-                self.existing_answer(run, key, &claim_key, &claim).await
+                self.resolve_existing_claim(run, key, &claim_key, &claim)
+                    .await
             }
             ClaimOutcome::Reused => {
                 let message = "the idempotency key was used with another call or body";
-                let failure = CallerFailure::not_run(ErrorCode::KeyReused, message);
-                Err(failure.at("header idempotency-key"))
+                let error = RequestError::not_run(ErrorCode::KeyReused, message);
+                Err(error.at("header idempotency-key"))
             }
         }
     }
 
     async fn send_claimed(
         &self,
-        run: &ServiceRun,
+        run: &PendingCall,
         ticket: ClaimTicket,
-    ) -> Result<WebResponse, CallerFailure> {
+    ) -> Result<WebResponse, RequestError> {
         match self.send_once(run, &ticket).await {
             SendOutcome::Answered(answer) => {
-                self.note_settled(
+                self.record_settled(
                     run,
                     self.ledger.settle(ticket, answered_state(&answer)).await,
                 );
-                Ok(answer_from_service(&answer))
+                Ok(response_from_service(&answer))
             }
             SendOutcome::Unsent(problem) => {
-                let failure = CallerFailure::not_run(ErrorCode::TargetFailed, problem);
-                let failure = failure.retry(CALL_RETRY);
+                let error = RequestError::not_run(ErrorCode::TargetFailed, problem);
+                let error = error.retry(CALL_RETRY_AFTER);
                 match self.ledger.settle(ticket, ClaimState::NotRun).await {
                     Ok(()) => self.note(EventCode::ClaimWithdrawn, run, ""),
                     // The call was not run and never will be under this claim; only its key stays
                     // taken until the ledger has written so.
                     Err(error) => self.note(EventCode::ClaimUnknown, run, &error.to_string()),
                 }
-                Err(failure)
+                Err(error)
             }
             SendOutcome::Lost(problem) => {
                 self.note(EventCode::ClaimUnknown, run, &problem);
-                let failure = CallerFailure::unknown(ErrorCode::TargetFailed, problem);
-                Err(failure.retry(CALL_RETRY))
+                let error = RequestError::unknown(ErrorCode::TargetFailed, problem);
+                Err(error.retry(CALL_RETRY_AFTER))
             }
         }
     }
 
     /// Sends a claimed call, to the first instance that can be connected to.
-    async fn send_once(&self, run: &ServiceRun, ticket: &ClaimTicket) -> SendOutcome {
+    async fn send_once(&self, run: &PendingCall, ticket: &ClaimTicket) -> SendOutcome {
         let addresses = &run.found.service.targets;
         let mut tried = FastSet::default();
         let mut problem = "no instance can be reached".to_owned();
@@ -133,7 +135,7 @@
                 // Frozen or kept waiting for too long: the caller was told something else by now,
                 // and the ledger may clean up settled rows that are far older than a ticket.
                 self.pool
-                    .note_ended(address, Duration::ZERO, CallOutcome::Answered);
+                    .record_ended(address, Duration::ZERO, CallOutcome::Answered);
                 return SendOutcome::Unsent(
                     "the deadline passed before the call was sent".to_owned(),
                 );
@@ -146,7 +148,7 @@
                 Ok(_) => CallOutcome::Answered,
                 Err(_) => CallOutcome::Failed,
             };
-            self.pool.note_ended(address, started.elapsed(), ended);
+            self.pool.record_ended(address, started.elapsed(), ended);
             match outcome {
                 Ok(answer) => return SendOutcome::Answered(answer),
                 Err(ServiceError::ResponseLost(error)) => {
@@ -162,34 +164,34 @@
         SendOutcome::Unsent(problem)
     }
 
-    async fn existing_answer(
+    async fn resolve_existing_claim(
         &self,
-        run: &ServiceRun,
+        run: &PendingCall,
         key: &str,
         claim_key: &ClaimKey,
         claim: &CallClaim,
-    ) -> Result<WebResponse, CallerFailure> {
+    ) -> Result<WebResponse, RequestError> {
         if let ClaimState::Answered {
             status,
             content_type,
             body,
         } = &claim.state
         {
-            return Ok(answer_from_service(&ServiceResponse {
+            return Ok(response_from_service(&ServiceResponse {
                 status: StatusCode::from_u16(*status).unwrap_or(StatusCode::OK),
                 content_type: content_type.clone(),
                 body: Bytes::from(body.clone()),
             }));
         }
-        if let Some(answer) = self.look_up(run, key).await {
+        if let Some(answer) = self.look_up_execution(run, key).await {
             self.note(EventCode::ClaimFound, run, "");
             self.settle_later(claim_key, claim, answered_state(&answer));
-            return Ok(answer_from_service(&answer));
+            return Ok(response_from_service(&answer));
         }
         let message = "a call with this idempotency key may have run; it is not sent again. Ask \
                        again with the same key and body to learn of its outcome";
-        let failure = CallerFailure::unknown(ErrorCode::CallPending, message);
-        Err(failure.retry(CALL_RETRY))
+        let error = RequestError::unknown(ErrorCode::CallPending, message);
+        Err(error.retry(CALL_RETRY_AFTER))
     }
 
     /// Settles a claim by the look-up, once a claimant that lives would have settled it itself.
@@ -213,7 +215,7 @@
     /// A service that shows no execution proves nothing, since the call may still be on its way.
     /// Where several customers may call a service, their keys could be the same, and one would be
     /// told of the other's payment; the service's word counts then only when it names the customer.
-    async fn look_up(&self, run: &ServiceRun, key: &str) -> Option<ServiceResponse> {
+    async fn look_up_execution(&self, run: &PendingCall, key: &str) -> Option<ServiceResponse> {
         let lookup = LookupRequest {
             path: run.found.call.lookup.clone()?,
             key: key.to_owned(),
@@ -238,7 +240,7 @@
         None
     }
 
-    fn note_settled(&self, run: &ServiceRun, settled: Result<(), StoreError>) {
+    fn record_settled(&self, run: &PendingCall, settled: Result<(), StoreError>) {
         match settled {
             Ok(()) => self.note(EventCode::ClaimSettled, run, ""),
             Err(error) => {
@@ -250,7 +252,7 @@
 }
 
 /// Hash of the whole call, so that a key that was used for another call is noticed too.
-fn body_hash(run: &ServiceRun) -> String {
+fn body_hash(run: &PendingCall) -> String {
     let mut bytes = run.order.path.clone().into_bytes();
     bytes.push(b'\n');
     bytes.extend_from_slice(&run.order.body);
@@ -266,10 +268,10 @@
 }
 
 /// Nothing was sent without a claim, so the call was not run, whatever became of the claim.
-fn store_failure(error: &StoreError) -> CallerFailure {
+fn store_error(error: &StoreError) -> RequestError {
     let after = match error {
         StoreError::Throttled { retry_after } => *retry_after,
-        _ => STORE_RETRY,
+        _ => STORE_RETRY_AFTER,
     };
-    CallerFailure::not_run(ErrorCode::StoreUnavailable, error.to_string()).retry(after)
+    RequestError::not_run(ErrorCode::StoreUnavailable, error.to_string()).retry(after)
 }
--- a/crates/entry/src/services/repeated.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -12,8 +12,8 @@
 use web::WebResponse;
 use wire::caller::ErrorCode;
 
-use super::{CALL_RETRY, ServiceDispatcher, ServiceRun, answer_from_service, no_instance};
-use crate::failure::CallerFailure;
+use super::{CALL_RETRY_AFTER, PendingCall, ServiceDispatcher, no_instance, response_from_service};
+use crate::error::RequestError;
 
 /// Answers of an instance that another one may do better than.
 fn is_instance_failure(status: StatusCode) -> bool {
@@ -27,10 +27,10 @@
     /// A clerk's look-up must not fail because one of three instances is down, so it goes to
     /// another one. The budget keeps a service that fails as a whole from getting a multiple of
     /// its load.
-    pub(super) async fn call_repeated(
+    pub(super) async fn call_idempotent(
         &self,
-        run: &ServiceRun,
-    ) -> Result<WebResponse, CallerFailure> {
+        run: &PendingCall,
+    ) -> Result<WebResponse, RequestError> {
         let addresses = &run.found.service.targets;
         let mut tried = FastSet::default();
         let mut may_have_run = false;
@@ -53,9 +53,9 @@
                 Ok(answer) if !is_instance_failure(answer.status) => CallOutcome::Answered,
                 Ok(_) | Err(_) => CallOutcome::Failed,
             };
-            self.pool.note_ended(address, started.elapsed(), ended);
+            self.pool.record_ended(address, started.elapsed(), ended);
             if let (Ok(answer), CallOutcome::Answered) = (&outcome, ended) {
-                return Ok(answer_from_service(answer));
+                return Ok(response_from_service(answer));
             }
             may_have_run |= !matches!(&outcome, Err(ServiceError::Unsent(_)));
             let detail = match &outcome {
@@ -74,16 +74,16 @@
 fn final_answer(
     outcome: Result<ServiceResponse, ServiceError>,
     may_have_run: bool,
-) -> Result<WebResponse, CallerFailure> {
+) -> Result<WebResponse, RequestError> {
     let error = match outcome {
-        Ok(answer) => return Ok(answer_from_service(&answer)),
+        Ok(answer) => return Ok(response_from_service(&answer)),
         Err(error) => error,
     };
-    let failure = CallerFailure::not_run(ErrorCode::TargetFailed, error.to_string());
-    let failure = failure.retry(CALL_RETRY);
+    let error = RequestError::not_run(ErrorCode::TargetFailed, error.to_string());
+    let error = error.retry(CALL_RETRY_AFTER);
     Err(if may_have_run {
-        failure.maybe_run()
+        error.with_unknown_execution()
     } else {
-        failure
+        error
     })
 }
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -62,7 +62,7 @@
     }
 
     /// A call ended.
-    pub fn note_ended(&self, address: SocketAddr, elapsed: Duration, outcome: CallOutcome) {
+    pub fn record_ended(&self, address: SocketAddr, elapsed: Duration, outcome: CallOutcome) {
         let now = self.now();
         let mut state = self.state();
         if outcome == CallOutcome::Answered {
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -1,8 +1,8 @@
 //! Calls of plain services, idempotent and not.
 
 mod claimed;
+mod idempotent;
 mod instances;
-mod repeated;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use web::body::full_body;
 use wire::caller::ErrorCode;
 
-use crate::call::CallerCall;
-use crate::failure::CallerFailure;
+use crate::error::RequestError;
 use crate::headers::{idempotency_key, request_deadline};
+use crate::request_head::RequestHead;
 use crate::settings::EntrySettings;
 use instances::InstancePool;
 
 /// When to ask again for a call that failed or is not settled.
-const CALL_RETRY: Duration = Duration::from_secs(2);
+const CALL_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// When to come back while the store is down.
-const STORE_RETRY: Duration = Duration::from_secs(5);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// A call that a customer may make.
 #[derive(Debug, Clone)]
-pub struct FoundCall {
+pub struct ResolvedCall {
     /// Who calls.
     pub customer: CustomerRecord,
     /// The service.
@@ -49,15 +49,15 @@
 /// # Errors
 ///
 /// [`ErrorCode::NotFound`] or [`ErrorCode::NotGranted`], each with its place.
-pub fn find_call(
+pub fn resolve_call(
     view: &ConfigView,
     customer: &CustomerRecord,
     name: &str,
     path: &str,
-) -> Result<FoundCall, CallerFailure> {
+) -> Result<ResolvedCall, RequestError> {
     let unknown = || {
         let message = format!("there is no call {path:?} of a service {name:?}");
-        CallerFailure::not_run(ErrorCode::NotFound, message).at("path")
+        RequestError::not_run(ErrorCode::NotFound, message).at("path")
     };
     let service = view
         .services
@@ -66,7 +66,7 @@
         .ok_or_else(unknown)?;
     if !customer.services.contains(&service.name) {
         let message = format!("the customer may not call {name:?}");
-        return Err(CallerFailure::not_run(ErrorCode::NotGranted, message).at("path"));
+        return Err(RequestError::not_run(ErrorCode::NotGranted, message).at("path"));
     }
     let call = service
         .calls
@@ -77,7 +77,7 @@
         .customers
         .values()
         .filter(|other| other.services.contains(&service.name));
-    Ok(FoundCall {
+    Ok(ResolvedCall {
         customer: customer.clone(),
         service: service.clone(),
         call: call.clone(),
@@ -117,13 +117,13 @@
     ///
     /// # Errors
     ///
-    /// [`CallerFailure`].
+    /// [`RequestError`].
     pub async fn call(
         &self,
-        found: FoundCall,
-        caller: &CallerCall,
+        found: ResolvedCall,
+        caller: &RequestHead,
         body: Bytes,
-    ) -> Result<WebResponse, CallerFailure> {
+    ) -> Result<WebResponse, RequestError> {
         let deadline = request_deadline(&caller.headers, &self.settings)?;
         let key = idempotency_key(&caller.headers)?;
         let order = ServiceRequest {
@@ -133,7 +133,7 @@
             content_type: caller.headers.get(header::CONTENT_TYPE).cloned(),
             body,
         };
-        let run = ServiceRun {
+        let run = PendingCall {
             request: caller.request.clone(),
             found,
             order,
@@ -141,12 +141,12 @@
         };
         self.note(EventCode::RequestAdmitted, &run, &run.order.path);
         let answered = if run.found.call.idempotent {
-            self.call_repeated(&run).await
+            self.call_idempotent(&run).await
         } else {
             let Some(key) = key else {
                 let message = "this call may not be repeated: send an Idempotency-Key header";
-                let failure = CallerFailure::not_run(ErrorCode::KeyRequired, message);
-                return Err(failure.at("header idempotency-key"));
+                let error = RequestError::not_run(ErrorCode::KeyRequired, message);
+                return Err(error.at("header idempotency-key"));
             };
             self.call_claimed(&run, key).await
         }?;
@@ -154,7 +154,7 @@
         Ok(answered)
     }
 
-    fn note(&self, code: EventCode, run: &ServiceRun, detail: &str) {
+    fn note(&self, code: EventCode, run: &PendingCall, detail: &str) {
         let subject = EventSubject::request(&run.request).and_customer(&run.found.customer.name);
         self.recorder.note(code, subject, detail);
     }
@@ -162,26 +162,26 @@
 
 /// One call on its way.
 #[derive(Debug)]
-struct ServiceRun {
+struct PendingCall {
     request: domain::RequestId,
-    found: FoundCall,
+    found: ResolvedCall,
     order: ServiceRequest,
     deadline: std::time::Instant,
 }
 
-impl ServiceRun {
+impl PendingCall {
     fn left(&self) -> Duration {
         self.deadline
             .saturating_duration_since(std::time::Instant::now())
     }
 }
 
-fn no_instance(run: &ServiceRun) -> CallerFailure {
+fn no_instance(run: &PendingCall) -> RequestError {
     let message = format!("service {} has no instance", run.found.service.name);
-    CallerFailure::not_run(ErrorCode::NoReplica, message).retry(CALL_RETRY)
+    RequestError::not_run(ErrorCode::NoReplica, message).retry(CALL_RETRY_AFTER)
 }
 
-fn answer_from_service(answer: &ServiceResponse) -> WebResponse {
+fn response_from_service(answer: &ServiceResponse) -> WebResponse {
     let mut out = http::Response::new(full_body(answer.body.clone()));
     *out.status_mut() = answer.status;
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -6,17 +6,17 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::caller::{ERROR_EVENT, ErrorBody, RESUME_EVENT};
 
-use crate::failure::CallerFailure;
-use crate::frame::{AnswerFrame, json_event, text_event};
-use crate::progress::AnswerEnd;
+use crate::error::RequestError;
+use crate::formatter::{ResponseFormatter, json_event, text_event};
+use crate::progress::GenerationSummary;
 use crate::token::{ScopeSigner, StreamOffset};
 
 /// The caller closed its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct ClientDisconnected;
 
 /// Takes the tokens of an answer.
-pub trait AnswerSink: Send + Sync {
+pub trait ResponseSink: Send + Sync {
     /// A new attempt feeds the answer from here on.
     fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset);
 
@@ -24,12 +24,12 @@
     ///
     /// # Errors
     ///
-    /// [`CallerGone`].
+    /// [`ClientDisconnected`].
     fn token(
         &mut self,
         text: String,
         offset: StreamOffset,
-    ) -> impl Future<Output = Result<(), CallerGone>> + Send;
+    ) -> impl Future<Output = Result<(), ClientDisconnected>> + Send;
 
     /// Completes when the caller is gone.
     fn gone(&self) -> impl Future<Output = ()> + Send;
@@ -45,10 +45,10 @@
     pub text: String,
 }
 
-impl AnswerSink for TextSink {
+impl ResponseSink for TextSink {
     fn begin(&mut self, _: ScopeSigner, _: StreamOffset) {}
 
-    async fn token(&mut self, text: String, _: StreamOffset) -> Result<(), CallerGone> {
+    async fn token(&mut self, text: String, _: StreamOffset) -> Result<(), ClientDisconnected> {
         self.text.push_str(&text);
         Ok(())
     }
@@ -64,7 +64,7 @@
 }
 
 /// Whether a stream can be answered with a head and events, or with an error.
-pub type HeadSender = oneshot::Sender<Result<(), CallerFailure>>;
+pub type HeadSender = oneshot::Sender<Result<(), RequestError>>;
 
 /// Sends the events of a stream.
 ///
@@ -72,7 +72,7 @@
 /// an error with its status, which clients and balancers understand better than an event.
 #[derive(Debug)]
 pub struct EventSink {
-    frame: AnswerFrame,
+    frame: ResponseFormatter,
     events: mpsc::Sender<Bytes>,
     head: Option<HeadSender>,
     signer: Option<ScopeSigner>,
@@ -85,7 +85,7 @@
     /// A sink for a stream; a caller that goes on with an earlier one got its opening already.
     #[must_use]
     pub fn new(
-        frame: AnswerFrame,
+        frame: ResponseFormatter,
         events: mpsc::Sender<Bytes>,
         head: HeadSender,
         include_usage: bool,
@@ -113,14 +113,17 @@
         Some(signer.sign(self.offset))
     }
 
-    async fn send(&mut self, event: Bytes) -> Result<(), CallerGone> {
+    async fn send(&mut self, event: Bytes) -> Result<(), ClientDisconnected> {
         if let Some(head) = self.head.take() {
-            head.send(Ok(())).map_err(|_| CallerGone)?;
+            head.send(Ok(())).map_err(|_| ClientDisconnected)?;
         }
-        self.events.send(event).await.map_err(|_| CallerGone)
+        self.events
+            .send(event)
+            .await
+            .map_err(|_| ClientDisconnected)
     }
 
-    async fn open(&mut self, id: Option<&str>) -> Result<(), CallerGone> {
+    async fn open(&mut self, id: Option<&str>) -> Result<(), ClientDisconnected> {
         if self.opened {
             return Ok(());
         }
@@ -135,8 +138,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallerGone`].
-    pub async fn finish(&mut self, end: &AnswerEnd) -> Result<(), CallerGone> {
+    /// [`ClientDisconnected`].
+    pub async fn finish(&mut self, end: &GenerationSummary) -> Result<(), ClientDisconnected> {
         let id = self.id();
         self.open(id.as_deref()).await?;
         let finish = self.frame.finish(end);
@@ -150,9 +153,9 @@
 
     /// Ends the stream in an error: as the answer itself before the first event, else as an event
     /// whose id still allows to go on.
-    pub async fn fail(&mut self, failure: CallerFailure, body: &ErrorBody) {
+    pub async fn fail(&mut self, error: RequestError, body: &ErrorBody) {
         if let Some(head) = self.head.take() {
-            let _ = head.send(Err(failure));
+            let _ = head.send(Err(error));
             return;
         }
         let id = self.id();
@@ -170,13 +173,17 @@
     }
 }
 
-impl AnswerSink for EventSink {
+impl ResponseSink for EventSink {
     fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
         self.signer = Some(signer);
         self.offset = offset;
     }
 
-    async fn token(&mut self, text: String, offset: StreamOffset) -> Result<(), CallerGone> {
+    async fn token(
+        &mut self,
+        text: String,
+        offset: StreamOffset,
+    ) -> Result<(), ClientDisconnected> {
         if !self.opened {
             let id = self.id();
             self.open(id.as_deref()).await?;
--- a/crates/entry/tests/request_path/attempt_faults.rs
+++ b/crates/entry/tests/request_path/attempt_faults.rs
@@ -78,7 +78,7 @@
 
 /// Engines take the request and break. It may have run, and the caller must not be told otherwise.
 #[tokio::test]
-async fn maybe_run() {
+async fn with_unknown_execution() {
     let entry = FakeEntry::new();
     entry.engine.script(&[EngineScript::BreakAfter(0); 40]);
     let answer = entry.post(TEXT, &[], &body(false)).await;
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -231,7 +231,7 @@
 
     /// Sends a request as it is.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> FakeAnswer {
-        read_answer(self.server.answer_parts(request).await).await
+        read_answer(self.server.handle_request(request).await).await
     }
 
     /// Posts a body as the customer `traders`.
--- a/crates/entry/tests/stream_matching.rs
+++ b/crates/entry/tests/stream_validation.rs
@@ -2,7 +2,7 @@
 
 use domain::{AttemptId, IncarnationNumber};
 use entry::digest::TextDigest;
-use entry::progress::{AnswerProgress, MatchFault, MatchStep, StreamMatcher};
+use entry::progress::{ResponseProgress, StreamAction, StreamError, StreamValidator};
 use entry::token::StreamOffset;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use wire::engine::StreamEvent;
@@ -90,16 +90,19 @@
     number: usize,
     length: u32,
     fates: &[EventFate],
-    progress: &mut AnswerProgress,
+    progress: &mut ResponseProgress,
     caller: &mut Caller,
 ) -> AttemptOutcome {
     let incarnation = number as u64 + 1;
     let own = IncarnationNumber(incarnation);
-    let (mut matcher, from) = if progress.known_tokens().is_some() {
+    let (mut validator, from) = if progress.delivered_tokens().is_some() {
         let from = progress.offset().count;
-        (StreamMatcher::behind(attempt(number), own, progress), from)
+        (
+            StreamValidator::continuing(attempt(number), own, progress),
+            from,
+        )
     } else {
-        (StreamMatcher::again(attempt(number), own), 0)
+        (StreamValidator::regenerating(attempt(number), own), 0)
     };
     let mut events = Vec::new();
     for index in from..=length {
@@ -136,15 +139,15 @@
         }
     }
     for event in events {
-        match matcher.take(progress, event) {
-            MatchStep::Deliver(text) => caller.text.push(text),
-            MatchStep::Drop | MatchStep::Known => {}
-            MatchStep::Finished(end) => {
+        match validator.accept(progress, event) {
+            StreamAction::Deliver(text) => caller.text.push(text),
+            StreamAction::Ignore | StreamAction::AlreadyDelivered => {}
+            StreamAction::Finished(end) => {
                 assert_eq!(end.count, length);
                 caller.finished = true;
                 return AttemptOutcome::Finished;
             }
-            MatchStep::Fault(_) => return AttemptOutcome::Left,
+            StreamAction::Fail(_) => return AttemptOutcome::Left,
         }
     }
     AttemptOutcome::Left
@@ -165,7 +168,7 @@
     fn property(length: u8, attempts: Vec<Vec<EventFate>>) -> TestResult {
         let length = u32::from(length % 24);
         let whole = whole_answer(length);
-        let mut progress = AnswerProgress::default();
+        let mut progress = ResponseProgress::default();
         let mut caller = Caller::default();
         for (number, fates) in attempts.iter().enumerate() {
             if let AttemptOutcome::Finished =
@@ -203,7 +206,7 @@
         let have = u32::from(have) % (length + 1);
         let whole = whole_answer(length);
         let offset = offset_of(&whole[..have as usize]);
-        let mut progress = AnswerProgress::resumed(offset);
+        let mut progress = ResponseProgress::resumed(offset);
         let mut caller = Caller::default();
         for (number, fates) in attempts.iter().enumerate() {
             if let AttemptOutcome::Finished =
@@ -239,26 +242,26 @@
 #[test]
 fn other_text() {
     let offset = offset_of(&["other ".to_owned(), word(1)]);
-    let mut progress = AnswerProgress::resumed(offset);
-    let mut matcher = StreamMatcher::again(attempt(0), IncarnationNumber(1));
-    let first = matcher.take(&mut progress, token(0, 1, 0, word(0)));
-    assert_eq!(first, MatchStep::Known);
-    let second = matcher.take(&mut progress, token(0, 1, 1, word(1)));
-    assert_eq!(second, MatchStep::Fault(MatchFault::TextDiffers));
+    let mut progress = ResponseProgress::resumed(offset);
+    let mut validator = StreamValidator::regenerating(attempt(0), IncarnationNumber(1));
+    let first = validator.accept(&mut progress, token(0, 1, 0, word(0)));
+    assert_eq!(first, StreamAction::AlreadyDelivered);
+    let second = validator.accept(&mut progress, token(0, 1, 1, word(1)));
+    assert_eq!(second, StreamAction::Fail(StreamError::ContentMismatch));
 }
 
 /// A final mark comes though tokens are missing. Taken for the end, the caller would believe that
 /// half an answer is the whole.
 #[test]
 fn early_mark() {
-    let mut progress = AnswerProgress::default();
-    let mut matcher = StreamMatcher::behind(attempt(0), IncarnationNumber(1), &progress);
-    let first = matcher.take(&mut progress, token(0, 1, 0, word(0)));
-    assert_eq!(first, MatchStep::Deliver(word(0)));
+    let mut progress = ResponseProgress::default();
+    let mut validator = StreamValidator::continuing(attempt(0), IncarnationNumber(1), &progress);
+    let first = validator.accept(&mut progress, token(0, 1, 0, word(0)));
+    assert_eq!(first, StreamAction::Deliver(word(0)));
     for count in [0, 2, 9] {
-        let end = matcher.take(&mut progress, done(0, 1, count));
+        let end = validator.accept(&mut progress, done(0, 1, count));
         assert!(
-            matches!(end, MatchStep::Fault(MatchFault::WrongCount { .. })),
+            matches!(end, StreamAction::Fail(StreamError::CountMismatch { .. })),
             "{end:?}"
         );
     }
