--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -1,9 +1,10 @@
-//! This process's share of the table's limits, and a circuit that opens while the table is down.
+//! Rate limits for this process's calls to the table, and a circuit breaker for outages.
 //!
-//! The table takes several hundred writes and about two thousand reads a second from all nodes
-//! together. Without a share in the code, one busy node would take what the others' leases and
-//! claims need, and after an outage everybody's backlog would come at once and bring the table
-//! down again. Seen as leases that are lost all over the system whenever one node polls hard.
+//! The table accepts several hundred writes and about two thousand reads a second from all nodes
+//! together. Without a limit per node, a busy node would use up the capacity that the leases and
+//! claims of others need, and leases would be lost throughout the system whenever one node polls
+//! heavily. After an outage the backlogs of all nodes would arrive at once and overload the table
+//! again.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -15,17 +16,17 @@
 use crate::limits::BudgetSettings;
 use crate::table::{CommitOutcome, RowRead, TableRow, TableStore, WriteBatch};
 
-/// Least reads a second of a node: it must be able to follow configuration and replicas.
-const LEAST_READS: u32 = 10;
+/// Minimum reads a second of a node, enough to poll the configuration and the replicas.
+const MIN_READS_PER_SECOND: u32 = 10;
 
-/// Least transactions a second of a node: it must be able to renew a lease and to claim.
-const LEAST_WRITES: u32 = 3;
+/// Minimum transactions a second of a node, enough to renew a lease and to claim calls.
+const MIN_WRITES_PER_SECOND: u32 = 3;
 
-/// Who goes first when the budget is short.
+/// Priority of a call when the budget is short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPriority {
-    /// Operators' amendments: rare, and never refused for an open circuit, because the person
-    /// behind one must not guess whether to repeat it.
+    /// Operators' amendments. They are rare and sent even while the circuit is open, so that the
+    /// operator gets a definite result and need not guess whether to repeat the amendment.
     Operator,
     /// Claims and leases.
     High,
@@ -33,18 +34,18 @@
     Normal,
 }
 
-/// A bucket of tokens that fills at a steady rate.
+/// A token bucket that is refilled at a constant rate.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: f64,
     capacity: f64,
     reserve: f64,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket; `rate` is in tokens a second.
     #[must_use]
     pub fn new(rate: u32, settings: BudgetSettings, now: Instant) -> Self {
         let mut bucket = Self {
@@ -52,14 +53,14 @@
             capacity: 0.0,
             reserve: 0.0,
             tokens: 0.0,
-            filled: now,
+            refilled: now,
         };
         bucket.set_rate(rate, settings);
         bucket.tokens = bucket.capacity;
         bucket
     }
 
-    /// Changes the rate; what is in the bucket stays, up to the new size.
+    /// Changes the rate. The tokens in the bucket stay, up to the new capacity.
     pub fn set_rate(&mut self, rate: u32, settings: BudgetSettings) {
         let burst = Duration::from_millis(settings.burst_ms).as_secs_f64();
         self.rate = f64::from(rate.max(1));
@@ -68,25 +69,26 @@
         self.tokens = self.tokens.min(self.capacity);
     }
 
-    /// Takes a token, or says how long to wait for one.
+    /// Takes a token.
     ///
     /// # Errors
     ///
-    /// The time until there may be one.
+    /// The time to wait until a token may be available.
     pub fn take(&mut self, priority: CallPriority, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.capacity);
-        self.filled = self.filled.max(now);
-        // At most what leaves room for one token, or routine calls of a small budget would starve.
-        let kept = match priority {
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.capacity);
+        self.refilled = self.refilled.max(now);
+        // The reserve leaves at least one token, otherwise normal calls of a small budget would
+        // starve.
+        let reserved = match priority {
             CallPriority::Operator | CallPriority::High => 0.0,
             CallPriority::Normal => self.reserve.min(self.capacity - 1.0),
         };
-        if self.tokens - kept >= 1.0 {
+        if self.tokens - reserved >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        let missing = 1.0 - (self.tokens - kept);
+        let missing = 1.0 - (self.tokens - reserved);
         Err(Duration::from_secs_f64(missing / self.rate))
     }
 }
@@ -99,7 +101,7 @@
     settings: BudgetSettings,
 }
 
-/// A table within a budget. Clones share the budget, whatever their priority.
+/// Limits the calls to a table. Clones share the budget, whatever their priority.
 #[derive(Debug, Clone)]
 pub struct BudgetedTable<T> {
     table: T,
@@ -108,7 +110,8 @@
 }
 
 impl<T: TableStore> BudgetedTable<T> {
-    /// A table within a budget, for routine calls.
+    /// Limits calls to a table, with normal priority. Until [`Self::set_node_count`] is called,
+    /// the node may use half of the limits.
     #[must_use]
     pub fn new(table: T, settings: BudgetSettings) -> Self {
         let now = Instant::now();
@@ -129,13 +132,13 @@
         }
     }
 
-    /// The same table and budget for urgent calls.
+    /// Returns the same table and budget for claims and leases.
     #[must_use]
     pub fn with_high_priority(&self) -> Self {
         self.with_priority(CallPriority::High)
     }
 
-    /// The same table and budget for operators' amendments.
+    /// Returns the same table and budget for operators' amendments.
     #[must_use]
     pub fn with_operator_priority(&self) -> Self {
         self.with_priority(CallPriority::Operator)
@@ -148,24 +151,25 @@
         }
     }
 
-    /// Shares the limits among so many nodes, this one included.
+    /// Divides the limits by the number of nodes, including this one.
     pub fn set_node_count(&self, nodes: usize) {
         let settings = self.shared.settings;
-        let reads = node_share(settings.reads_a_second, settings, nodes).max(LEAST_READS);
-        let writes = node_share(settings.writes_a_second, settings, nodes).max(LEAST_WRITES);
+        let reads = node_share(settings.reads_a_second, settings, nodes).max(MIN_READS_PER_SECOND);
+        let writes =
+            node_share(settings.writes_a_second, settings, nodes).max(MIN_WRITES_PER_SECOND);
         lock(&self.shared.reads).set_rate(reads, settings);
         lock(&self.shared.writes).set_rate(writes, settings);
     }
 
-    /// Whether calls pass at the moment.
+    /// Returns the state of the circuit breaker.
     #[must_use]
     pub fn circuit(&self) -> CircuitState {
         lock(&self.shared.circuit).state(Instant::now())
     }
 
-    /// Waits for the budget, unless the circuit is open.
+    /// Waits for a token, unless the circuit is open or the wait would exceed the timeout.
     async fn admit(&self, bucket: &Mutex<TokenBucket>) -> Result<(), StoreError> {
-        let limit = Instant::now() + Duration::from_millis(self.shared.settings.wait_ms);
+        let deadline = Instant::now() + Duration::from_millis(self.shared.settings.wait_ms);
         loop {
             let now = Instant::now();
             if self.priority != CallPriority::Operator {
@@ -173,14 +177,14 @@
             }
             let taken = lock(bucket).take(self.priority, now);
             let Err(wait) = taken else { return Ok(()) };
-            if now + wait > limit {
+            if now + wait > deadline {
                 return Err(StoreError::Throttled { retry_after: wait });
             }
             tokio::time::sleep(wait).await;
         }
     }
 
-    fn note<R>(&self, result: Result<R, StoreError>) -> Result<R, StoreError> {
+    fn record<R>(&self, result: Result<R, StoreError>) -> Result<R, StoreError> {
         let mut circuit = lock(&self.shared.circuit);
         match &result {
             Ok(_) => circuit.record_success(),
@@ -190,7 +194,7 @@
     }
 }
 
-/// A node's share of a limit; never more than half, so that no single node takes all.
+/// Returns a node's share of a limit; at most half, so that no single node uses all of it.
 fn node_share(limit: u32, settings: BudgetSettings, nodes: usize) -> u32 {
     let nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
     let share = limit.saturating_mul(settings.oversubscription) / nodes;
@@ -204,12 +208,12 @@
 impl<T: TableStore> TableStore for BudgetedTable<T> {
     async fn read(&self, key: &str, known: Option<RowVersion>) -> Result<RowRead, StoreError> {
         self.admit(&self.shared.reads).await?;
-        self.note(self.table.read(key, known).await)
+        self.record(self.table.read(key, known).await)
     }
 
     async fn scan(&self, prefix: &str) -> Result<Vec<TableRow>, StoreError> {
         self.admit(&self.shared.reads).await?;
-        self.note(self.table.scan(prefix).await)
+        self.record(self.table.scan(prefix).await)
     }
 
     async fn scan_page(
@@ -219,11 +223,11 @@
         limit: usize,
     ) -> Result<Vec<TableRow>, StoreError> {
         self.admit(&self.shared.reads).await?;
-        self.note(self.table.scan_page(prefix, after, limit).await)
+        self.record(self.table.scan_page(prefix, after, limit).await)
     }
 
     async fn commit(&self, batch: &WriteBatch) -> Result<CommitOutcome, StoreError> {
         self.admit(&self.shared.writes).await?;
-        self.note(self.table.commit(batch).await)
+        self.record(self.table.commit(batch).await)
     }
 }
--- a/crates/platform/src/circuit.rs
+++ b/crates/platform/src/circuit.rs
@@ -1,49 +1,49 @@
-//! Whether calls to the store pass at the moment.
+//! A circuit breaker for calls to the store.
 
 use std::time::{Duration, Instant};
 
 use crate::error::StoreError;
 use crate::limits::BudgetSettings;
 
-/// Whether calls pass.
+/// State of a circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CircuitState {
-    /// They pass.
+    /// Calls are sent.
     Closed,
-    /// They are refused at once.
+    /// Calls are refused at once, without being sent.
     Open,
-    /// One passes, to find out.
+    /// One call is sent to check whether the store works again.
     HalfOpen,
 }
 
-/// Refuses calls for a while after several failures in a row.
+/// Refuses calls for a while after several consecutive failures.
 ///
-/// A caller that waits for the timeout of a store that is down stands at the counter for seconds
-/// to hear what is known already. And when the store returns, 410 nodes must not come back in the
-/// same moment: each opens for a time of its own, then sends one call to find out.
+/// Otherwise callers would wait seconds for the timeout of a store that is known to be down. When
+/// the store recovers, 410 nodes must not send their calls at the same moment, so each circuit
+/// breaker stays open for a random time and then sends one call as a check.
 #[derive(Debug, Clone)]
 pub struct CircuitBreaker {
     settings: BudgetSettings,
-    failures: u32,
-    openings: u32,
+    consecutive_failures: u32,
+    consecutive_opens: u32,
     open_until: Option<Instant>,
     probe_until: Option<Instant>,
 }
 
 impl CircuitBreaker {
-    /// A closed circuit.
+    /// Creates a closed circuit breaker.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
-            failures: 0,
-            openings: 0,
+            consecutive_failures: 0,
+            consecutive_opens: 0,
             open_until: None,
             probe_until: None,
         }
     }
 
-    /// Whether calls pass at a moment.
+    /// Returns the state at `now`.
     #[must_use]
     pub fn state(&self, now: Instant) -> CircuitState {
         match self.open_until {
@@ -53,56 +53,58 @@
         }
     }
 
-    /// Lets a call pass, or refuses it. A call that was let pass to find out, and never came back,
-    /// holds up the next one for the longest opening.
+    /// Admits a call, or refuses it. If the check call of a half-open circuit never reports a
+    /// result, the next one is admitted after the maximum open time.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`]: nothing was sent.
+    /// [`StoreError::Unavailable`]; the call must not be sent.
     pub fn admit(&mut self, now: Instant) -> Result<(), StoreError> {
         match self.state(now) {
             CircuitState::Closed => Ok(()),
             CircuitState::HalfOpen if self.probe_until.is_none_or(|until| now >= until) => {
-                let longest = Duration::from_millis(self.settings.longest_open_ms);
-                self.probe_until = Some(now + longest);
+                let max_open = Duration::from_millis(self.settings.longest_open_ms);
+                self.probe_until = Some(now + max_open);
                 Ok(())
             }
             CircuitState::Open | CircuitState::HalfOpen => Err(StoreError::Unavailable(
-                "it failed several times in a row".to_owned(),
+                "several consecutive calls failed".to_owned(),
             )),
         }
     }
 
-    /// Notes an answer.
+    /// Records a response of the store and closes the circuit.
     pub fn record_success(&mut self) {
-        self.failures = 0;
-        self.openings = 0;
+        self.consecutive_failures = 0;
+        self.consecutive_opens = 0;
         self.open_until = None;
         self.probe_until = None;
     }
 
-    /// Notes a failure; `chance` from 0 to 1 spreads the opening.
+    /// Records a failure. `jitter`, from 0 to 1, shortens the open time by up to a half.
     ///
-    /// An answer that makes no sense is an answer, and a refusal for the limit is no sign that the
-    /// store is down.
-    pub fn record_failure(&mut self, error: &StoreError, now: Instant, chance: f64) {
+    /// A malformed response or a refusal for the rate limit is not counted, since it doesn't mean
+    /// that the store is down.
+    pub fn record_failure(&mut self, error: &StoreError, now: Instant, jitter: f64) {
         match error {
             StoreError::Malformed(_) | StoreError::Throttled { .. } => return,
             StoreError::Unavailable(_) | StoreError::ResponseLost(_) => {}
         }
-        self.failures = self.failures.saturating_add(1);
-        if self.failures < self.settings.open_after {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures < self.settings.open_after {
             return;
         }
-        let tried = self.state(now) != CircuitState::Open;
-        if !tried {
+        let was_admitted = self.state(now) != CircuitState::Open;
+        if !was_admitted {
             return;
         }
-        let longest = Duration::from_millis(self.settings.longest_open_ms);
-        let doubled = 1_u32.checked_shl(self.openings.min(16)).unwrap_or(u32::MAX);
-        let whole = Duration::from_millis(self.settings.first_open_ms).saturating_mul(doubled);
-        let open = whole.min(longest).mul_f64(1.0 - chance / 2.0);
-        self.openings = self.openings.saturating_add(1);
+        let max_open = Duration::from_millis(self.settings.longest_open_ms);
+        let factor = 1_u32
+            .checked_shl(self.consecutive_opens.min(16))
+            .unwrap_or(u32::MAX);
+        let backoff = Duration::from_millis(self.settings.first_open_ms).saturating_mul(factor);
+        let open = backoff.min(max_open).mul_f64(1.0 - jitter / 2.0);
+        self.consecutive_opens = self.consecutive_opens.saturating_add(1);
         self.open_until = Some(now + open);
         self.probe_until = None;
     }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,29 +1,29 @@
-//! Failures of the platform's store.
+//! Errors of the platform's store.
 
 use std::time::Duration;
 
-/// Why a call to the store gave no answer to work with.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing took effect: no connection, or the store said so.
-    #[error("the store can't be reached: {0}")]
+    /// Not applied: there is no connection, or the store reported that it is unavailable.
+    #[error("the store is unavailable: {0}")]
     Unavailable(String),
-    /// Nothing took effect: the store is over its limit.
-    #[error("the store is over its limit")]
+    /// Not applied: the rate limit of the store or of this node is exceeded.
+    #[error("the store's rate limit is exceeded")]
     Throttled {
-        /// When to come back.
+        /// Time to wait before the next try.
         retry_after: Duration,
     },
-    /// The answer is lost; a write may have taken effect or may still do so.
-    #[error("the store's answer is lost: {0}")]
+    /// The response was lost; a write may have been applied or may still be.
+    #[error("the store's response was lost: {0}")]
     ResponseLost(String),
-    /// The store answered something that this program does not understand.
-    #[error("the store's answer can't be used: {0}")]
+    /// The store's response has an unexpected status or can't be decoded.
+    #[error("the store's response is malformed: {0}")]
     Malformed(String),
 }
 
 impl StoreError {
-    /// Whether it is certain that a write did not and will not take effect.
+    /// Returns whether a write certainly was not applied and will not be.
     #[must_use]
     pub fn is_not_applied(&self) -> bool {
         matches!(self, Self::Unavailable(_) | Self::Throttled { .. })
--- a/crates/platform/src/hostlist.rs
+++ b/crates/platform/src/hostlist.rs
@@ -1,4 +1,4 @@
-//! Port to the platform's lagging list of hosts.
+//! Interface to the platform's host list, which lags behind the actual state.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -7,33 +7,33 @@
 
 use crate::error::StoreError;
 
-/// One host of the list.
+/// An entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostEntry {
-    /// The host.
+    /// Id of the host.
     pub host: HostId,
-    /// Its engine's address.
+    /// Address of the host's engine.
     pub address: SocketAddr,
-    /// Its fabric domain.
+    /// Fabric domain, within which a replica's hosts must lie.
     pub fabric: FabricId,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionId,
-    /// Whether it is about to leave.
+    /// Whether the host is about to leave the list.
     pub leaving: bool,
 }
 
-/// The list at some moment in the past.
+/// The host list at some moment in the past.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostListing {
-    /// Raised at every change.
+    /// Revision of the list, which increases with every change.
     pub revision: u64,
-    /// The hosts.
+    /// All hosts of the list.
     pub hosts: Vec<HostEntry>,
 }
 
-/// The host list.
+/// A source of the host list.
 pub trait HostListSource: Clone + Send + Sync + 'static {
     /// Reads the list.
     ///
@@ -42,8 +42,8 @@
     /// [`StoreError`].
     fn list(&self) -> impl Future<Output = Result<HostListing, StoreError>> + Send;
 
-    /// Reads the list unless it still has the revision `known`; none when it has. A list that
-    /// knows no conditional reads answers in full every time.
+    /// Reads the list, or returns none if its revision is still `known`. A source without
+    /// conditional reads returns the whole list every time.
     ///
     /// # Errors
     ///
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's services over HTTP.
+//! HTTP clients of the platform's services.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,16 +23,16 @@
     WriteBatch,
 };
 
-/// Rows of one page of a scan.
-const SCAN_PAGE: usize = 1_000;
+/// Rows a page of a scan.
+const SCAN_PAGE_ROWS: usize = 1_000;
 
-/// When to come back after a refusal that names no time.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+/// Delay before the next try when a 429 response has no `Retry-After` header.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Largest row or object that is read, in bytes.
-const MAX_VALUE_BYTES: usize = 64 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Where a service of the platform is and how long an answer may take.
+/// Address and timeout of a service of the platform.
 #[derive(Debug, Clone)]
 pub struct ServiceEndpoint {
     client: WebClient,
@@ -41,7 +41,7 @@
 }
 
 impl ServiceEndpoint {
-    /// An endpoint.
+    /// Creates an endpoint; `timeout` covers a whole call, including the response body.
     #[must_use]
     pub fn new(client: WebClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -56,18 +56,18 @@
         request: Request<web::WebBody>,
     ) -> Result<::http::Response<Bytes>, StoreError> {
         let call = async {
-            let answer = self
+            let response = self
                 .client
                 .send(self.address, request, self.timeout)
                 .await?;
-            let (head, body) = answer.into_parts();
-            let bytes = read_body(body, MAX_VALUE_BYTES)
+            let (head, body) = response.into_parts();
+            let bytes = read_body(body, MAX_BODY_BYTES)
                 .await
                 .map_err(|error| ClientError::Broken(self.address, error.to_string()))?;
             Ok::<_, ClientError>(::http::Response::from_parts(head, bytes))
         };
         match tokio::time::timeout(self.timeout, call).await {
-            Ok(Ok(answer)) => refuse_status(answer),
+            Ok(Ok(response)) => check_status(response),
             Ok(Err(error)) => Err(StoreError::from(error)),
             Err(_) => Err(StoreError::from(ClientError::TimedOut(self.address))),
         }
@@ -75,32 +75,35 @@
 
     async fn get_json<A: serde::de::DeserializeOwned>(&self, path: &str) -> Result<A, StoreError> {
         let request = json_request(Method::GET, self.address, path, NO_BODY)?;
-        let answer = self.send(request).await?;
-        match answer.status() {
-            StatusCode::OK => parse_answer(answer.body()),
-            status => Err(StoreError::Malformed(format!("status {status} to a read"))),
+        let response = self.send(request).await?;
+        match response.status() {
+            StatusCode::OK => parse_body(response.body()),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a read"
+            ))),
         }
     }
 }
 
-/// Body of a request without one.
+/// A missing body, with a type that can be serialized.
 const NO_BODY: Option<&()> = None;
 
-fn refuse_status(answer: ::http::Response<Bytes>) -> Result<::http::Response<Bytes>, StoreError> {
-    match answer.status() {
+/// Turns the statuses that any request may get into errors.
+fn check_status(response: ::http::Response<Bytes>) -> Result<::http::Response<Bytes>, StoreError> {
+    match response.status() {
         StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable(
-            "the service says that it is down".to_owned(),
+            "the service responded with 503 Service Unavailable".to_owned(),
         )),
         StatusCode::TOO_MANY_REQUESTS => {
-            let retry_after = answer
+            let retry_after = response
                 .headers()
                 .get(header::RETRY_AFTER)
                 .and_then(|value| value.to_str().ok())
                 .and_then(|text| text.parse().ok())
-                .map_or(DEFAULT_RETRY, Duration::from_secs);
+                .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
             Err(StoreError::Throttled { retry_after })
         }
-        _ => Ok(answer),
+        _ => Ok(response),
     }
 }
 
@@ -118,14 +121,14 @@
     }
 }
 
-/// Client of the table service.
+/// Client of the table service. Row versions travel as ETags.
 #[derive(Debug, Clone)]
 pub struct HttpTable {
     endpoint: ServiceEndpoint,
 }
 
 impl HttpTable {
-    /// A client.
+    /// Creates a client of the service at `endpoint`.
     #[must_use]
     pub fn new(endpoint: ServiceEndpoint) -> Self {
         Self { endpoint }
@@ -141,12 +144,14 @@
         {
             request.headers_mut().insert(header::IF_NONE_MATCH, value);
         }
-        let answer = self.endpoint.send(request).await?;
-        match answer.status() {
+        let response = self.endpoint.send(request).await?;
+        match response.status() {
             StatusCode::NOT_FOUND => Ok(RowRead::Absent),
             StatusCode::NOT_MODIFIED => Ok(RowRead::Unchanged),
-            StatusCode::OK => Ok(RowRead::Found(row_from_answer(key, &answer)?)),
-            status => Err(StoreError::Malformed(format!("status {status} to a read"))),
+            StatusCode::OK => Ok(RowRead::Found(row_from_response(key, &response)?)),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a read"
+            ))),
         }
     }
 
@@ -154,10 +159,10 @@
         let mut rows: Vec<TableRow> = Vec::new();
         loop {
             let after = rows.last().map_or("", |row| row.key.as_str());
-            let page = self.scan_page(prefix, after, SCAN_PAGE).await?;
-            let whole = page.len() == SCAN_PAGE;
+            let page = self.scan_page(prefix, after, SCAN_PAGE_ROWS).await?;
+            let is_full = page.len() == SCAN_PAGE_ROWS;
             rows.extend(page);
-            if !whole {
+            if !is_full {
                 return Ok(rows);
             }
         }
@@ -177,14 +182,14 @@
     async fn commit(&self, batch: &WriteBatch) -> Result<CommitOutcome, StoreError> {
         let body = BatchBody::from(batch);
         let request = json_request(Method::POST, self.endpoint.address, "/batch", Some(&body))?;
-        let answer = self.endpoint.send(request).await?;
-        match answer.status() {
+        let response = self.endpoint.send(request).await?;
+        match response.status() {
             StatusCode::OK => {
-                let done: BatchDone = parse_answer(answer.body())?;
-                Ok(CommitOutcome::Committed(RowVersion(done.version)))
+                let committed: BatchDone = parse_body(response.body())?;
+                Ok(CommitOutcome::Committed(RowVersion(committed.version)))
             }
             StatusCode::PRECONDITION_FAILED => {
-                let refused: BatchRefused = parse_answer(answer.body())?;
+                let refused: BatchRefused = parse_body(response.body())?;
                 Ok(CommitOutcome::Conflict(
                     refused
                         .conflicts
@@ -193,23 +198,30 @@
                         .collect(),
                 ))
             }
-            status => Err(StoreError::Malformed(format!("status {status} to a batch"))),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a batch"
+            ))),
         }
     }
 }
 
-fn parse_answer<A: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<A, StoreError> {
+fn parse_body<A: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<A, StoreError> {
     parse_json(bytes).map_err(|error| StoreError::Malformed(error.to_string()))
 }
 
-fn row_from_answer(key: &str, answer: &::http::Response<Bytes>) -> Result<TableRow, StoreError> {
-    let version = answer
+fn row_from_response(
+    key: &str,
+    response: &::http::Response<Bytes>,
+) -> Result<TableRow, StoreError> {
+    let version = response
         .headers()
         .get(header::ETAG)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.trim_matches('"').parse().ok())
-        .ok_or_else(|| StoreError::Malformed("a row without an ETag".to_owned()))?;
-    let token = answer
+        .ok_or_else(|| {
+            StoreError::Malformed("the response to a row read has no ETag".to_owned())
+        })?;
+    let token = response
         .headers()
         .get(WRITE_TOKEN_HEADER)
         .and_then(|value| value.to_str().ok())
@@ -218,7 +230,7 @@
         key: key.to_owned(),
         version: RowVersion(version),
         token: token.to_owned(),
-        value: parse_answer(answer.body())?,
+        value: parse_body(response.body())?,
     })
 }
 
@@ -283,7 +295,7 @@
     }
 }
 
-/// Client of the object store: `GET` and `PUT /objects/{key}`, the latter with
+/// Client of the object store. It sends `GET` and `PUT /objects/{key}`, the latter with
 /// `If-None-Match: *`.
 #[derive(Debug, Clone)]
 pub struct HttpObjects {
@@ -291,7 +303,7 @@
 }
 
 impl HttpObjects {
-    /// A client.
+    /// Creates a client of the service at `endpoint`.
     #[must_use]
     pub fn new(endpoint: ServiceEndpoint) -> Self {
         Self { endpoint }
@@ -302,11 +314,13 @@
     async fn get(&self, key: &str) -> Result<Option<Bytes>, StoreError> {
         let path = format!("/objects/{key}");
         let request = json_request(Method::GET, self.endpoint.address, &path, NO_BODY)?;
-        let answer = self.endpoint.send(request).await?;
-        match answer.status() {
+        let response = self.endpoint.send(request).await?;
+        match response.status() {
             StatusCode::NOT_FOUND => Ok(None),
-            StatusCode::OK => Ok(Some(answer.into_body())),
-            status => Err(StoreError::Malformed(format!("status {status} to a read"))),
+            StatusCode::OK => Ok(Some(response.into_body())),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a read"
+            ))),
         }
     }
 
@@ -317,23 +331,25 @@
         request
             .headers_mut()
             .insert(header::IF_NONE_MATCH, HeaderValue::from_static("*"));
-        let answer = self.endpoint.send(request).await?;
-        match answer.status() {
+        let response = self.endpoint.send(request).await?;
+        match response.status() {
             StatusCode::OK | StatusCode::CREATED => Ok(true),
             StatusCode::PRECONDITION_FAILED => Ok(false),
-            status => Err(StoreError::Malformed(format!("status {status} to a write"))),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a write"
+            ))),
         }
     }
 }
 
-/// Client of the host list.
+/// Client of the host list. Its revision travels as an ETag.
 #[derive(Debug, Clone)]
 pub struct HttpHostList {
     endpoint: ServiceEndpoint,
 }
 
 impl HttpHostList {
-    /// A client.
+    /// Creates a client of the service at `endpoint`.
     #[must_use]
     pub fn new(endpoint: ServiceEndpoint) -> Self {
         Self { endpoint }
@@ -353,14 +369,16 @@
         {
             request.headers_mut().insert(header::IF_NONE_MATCH, value);
         }
-        let answer = self.endpoint.send(request).await?;
-        match answer.status() {
+        let response = self.endpoint.send(request).await?;
+        match response.status() {
             StatusCode::NOT_MODIFIED => Ok(None),
             StatusCode::OK => {
-                let body: HostListBody = parse_answer(answer.body())?;
+                let body: HostListBody = parse_body(response.body())?;
                 Ok(Some(HostListing::from(body)))
             }
-            status => Err(StoreError::Malformed(format!("status {status} to a read"))),
+            status => Err(StoreError::Malformed(format!(
+                "unexpected status {status} of a read"
+            ))),
         }
     }
 }
--- a/crates/platform/src/keys.rs
+++ b/crates/platform/src/keys.rs
@@ -1,107 +1,107 @@
-//! Keys of the table's rows and of the objects.
+//! Keys of the rows in the table and of the objects in the object store.
 
 use domain::record::RecordKind;
 use domain::{ConfigRevision, FabricId, HostId, LeaseName, ModelName, NodeId, VersionName};
 
-/// Row of the configuration's head.
+/// Row with the newest revision of the configuration.
 pub const CONFIG_HEAD: &str = "config/head";
 
-/// Prefix of the change log, ordered by revision.
+/// Prefix of the rows of the configuration's change log, whose keys sort by revision.
 pub const CONFIG_LOG: &str = "config/log/";
 
-/// Row that names the newest snapshot of the configuration.
+/// Row with the revision of the newest configuration snapshot.
 pub const CONFIG_SNAPSHOT: &str = "config/snapshot";
 
-/// Prefix of the operators' records.
+/// Prefix of the rows of the configuration records.
 pub const RECORDS: &str = "record/";
 
-/// Prefix of the host slots.
+/// Prefix of the rows that assign hosts to replicas.
 pub const HOSTS: &str = "host/";
 
-/// Row whose version changes with every change of any replica.
+/// Row whose version changes whenever any fleet changes.
 pub const FLEET_HEAD: &str = "fleet/head";
 
-/// Prefix of the marks, one a fabric domain: small rows that share the version of the fabric's
-/// fleet row, so that one short scan tells which fleets changed.
+/// Prefix of the marks, one per fabric domain. A mark is a small row that is written together with
+/// the fleet row and so has the same version: one short scan shows which fleets changed.
 pub const FLEET_MARKS: &str = "fleet/mark/";
 
-/// Prefix of the fleets, one row a fabric domain with all its replicas.
+/// Prefix of the fleets, one row per fabric domain with all its replicas.
 pub const FLEETS: &str = "fleet/plans/";
 
-/// Prefix of the counts of replicas, one row a version of a model.
+/// Prefix of the replica counts, one row per version of a model.
 pub const REPLICA_COUNTS: &str = "census/";
 
-/// Prefix of the lease epochs. They lie beside the leases, because a renewal changes the lease's
-/// row and would fail every transaction that checks it.
+/// Prefix of the lease epochs. They are separate from the leases, because each renewal changes the
+/// lease's row, which would fail every transaction that checks it.
 pub const LEASE_EPOCHS: &str = "lease-epoch/";
 
-/// Row with the time that housekeeping counted.
+/// Row in which housekeeping counts the time that has passed, to tell which claims have expired.
 pub const RETENTION_LOG: &str = "housekeeping/retention";
 
-/// Prefix of the members.
+/// Prefix of the rows in which entry nodes announce themselves.
 pub const MEMBERS: &str = "member/";
 
-/// Prefix of the leases.
+/// Prefix of the lease records.
 pub const LEASES: &str = "lease/";
 
-/// Prefix of the ledger's claims.
+/// Prefix of the claims of non-idempotent calls.
 pub const CLAIMS: &str = "claim/";
 
-/// Row of a record.
+/// Returns the key of a record's row.
 #[must_use]
 pub fn record_key(kind: RecordKind, name: &str) -> String {
     format!("{RECORDS}{}/{name}", kind.as_str())
 }
 
-/// Row of a change.
+/// Returns the key of a change; the revision is padded with zeros so that keys sort by it.
 #[must_use]
 pub fn change_key(revision: ConfigRevision) -> String {
     format!("{CONFIG_LOG}{:020}", revision.0)
 }
 
-/// Row of a host's slot.
+/// Returns the key of the row that assigns a host to a replica.
 #[must_use]
 pub fn host_key(host: &HostId) -> String {
     format!("{HOSTS}{host}")
 }
 
-/// Row of a fabric domain's fleet.
+/// Returns the key of a fabric domain's fleet.
 #[must_use]
 pub fn fleet_key(fabric: &FabricId) -> String {
     format!("{FLEETS}{fabric}")
 }
 
-/// Mark of a fabric domain's fleet.
+/// Returns the key of the mark of a fabric domain's fleet.
 #[must_use]
 pub fn mark_key(fabric: &FabricId) -> String {
     format!("{FLEET_MARKS}{fabric}")
 }
 
-/// Row with the count of replicas of a model's version.
+/// Returns the key of the replica count of a model's version.
 #[must_use]
 pub fn replica_count_key(model: &ModelName, version: &VersionName) -> String {
     format!("{REPLICA_COUNTS}{model}/{version}")
 }
 
-/// Row of a lease's epoch.
+/// Returns the key of a lease's epoch.
 #[must_use]
 pub fn epoch_key(lease: &LeaseName) -> String {
     format!("{LEASE_EPOCHS}{lease}")
 }
 
-/// Row of a member.
+/// Returns the key of an entry node's member row.
 #[must_use]
 pub fn member_key(node: &NodeId) -> String {
     format!("{MEMBERS}{node}")
 }
 
-/// Row of a lease.
+/// Returns the key of a lease's row.
 #[must_use]
 pub fn lease_key(lease: &LeaseName) -> String {
     format!("{LEASES}{lease}")
 }
 
-/// Object of a snapshot of the configuration.
+/// Returns the key of the object with a configuration snapshot.
 #[must_use]
 pub fn snapshot_key(revision: ConfigRevision) -> String {
     format!("config/snapshot/{:020}", revision.0)
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ports to the platform's table, object store, host list and weight store.
+//! Interfaces to the platform's table, object store and host list.
 //!
-//! The traits are what the rest of the program knows; [`http`] holds the clients that speak the
-//! platform's protocol. Another platform is one new client behind the same traits.
+//! The rest of the program depends only on the traits; [`http`] holds the clients that implement
+//! them over the platform's protocol. Another platform needs only other clients.
 
 pub mod budget;
 pub mod circuit;
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -1,4 +1,4 @@
-//! Port to the object store, which keeps snapshots of the configuration.
+//! Interface to the object store, which holds configuration snapshots.
 
 use std::future::Future;
 
@@ -6,16 +6,16 @@
 
 use crate::error::StoreError;
 
-/// The object store.
+/// An object store.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
-    /// Reads an object.
+    /// Reads an object; none if it does not exist.
     ///
     /// # Errors
     ///
     /// [`StoreError`].
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Bytes>, StoreError>> + Send;
 
-    /// Writes an object if there is none of this key; returns whether it was written.
+    /// Writes an object unless the key exists; returns whether it was written.
     ///
     /// # Errors
     ///
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,4 +1,4 @@
-//! Port to the transactional table.
+//! Interface to the transactional table.
 
 use std::future::Future;
 
@@ -7,63 +7,63 @@
 
 use crate::error::StoreError;
 
-/// A row.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableRow {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its version; every write to the table raises the table's versions.
+    /// Version of the row; each batch gets a higher one than all earlier batches.
     pub version: RowVersion,
-    /// Token of the batch that wrote it.
+    /// Token of the batch that last wrote the row.
     pub token: String,
-    /// Its content.
+    /// Content of the row as JSON.
     pub value: Value,
 }
 
-/// Answer of a conditional read.
+/// Result of a conditional read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RowRead {
-    /// The row.
+    /// The row exists and its version differs from the known one.
     Found(TableRow),
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
-    /// The row still has the version that the reader knows.
+    /// The row still has the known version.
     Unchanged,
 }
 
-/// What must hold of a row for a batch to take effect.
+/// Condition on a row; a batch is applied only if all its conditions hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowExpectation {
-    /// Anything.
+    /// No condition.
     Any,
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has this version.
     Version(RowVersion),
 }
 
-/// What becomes of a row.
+/// Change of a row.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RowChange {
-    /// It gets this content.
+    /// Creates the row, or replaces its content.
     Put(Value),
-    /// It is deleted.
+    /// Deletes the row; deleting an absent row is no error.
     Delete,
-    /// It stays; only its expectation counts.
+    /// Leaves the row as it is; only its expectation is checked.
     Check,
 }
 
-/// A transactional batch of conditional writes, marked by a token of its own.
+/// A transactional batch of conditional writes, identified by a unique token.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WriteBatch {
-    /// Marks every row that the batch writes; never used for another batch.
+    /// Token that is stored with every row that the batch writes; unique to the batch.
     pub token: WriteToken,
     /// Key, expectation and change of each row.
     pub writes: Vec<(String, RowExpectation, RowChange)>,
 }
 
 impl WriteBatch {
-    /// An empty batch.
+    /// Creates an empty batch.
     #[must_use]
     pub fn new(token: WriteToken) -> Self {
         Self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Adds a write.
+    /// Adds a write of a whole row.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, expect: RowExpectation, value: Value) -> Self {
         self.writes
@@ -95,27 +95,27 @@
     }
 }
 
-/// A row whose expectation failed, as it is now; none when there is no such row.
+/// A row whose expectation failed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowConflict {
-    /// The key.
+    /// Key of the row.
     pub key: String,
-    /// The row.
+    /// The row as it is now; none if it does not exist.
     pub row: Option<TableRow>,
 }
 
-/// What became of a batch.
+/// Result of a commit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
-    /// All its writes took effect; every row written has this version.
+    /// The batch was applied; every row that it wrote has this version.
     Committed(RowVersion),
-    /// None took effect, because of these rows.
+    /// Nothing was applied, because the expectations of these rows failed.
     Conflict(Vec<RowConflict>),
 }
 
-/// The transactional table.
+/// A transactional table.
 pub trait TableStore: Clone + Send + Sync + 'static {
-    /// Reads a row; `known` is a version that need not be sent again.
+    /// Reads a row, unless it still has the version `known`.
     ///
     /// # Errors
     ///
@@ -126,14 +126,16 @@
         known: Option<RowVersion>,
     ) -> impl Future<Output = Result<RowRead, StoreError>> + Send;
 
-    /// Reads every row whose key starts with `prefix`, ordered by key. Not a snapshot.
+    /// Reads all rows whose key starts with `prefix`, ordered by key. The result isn't a consistent
+    /// snapshot.
     ///
     /// # Errors
     ///
     /// [`StoreError`].
     fn scan(&self, prefix: &str) -> impl Future<Output = Result<Vec<TableRow>, StoreError>> + Send;
 
-    /// Reads up to `limit` rows whose key starts with `prefix` and follows `after`, by key.
+    /// Reads up to `limit` rows whose key starts with `prefix` and sorts after `after`, ordered by
+    /// key.
     ///
     /// # Errors
     ///
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Commits a batch. After [`StoreError::ResponseLost`] use [`crate::commit_with_retries`].
+    /// Commits a batch once. [`crate::commit_with_retries`] handles [`StoreError::ResponseLost`].
     ///
     /// # Errors
     ///
