--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Client of the table service. Row versions travel as ETags.
+/// Client of the table service. A row's version is its `ETag`.
 #[derive(Debug, Clone)]
 pub struct HttpTable {
     endpoint: ServiceEndpoint,
@@ -342,7 +342,7 @@
     }
 }
 
-/// Client of the host list. Its revision travels as an ETag.
+/// Client of the host list. The list's revision is its `ETag`.
 #[derive(Debug, Clone)]
 pub struct HttpHostList {
     endpoint: ServiceEndpoint,
