--- a/crates/admin/src/access.rs
+++ b/crates/admin/src/access.rs
@@ -1,17 +1,17 @@
-//! Who may operate: whoever sends the operators' key.
+//! Authentication of operators with a shared bearer key.
 
 use http::{HeaderMap, header};
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Hash of the operators' key.
+/// The operators' key, stored as its SHA-256 hash.
 #[derive(Debug, Clone)]
 pub struct OperatorKey {
     hash: [u8; 32],
 }
 
 impl OperatorKey {
-    /// Keeps the hash of a key, not the key.
+    /// Hashes a key; the key itself is not kept.
     #[must_use]
     pub fn new(key: &str) -> Self {
         Self {
@@ -19,12 +19,12 @@
         }
     }
 
-    /// Whether a request carries the key.
+    /// Returns whether a request carries the key as its bearer token.
     ///
-    /// Hashes of fixed length are compared in constant time; comparing the keys themselves would
-    /// tell by its duration how many characters of a guess are right.
+    /// The hashes have a fixed length and are compared in constant time. The time of a plain
+    /// comparison would reveal how many characters of a guess are right.
     #[must_use]
-    pub fn allows(&self, headers: &HeaderMap) -> bool {
+    pub fn authenticates(&self, headers: &HeaderMap) -> bool {
         let given = headers
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,4 +1,4 @@
-//! The admin listener: records, status, events and metrics for operators.
+//! The admin API: records, status, events and metrics for operators.
 
 pub mod access;
 pub mod records;
--- a/crates/admin/src/records.rs
+++ b/crates/admin/src/records.rs
@@ -1,4 +1,4 @@
-//! Conversions between the records' wire forms and the control plane's.
+//! Conversions between the admin API's types and the control plane's.
 
 use control::amend::{AmendConflict, ChangeRow, StoredRecord};
 use control::review::{FindingSeverity, ReviewReport, review_delete, review_record};
@@ -7,15 +7,14 @@
 use wire::admin::{AmendAnswer, AmendBody, ChangeBody, ExpectBody, RecordBody};
 use wire::record::RecordError;
 
-/// Reviews an amendment against the configuration in force.
+/// Checks an amendment against the configuration in `view`.
 ///
-/// A record of a schema version that this node does not know is refused here, although the node
-/// would keep serving beside it: nobody would have checked it. A node of the newer release takes
-/// it.
+/// A record with an unknown schema version is refused, since this node can't check it. A stored one
+/// would not stop the node from serving. A node of a newer release accepts it.
 ///
 /// # Errors
 ///
-/// Why the body is no record.
+/// The findings if the body doesn't hold a valid record.
 pub fn review_amendment(view: &ConfigView, body: &AmendBody) -> Result<ReviewReport, FindingList> {
     let mut findings = FindingList::default();
     let Some(frame) = &body.record else {
@@ -24,7 +23,7 @@
     if frame.kind != body.kind || frame.name != body.name {
         findings.add(
             "record",
-            "the record has another kind or name than the call",
+            "kind or name differ from those of the request",
             "",
         );
         return Err(findings);
@@ -33,31 +32,35 @@
         Ok(record) => Ok(review_record(view, &record, None)),
         Err(RecordError::Invalid(found)) => Err(found),
         Err(error) => {
-            findings.add("schema", error.to_string(), "apply it through a newer node");
+            findings.add(
+                "schema",
+                error.to_string(),
+                "apply it through a node of a newer release",
+            );
             Err(findings)
         }
     }
 }
 
-/// Errors and warnings of a review.
+/// Splits the findings of a review into errors and warnings.
 #[must_use]
 pub fn split_report(report: ReviewReport) -> (FindingList, FindingList) {
     let (mut errors, mut warnings) = (FindingList::default(), FindingList::default());
-    for found in report.findings {
-        let list = match found.severity {
+    for rated in report.findings {
+        let list = match rated.severity {
             FindingSeverity::Error => &mut errors,
             FindingSeverity::Warning => &mut warnings,
         };
         list.add(
-            found.finding.path,
-            found.finding.problem,
-            found.finding.advice,
+            rated.finding.path,
+            rated.finding.problem,
+            rated.finding.advice,
         );
     }
     (errors, warnings)
 }
 
-/// The amendment that a body asks for.
+/// Converts a request body into an amendment.
 #[must_use]
 pub fn amendment_from(body: AmendBody) -> RecordAmendment {
     RecordAmendment {
@@ -74,9 +77,9 @@
     }
 }
 
-/// What an operator is told of an amendment.
+/// Converts the result of an amendment into the response.
 #[must_use]
-pub fn answer_from(
+pub fn response_from(
     outcome: Result<AmendOutcome, AmendError>,
     warnings: FindingList,
 ) -> AmendAnswer {
@@ -108,7 +111,7 @@
     }
 }
 
-/// A record as operators get it.
+/// Converts a stored record into its form in responses.
 #[must_use]
 pub fn record_body(stored: StoredRecord) -> RecordBody {
     RecordBody {
@@ -117,7 +120,7 @@
     }
 }
 
-/// A change as operators get it.
+/// Converts a row of the change log into its form in responses.
 #[must_use]
 pub fn change_body(row: ChangeRow) -> ChangeBody {
     ChangeBody {
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! Routes of the admin listener.
+//! HTTP routes of the admin API.
 
 use control::amend::AmendError;
 use control::history::{HistoryQuery, get_record, list_records, read_history};
@@ -16,50 +16,50 @@
 
 use crate::access::OperatorKey;
 use crate::records::{
-    amendment_from, answer_from, change_body, record_body, review_amendment, split_report,
+    amendment_from, change_body, record_body, response_from, review_amendment, split_report,
 };
 
-/// Largest amendment, in bytes.
+/// Maximum size of an amendment's body, in bytes.
 const MAX_AMEND_BYTES: usize = 1 << 20;
 
-/// Changes in an answer that names no limit.
-const DEFAULT_HISTORY: usize = 20;
+/// Number of changes in a history response if the request has no limit.
+const DEFAULT_HISTORY_LIMIT: usize = 20;
 
-/// Most changes in one answer.
-const MAX_HISTORY: usize = 1_000;
+/// Maximum number of changes in a history response.
+const MAX_HISTORY_LIMIT: usize = 1_000;
 
-/// What a node knows of itself.
+/// Provides the status of the node.
 pub trait StatusSource: Send + Sync + 'static {
-    /// The status now.
+    /// Returns the current status.
     fn status(&self) -> NodeStatus;
 
-    /// Why no amendment can be taken through this node now; none when it can.
+    /// Returns why this node can't accept amendments at the moment; none if it can.
     fn amend_unavailable_reason(&self) -> Option<String>;
 }
 
-/// What the listener works with.
+/// Dependencies of an [`AdminServer`].
 #[derive(Debug)]
 pub struct AdminContext<T, S> {
-    /// The table.
+    /// Table with the records and the change log.
     pub table: T,
-    /// Status.
-    pub source: S,
-    /// Events.
+    /// Source of the node's status.
+    pub status_source: S,
+    /// Recorder whose recent events are served.
     pub recorder: EventRecorder,
-    /// Metrics.
+    /// Metrics of the node, served without authentication.
     pub metrics: NodeMetrics,
-    /// The operators' key; without one only the metrics are served.
+    /// The operators' key; without it only the metrics are served.
     pub key: Option<OperatorKey>,
 }
 
-/// The admin listener.
+/// Serves the admin API.
 #[derive(Debug)]
 pub struct AdminServer<T, S> {
     context: AdminContext<T, S>,
 }
 
 impl<T: TableStore, S: StatusSource> AdminServer<T, S> {
-    /// A listener.
+    /// Creates a server.
     #[must_use]
     pub fn new(context: AdminContext<T, S>) -> Self {
         Self { context }
@@ -81,16 +81,16 @@
             Ok(body) => body,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        if let Some(reason) = self.context.source.amend_unavailable_reason() {
+        if let Some(reason) = self.context.status_source.amend_unavailable_reason() {
             return json_response(StatusCode::OK, &AmendAnswer::Unavailable { reason });
         }
-        json_response(StatusCode::OK, &self.amended(body).await)
+        json_response(StatusCode::OK, &self.review_and_amend(body).await)
     }
 
-    async fn amended(&self, body: AmendBody) -> AmendAnswer {
+    async fn review_and_amend(&self, body: AmendBody) -> AmendAnswer {
         let view = match self.stored_view().await {
             Ok(view) => view,
-            Err(error) => return answer_from(Err(error), FindingList::default()),
+            Err(error) => return response_from(Err(error), FindingList::default()),
         };
         let report = match review_amendment(&view, &body) {
             Ok(report) => report,
@@ -101,14 +101,14 @@
             return AmendAnswer::Refused { findings: errors };
         }
         let amendment = amendment_from(body);
-        answer_from(
+        response_from(
             amend_record(&self.context.table, &amendment).await,
             warnings,
         )
     }
 
-    /// The records as the table has them: what is in force here may lag behind the record that
-    /// the operator wrote a moment ago, and a warning about its absence would be wrong.
+    /// Reads the records from the table. The node's active configuration may lag behind a record
+    /// that the operator has just written, so a review against it could report that as missing.
     async fn stored_view(&self) -> Result<ConfigView, AmendError> {
         let mut view = ConfigView::default();
         for stored in list_records(&self.context.table, None).await? {
@@ -121,21 +121,24 @@
     }
 
     async fn records(&self, path: &str, query: &str) -> WebResponse {
-        let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
-        match parts.as_slice() {
+        let segments: Vec<&str> = path
+            .split('/')
+            .filter(|segment| !segment.is_empty())
+            .collect();
+        match segments.as_slice() {
             ["records"] => {
                 let kind = match parse_kind(query_value(query, "kind")) {
                     Ok(kind) => kind,
                     Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
-                let listed = list_records(&self.context.table, kind).await;
-                let bodies = listed.map(|records| {
+                let result = list_records(&self.context.table, kind).await;
+                let bodies = result.map(|records| {
                     records
                         .into_iter()
                         .map(record_body)
                         .collect::<Vec<RecordBody>>()
                 });
-                table_answer(bodies)
+                read_response(bodies)
             }
             ["records", kind, name] => {
                 let kind = match kind.parse::<RecordKind>() {
@@ -144,7 +147,7 @@
                 };
                 match get_record(&self.context.table, kind, name).await {
                     Ok(None) => text_response(StatusCode::NOT_FOUND, NO_RECORD),
-                    found => table_answer(found.map(|stored| stored.map(record_body))),
+                    result => read_response(result.map(|stored| stored.map(record_body))),
                 }
             }
             _ => text_response(StatusCode::NOT_FOUND, NO_CALL),
@@ -158,17 +161,17 @@
         };
         let limit = query_value(query, "limit")
             .and_then(|text| text.parse().ok())
-            .unwrap_or(DEFAULT_HISTORY)
-            .min(MAX_HISTORY);
+            .unwrap_or(DEFAULT_HISTORY_LIMIT)
+            .min(MAX_HISTORY_LIMIT);
         let name = query_value(query, "name").map(str::to_owned);
-        let wanted = HistoryQuery {
+        let query = HistoryQuery {
             kind,
             name,
             before: None,
             limit,
         };
-        let read = read_history(&self.context.table, &wanted).await;
-        table_answer(read.map(|rows| {
+        let result = read_history(&self.context.table, &query).await;
+        read_response(result.map(|rows| {
             rows.into_iter()
                 .map(change_body)
                 .collect::<Vec<ChangeBody>>()
@@ -176,8 +179,9 @@
     }
 }
 
-fn table_answer<B: serde::Serialize>(read: Result<B, AmendError>) -> WebResponse {
-    match read {
+/// Converts the result of a read from the table into a response.
+fn read_response<B: serde::Serialize>(result: Result<B, AmendError>) -> WebResponse {
+    match result {
         Ok(body) => json_response(StatusCode::OK, &body),
         Err(error) => text_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
     }
@@ -193,20 +197,21 @@
         if path == "/metrics" {
             return self.metrics();
         }
-        let allowed = self
+        let authenticated = self
             .context
             .key
             .as_ref()
-            .is_some_and(|key| key.allows(request.headers()));
-        if !allowed {
-            let problem = "send the operators' key: 'Authorization: Bearer <key>'";
+            .is_some_and(|key| key.authenticates(request.headers()));
+        if !authenticated {
+            let problem =
+                "the operators' key is missing or wrong: send 'Authorization: Bearer <key>'";
             return text_response(StatusCode::UNAUTHORIZED, problem);
         }
         let query = request.uri().query().unwrap_or_default().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/amend") => self.amend(request).await,
             (Method::GET, "/status") => {
-                json_response(StatusCode::OK, &self.context.source.status())
+                json_response(StatusCode::OK, &self.context.status_source.status())
             }
             (Method::GET, "/events") => {
                 json_response(StatusCode::OK, &self.context.recorder.recent())
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -55,7 +55,7 @@
     let key = context.settings.secrets.operator_key()?;
     let server = AdminServer::new(AdminContext {
         table: context.table.with_operator_priority(),
-        source: report,
+        status_source: report,
         recorder: context.recorder.clone(),
         metrics: context.metrics.clone(),
         key: key.map(|key| OperatorKey::new(key.expose())),
