--- a/crates/entry/benches/event_cost.rs
+++ b/crates/entry/benches/event_cost.rs
@@ -14,9 +14,9 @@
 
 const TOKENS: u32 = 256;
 
-fn order(shape: ResponseFormat) -> GenerationRequest {
+fn request(format: ResponseFormat) -> GenerationRequest {
     GenerationRequest {
-        request: "e0.0123456789abcdef.17".parse().expect("an id"),
+        id: "e0.0123456789abcdef.17".parse().expect("an id"),
         customer: "sandaga-traders".parse().expect("an id"),
         share: 1,
         model: "trader-help".parse().expect("an id"),
@@ -26,31 +26,31 @@
         max_tokens: TOKENS,
         seed: 1,
         deadline: Instant::now(),
-        shape,
+        format,
     }
 }
 
 /// Feeds a stream of tokens and reads its events at once.
-async fn feed(order: &GenerationRequest, signer: &TokenSigner) {
+async fn feed(request: &GenerationRequest, signer: &TokenSigner) {
     let (events, mut read) = mpsc::channel(4);
     let (head, _begun) = oneshot::channel();
-    let mut sink = EventSink::new(ResponseFormatter::new(order), events, head, false, false);
+    let mut sink = EventSink::new(ResponseFormatter::new(request), events, head, false, false);
     let scope = TokenScope {
-        request: order.request.clone(),
-        customer: order.customer.clone(),
+        request: request.id.clone(),
+        customer: request.customer.clone(),
         attempt: "e0.0123456789abcdef.17.01234567.1".parse().expect("an id"),
         replica: "trader-help.12".parse().expect("an id"),
         incarnation: IncarnationNumber(3),
-        content: order.content(),
+        content: request.content(),
     };
-    sink.begin(signer.scope(&scope), StreamOffset::default());
+    sink.begin_attempt(signer.scope(&scope), StreamOffset::default());
     let mut offset = StreamOffset::default();
     let mut digest = TextDigest::default();
     for count in 1..=TOKENS {
         digest = digest.extended("licence ");
         offset.count = count;
         offset.digest = digest;
-        let _ = sink.token("licence ".to_owned(), offset).await;
+        let _ = sink.send_token("licence ".to_owned(), offset).await;
         while let Ok(event) = read.try_recv() {
             black_box(event);
         }
@@ -64,13 +64,13 @@
     let signer = TokenSigner::new(Some(&"one key for all entries".into()));
     let mut group = criterion.benchmark_group("event");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
-    for (name, shape) in [
+    for (name, format) in [
         ("chat", ResponseFormat::Chat),
         ("text", ResponseFormat::Text),
     ] {
-        let order = order(shape);
+        let request = request(format);
         group.bench_function(name, |bencher| {
-            bencher.iter(|| runtime.block_on(feed(&order, &signer)));
+            bencher.iter(|| runtime.block_on(feed(&request, &signer)));
         });
     }
     group.finish();
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -162,14 +162,14 @@
             }
         };
         let scope = TokenScope {
-            request: request.request.clone(),
+            request: request.id.clone(),
             customer: request.customer.clone(),
             attempt: target.attempt.clone(),
             replica: target.plan.id.clone(),
             incarnation: target.plan.incarnation,
             content: request.content(),
         };
-        sink.begin(context.signer.scope(&scope), progress.offset());
+        sink.begin_attempt(context.signer.scope(&scope), progress.offset());
         let mut forwarder = StreamForwarder {
             context,
             target,
@@ -179,8 +179,8 @@
             first_token_timeout: request.deadline.saturating_duration_since(Instant::now()),
             slot: self.slot,
         };
-        let end = forwarder.forward(progress, sink).await;
-        match end {
+        let result = forwarder.forward(progress, sink).await;
+        match result {
             AttemptResult::Finished(_)
             | AttemptResult::ClientDisconnected
             | AttemptResult::HandOver => {
@@ -188,7 +188,7 @@
             }
             AttemptResult::Failed(_) => {}
         }
-        end
+        result
     }
 }
 
@@ -288,11 +288,11 @@
                 return AttemptResult::Failed(AttemptError::HostMissing);
             };
             let limit = self.extend_before_first_token(limit, first_event_seen);
-            let left = limit.saturating_sub(last_event_at.elapsed());
+            let remaining = limit.saturating_sub(last_event_at.elapsed());
             let can_hand_over = sink.can_hand_over();
             let step = tokio::select! {
                 biased;
-                () = sink.gone() => ForwardStep::Ended(AttemptResult::ClientDisconnected),
+                () = sink.disconnected() => ForwardStep::Ended(AttemptResult::ClientDisconnected),
                 () = shutdown.handing_over(), if can_hand_over => {
                     ForwardStep::Ended(AttemptResult::HandOver)
                 }
@@ -300,13 +300,13 @@
                     Ok(()) => ForwardStep::TargetsChanged,
                     Err(_) => ForwardStep::Ended(AttemptResult::Failed(AttemptError::HostMissing)),
                 },
-                event = tokio::time::timeout(left, self.stream.next_event(limit)) => {
+                event = tokio::time::timeout(remaining, self.stream.next_event(limit)) => {
                     classify_read(event, limit)
                 }
             };
             let event = match step {
                 ForwardStep::TargetsChanged => continue,
-                ForwardStep::Ended(end) => return end,
+                ForwardStep::Ended(result) => return result,
                 ForwardStep::Event(event) => event,
             };
             match self.validator.accept(progress, event) {
@@ -314,11 +314,11 @@
                 StreamAction::Ignore => continue,
                 StreamAction::AlreadyDelivered => {}
                 StreamAction::Deliver(text) => {
-                    if sink.token(text, progress.offset()).await.is_err() {
+                    if sink.send_token(text, progress.offset()).await.is_err() {
                         return AttemptResult::ClientDisconnected;
                     }
                 }
-                StreamAction::Finished(end) => return AttemptResult::Finished(end),
+                StreamAction::Finished(summary) => return AttemptResult::Finished(summary),
                 StreamAction::Fail(error) => return AttemptResult::Failed(error.into()),
             }
             last_event_at = Instant::now();
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -39,7 +39,8 @@
     let key = bearer_key(headers)?;
     let hash = sha256_hex(key);
     let unknown = || {
-        RequestError::not_run(ErrorCode::InvalidKey, "the key belongs to no customer").at(KEY_PARAM)
+        RequestError::not_run(ErrorCode::InvalidKey, "the key belongs to no customer")
+            .with_param(KEY_PARAM)
     };
     let customer = view
         .key_owners
@@ -53,8 +54,9 @@
 }
 
 fn bearer_key(headers: &HeaderMap) -> Result<&[u8], RequestError> {
-    let missing =
-        |message: &str| Err(RequestError::not_run(ErrorCode::InvalidKey, message).at(KEY_PARAM));
+    let missing = |message: &str| {
+        Err(RequestError::not_run(ErrorCode::InvalidKey, message).with_param(KEY_PARAM))
+    };
     let Some(value) = headers.get(header::AUTHORIZATION) else {
         return missing("no key: send 'Authorization: Bearer <key>'");
     };
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -68,8 +68,8 @@
 
     /// Runs the request from its begin.
     pub async fn run<A: ResponseSink>(mut self, sink: &mut A) -> CompletionResult {
-        let mut timed = LatencySink::new(sink, &self.context.recorder, &self.request.model);
-        self.run_attempts(&mut timed).await
+        let mut timed_sink = LatencySink::new(sink, &self.context.recorder, &self.request.model);
+        self.run_attempts(&mut timed_sink).await
     }
 
     /// Goes on with a stream that the caller has a part of: first with the one that the engine may
@@ -115,7 +115,7 @@
         while self.attempts < self.context.settings.max_attempts {
             let placement = tokio::select! {
                 placement = self.context.dispatcher.place(self.dispatch_request.clone()) => placement,
-                () = sink.gone() => return CompletionResult::ClientDisconnected,
+                () = sink.disconnected() => return CompletionResult::ClientDisconnected,
             };
             let mut slot = match placement {
                 Ok(slot) => slot,
@@ -123,7 +123,7 @@
             };
             self.dispatch_request.admitted = true;
             let target = AttemptTarget {
-                attempt: self.context.ids.attempt(&self.request.request),
+                attempt: self.context.ids.attempt_id(&self.request.id),
                 plan: slot.plan.clone(),
                 leader: slot.leader,
             };
@@ -140,16 +140,16 @@
             }
         }
         let message = format!("{} attempts failed to finish the answer", self.attempts);
-        let error =
-            RequestError::not_run(ErrorCode::TargetFailed, message).retry(FAILED_RETRY_AFTER);
+        let error = RequestError::not_run(ErrorCode::TargetFailed, message)
+            .with_retry_after(FAILED_RETRY_AFTER);
         CompletionResult::Failed(self.with_execution(error))
     }
 
     fn slot_outcome(&self, result: &Result<CompletionResult, AttemptError>) -> SlotOutcome {
         let delivered = self.progress.offset().count;
         let (outcome, cached_tokens) = match result {
-            Ok(CompletionResult::Finished(end)) => {
-                (AttemptOutcome::Finished, Some(end.cached_tokens))
+            Ok(CompletionResult::Finished(summary)) => {
+                (AttemptOutcome::Finished, Some(summary.cached_tokens))
             }
             Ok(_) => (AttemptOutcome::Cancelled, None),
             Err(AttemptError::Refused {
@@ -192,17 +192,17 @@
             } => {
                 // An engine that is full took nothing; waiting for it counts as no attempt.
                 self.attempts -= 1;
-                let left = self
+                let remaining = self
                     .dispatch_request
                     .deadline
                     .saturating_duration_since(Instant::now());
                 let backoff = retry_after
                     .unwrap_or(MIN_FULL_BACKOFF)
                     .clamp(MIN_FULL_BACKOFF, MIN_FULL_BACKOFF * 10);
-                if left <= backoff {
+                if remaining <= backoff {
                     let message = format!("every replica of {} is full", self.request.model);
                     let error = RequestError::not_run(ErrorCode::Overloaded, message);
-                    return Err(error.retry(FAILED_RETRY_AFTER));
+                    return Err(error.with_retry_after(FAILED_RETRY_AFTER));
                 }
                 tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
                 Ok(())
@@ -222,7 +222,7 @@
                     RetryDecision::GiveUp(reason) => {
                         let message = format!("{error}; {reason}");
                         let error = RequestError::not_run(ErrorCode::TargetFailed, message);
-                        Err(error.retry(FAILED_RETRY_AFTER))
+                        Err(error.with_retry_after(FAILED_RETRY_AFTER))
                     }
                 }
             }
@@ -248,7 +248,7 @@
             slot,
         };
         let error = match attempt.run(&mut self.progress, sink).await {
-            AttemptResult::Finished(end) => return Ok(CompletionResult::Finished(end)),
+            AttemptResult::Finished(summary) => return Ok(CompletionResult::Finished(summary)),
             AttemptResult::ClientDisconnected => return Ok(CompletionResult::ClientDisconnected),
             AttemptResult::HandOver => return Ok(CompletionResult::HandOver),
             AttemptResult::Failed(error) => error,
@@ -274,7 +274,7 @@
     }
 
     fn subject(&self) -> EventSubject {
-        EventSubject::request(&self.request.request).and_customer(&self.request.customer)
+        EventSubject::request(&self.request.id).and_customer(&self.request.customer)
     }
 
     fn record(&self, code: EventCode, replica: &ReplicaId, detail: &str) {
@@ -286,5 +286,5 @@
 fn content_mismatch() -> RequestError {
     let message = "the answer can't be continued: generated again, it differs from what you have; \
                    send the request without Last-Event-ID";
-    RequestError::unknown(ErrorCode::InvalidResume, message).at("header last-event-id")
+    RequestError::unknown(ErrorCode::InvalidResume, message).with_param("header last-event-id")
 }
--- a/crates/entry/src/completion_handler.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -26,7 +26,7 @@
 
 /// A completion that a caller asked for.
 #[derive(Debug)]
-pub struct CompletionContext<'a> {
+pub struct IncomingCompletion<'a> {
     /// The configuration in force.
     pub view: &'a ConfigView,
     /// Who calls.
@@ -34,9 +34,9 @@
     /// Headers of the request.
     pub headers: &'a HeaderMap,
     /// Name of the request.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// What is asked for.
-    pub ask: CompletionParams,
+    pub params: CompletionParams,
 }
 
 /// Answers a completion.
@@ -47,64 +47,64 @@
 /// streamed.
 pub async fn handle_completion<E: EngineClient>(
     context: &EntryContext<E>,
-    call: CompletionContext<'_>,
+    incoming: IncomingCompletion<'_>,
 ) -> Result<WebResponse, RequestError> {
-    let deadline = request_deadline(call.headers, &context.settings)?;
-    let resume = verified_token(context, &call)?;
-    let stream = call.ask.stream;
-    let include_usage = call.ask.include_usage;
-    let request = match &resume {
+    let deadline = request_deadline(incoming.headers, &context.settings)?;
+    let resume_token = verified_token(context, &incoming)?;
+    let stream = incoming.params.stream;
+    let include_usage = incoming.params.include_usage;
+    let request_id = match &resume_token {
         Some(token) => &token.scope.request,
-        None => &call.request,
+        None => &incoming.request_id,
     };
-    let order = build_request(
-        call.view,
-        call.customer,
+    let request = build_request(
+        incoming.view,
+        incoming.customer,
         &context.settings,
-        call.ask,
-        request,
+        incoming.params,
+        request_id,
         deadline,
     )?;
-    if let Some(token) = &resume
-        && token.scope.content != order.content()
+    if let Some(token) = &resume_token
+        && token.scope.content != request.content()
     {
         let message = "the request differs from the one that the stream answers";
         return Err(invalid_resume(message));
     }
-    let subject = request_subject(&order);
+    let subject = request_subject(&request);
     context
         .recorder
-        .note(EventCode::RequestAdmitted, subject, order.model.as_str());
+        .note(EventCode::RequestAdmitted, subject, request.model.as_str());
     if stream {
-        return respond_streaming(context, order, resume, include_usage).await;
+        return respond_streaming(context, request, resume_token, include_usage).await;
     }
-    respond_whole(context, &order).await
+    respond_whole(context, &request).await
 }
 
-fn request_subject(order: &GenerationRequest) -> EventSubject {
-    EventSubject::request(&order.request).and_customer(&order.customer)
+fn request_subject(request: &GenerationRequest) -> EventSubject {
+    EventSubject::request(&request.id).and_customer(&request.customer)
 }
 
 fn invalid_resume(message: impl Into<String>) -> RequestError {
     RequestError::not_run(ErrorCode::InvalidResume, message)
-        .at(format!("header {LAST_EVENT_HEADER}"))
+        .with_param(format!("header {LAST_EVENT_HEADER}"))
 }
 
 fn verified_token<E: EngineClient>(
     context: &EntryContext<E>,
-    call: &CompletionContext<'_>,
+    incoming: &IncomingCompletion<'_>,
 ) -> Result<Option<ResumeToken>, RequestError> {
-    let Some(text) = last_event_id(call.headers)? else {
+    let Some(text) = last_event_id(incoming.headers)? else {
         return Ok(None);
     };
-    if !call.ask.stream {
+    if !incoming.params.stream {
         return Err(invalid_resume("only a streamed answer can be gone on with"));
     }
     let token = context
         .signer
         .verify(text)
         .map_err(|error| invalid_resume(error.to_string()))?;
-    if token.scope.customer != call.customer.name {
+    if token.scope.customer != incoming.customer.name {
         // The same words as for a forged one: a stranger learns nothing of whose it is.
         let message = crate::token::TokenError::InvalidSignature.to_string();
         return Err(invalid_resume(message));
@@ -114,13 +114,13 @@
 
 async fn respond_whole<E: EngineClient>(
     context: &EntryContext<E>,
-    order: &GenerationRequest,
+    request: &GenerationRequest,
 ) -> Result<WebResponse, RequestError> {
     let mut sink = TextSink::default();
-    match CompletionRun::new(context, order).run(&mut sink).await {
-        CompletionResult::Finished(end) => {
-            record_answered(context, order, &end);
-            let body = ResponseFormatter::new(order).whole(sink.text, &end);
+    match CompletionRun::new(context, request).run(&mut sink).await {
+        CompletionResult::Finished(summary) => {
+            record_answered(context, request, &summary);
+            let body = ResponseFormatter::new(request).complete(sink.text, &summary);
             Ok(json_response(StatusCode::OK, &body))
         }
         CompletionResult::Failed(error) => Err(error),
@@ -133,16 +133,22 @@
 
 async fn respond_streaming<E: EngineClient>(
     context: &EntryContext<E>,
-    order: GenerationRequest,
-    resume: Option<ResumeToken>,
+    request: GenerationRequest,
+    resume_token: Option<ResumeToken>,
     include_usage: bool,
 ) -> Result<WebResponse, RequestError> {
     let (events, body) = channel_body(EVENT_BUFFER_CAPACITY);
-    let (head, begun) = oneshot::channel();
-    let frame = ResponseFormatter::new(&order);
-    let sink = EventSink::new(frame, events, head, include_usage, resume.is_some());
-    tokio::spawn(feed_stream(context.clone(), order, resume, sink));
-    match begun.await {
+    let (head, head_result) = oneshot::channel();
+    let formatter = ResponseFormatter::new(&request);
+    let sink = EventSink::new(
+        formatter,
+        events,
+        head,
+        include_usage,
+        resume_token.is_some(),
+    );
+    tokio::spawn(run_stream(context.clone(), request, resume_token, sink));
+    match head_result.await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => return Err(error),
         Err(_) => {
@@ -150,32 +156,32 @@
             return Err(RequestError::unknown(ErrorCode::Internal, message));
         }
     }
-    let mut answer = http::Response::new(body);
-    let headers = answer.headers_mut();
+    let mut response = http::Response::new(body);
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-    Ok(answer)
+    Ok(response)
 }
 
-async fn feed_stream<E: EngineClient>(
+async fn run_stream<E: EngineClient>(
     context: EntryContext<E>,
-    order: GenerationRequest,
-    resume: Option<ResumeToken>,
+    request: GenerationRequest,
+    resume_token: Option<ResumeToken>,
     mut sink: EventSink,
 ) {
-    let run = CompletionRun::new(&context, &order);
-    let end = match &resume {
+    let run = CompletionRun::new(&context, &request);
+    let result = match &resume_token {
         Some(token) => run.resume(token, &mut sink).await,
         None => run.run(&mut sink).await,
     };
-    let subject = request_subject(&order);
-    match end {
-        CompletionResult::Finished(end) => {
-            if sink.finish(&end).await.is_ok() {
-                record_answered(&context, &order, &end);
+    let subject = request_subject(&request);
+    match result {
+        CompletionResult::Finished(summary) => {
+            if sink.finish(&summary).await.is_ok() {
+                record_answered(&context, &request, &summary);
                 return;
             }
             context
@@ -194,7 +200,7 @@
             sink.hand_over().await;
         }
         CompletionResult::Failed(error) => {
-            let body = error.body(&order.request);
+            let body = error.body(&request.id);
             if sink.has_begun() {
                 context
                     .recorder
@@ -207,11 +213,11 @@
 
 fn record_answered<E: EngineClient>(
     context: &EntryContext<E>,
-    order: &GenerationRequest,
-    end: &GenerationSummary,
+    request: &GenerationRequest,
+    summary: &GenerationSummary,
 ) {
-    let detail = format!("{} tokens", end.count);
+    let detail = format!("{} tokens", summary.count);
     context
         .recorder
-        .note(EventCode::RequestAnswered, request_subject(order), detail);
+        .note(EventCode::RequestAnswered, request_subject(request), detail);
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -15,7 +15,7 @@
 use crate::token::TokenSigner;
 
 /// Bytes of a node's name in its requests' ids, which must stay short enough for attempts.
-const MAX_NODE_BYTES: usize = 40;
+const MAX_NODE_ID_BYTES: usize = 40;
 
 /// What the request path works with. Cheap to clone.
 #[derive(Debug, Clone, Builder)]
@@ -66,7 +66,7 @@
     pub fn new(node: &NodeId) -> Self {
         let process = rand::random::<u64>();
         // Identifiers are ASCII, so that any byte is a character's end.
-        let name = &node.as_str()[..node.as_str().len().min(MAX_NODE_BYTES)];
+        let name = &node.as_str()[..node.as_str().len().min(MAX_NODE_ID_BYTES)];
         let counter = IdCounters {
             prefix: format!("{name}.{process:016x}"),
             process,
@@ -80,7 +80,7 @@
 
     /// Names a request.
     #[must_use]
-    pub fn request(&self) -> RequestId {
+    pub fn request_id(&self) -> RequestId {
         let number = self.inner.requests.fetch_add(1, Ordering::Relaxed);
         let text = format!("{}.{number}", self.inner.prefix);
         text.parse()
@@ -89,7 +89,7 @@
 
     /// Names an attempt of a request, which may be one of another entry.
     #[must_use]
-    pub fn attempt(&self, request: &RequestId) -> AttemptId {
+    pub fn attempt_id(&self, request: &RequestId) -> AttemptId {
         let number = self.inner.attempts.fetch_add(1, Ordering::Relaxed);
         let process = self.inner.process >> 32;
         let text = format!("{request}.{process:08x}.{number}");
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -40,7 +40,8 @@
 
     fn no_replica_error(&self) -> RequestError {
         let message = format!("no whole replica serves {} now", self.request.model);
-        RequestError::not_run(ErrorCode::NoReplica, message).retry(NO_REPLICA_RETRY_AFTER)
+        RequestError::not_run(ErrorCode::NoReplica, message)
+            .with_retry_after(NO_REPLICA_RETRY_AFTER)
     }
 }
 
@@ -118,7 +119,7 @@
                 retry_after,
             } => {
                 let error = RequestError::not_run(ErrorCode::Overloaded, reason.to_string());
-                waiting.reject(error.retry(retry_after));
+                waiting.reject(error.with_retry_after(retry_after));
             }
         }
     }
@@ -174,7 +175,7 @@
             let after = self.queue.retry_after(at.now, waiting.request.cost);
             let message = "the answer could not begin within the request's timeout";
             let error = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
-            waiting.reject(error.retry(after));
+            waiting.reject(error.with_retry_after(after));
         }
         for waiting in std::mem::take(&mut self.unplaced) {
             if waiting.deadline > at.now {
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -16,13 +16,13 @@
     /// What happened and what to do.
     pub message: String,
     /// Place in the request.
-    pub place: Option<String>,
+    pub param: Option<String>,
     /// Whether the request was run.
     pub execution: ExecutionState,
     /// When to come back.
     pub retry_after: Option<Duration>,
     /// The method that the path takes.
-    pub allowed: Option<Method>,
+    pub allowed_method: Option<Method>,
 }
 
 impl RequestError {
@@ -32,10 +32,10 @@
         Self {
             code,
             message: message.into(),
-            place: None,
+            param: None,
             execution: ExecutionState::NotRun,
             retry_after: None,
-            allowed: None,
+            allowed_method: None,
         }
     }
 
@@ -55,24 +55,24 @@
         self
     }
 
-    /// The same failure with its place in the request.
+    /// The same failure with its param in the request.
     #[must_use]
-    pub fn at(mut self, place: impl Into<String>) -> Self {
-        self.place = Some(place.into());
+    pub fn with_param(mut self, param: impl Into<String>) -> Self {
+        self.param = Some(param.into());
         self
     }
 
     /// The same failure with the time after which to come back.
     #[must_use]
-    pub fn retry(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
     /// The same failure with the method that the path takes.
     #[must_use]
-    pub fn allow(mut self, method: Method) -> Self {
-        self.allowed = Some(method);
+    pub fn with_allowed_method(mut self, method: Method) -> Self {
+        self.allowed_method = Some(method);
         self
     }
 
@@ -102,7 +102,7 @@
 
     /// Body of the answer.
     #[must_use]
-    pub fn body(&self, request: &RequestId) -> ErrorBody {
+    pub fn body(&self, request_id: &RequestId) -> ErrorBody {
         let class = if self.status().is_client_error() {
             "invalid_request_error"
         } else {
@@ -113,33 +113,33 @@
                 code: self.code,
                 message: self.message.clone(),
                 class: class.to_owned(),
-                param: self.place.clone(),
+                param: self.param.clone(),
                 execution: self.execution,
-                retry_after: self.retry_after.map(whole_seconds),
-                request: request.to_string(),
+                retry_after: self.retry_after.map(round_up_to_seconds),
+                request: request_id.to_string(),
             },
         }
     }
 
     /// The answer.
     #[must_use]
-    pub fn answer(&self, request: &RequestId) -> WebResponse {
-        let mut answer = json_response(self.status(), &self.body(request));
+    pub fn response(&self, request_id: &RequestId) -> WebResponse {
+        let mut response = json_response(self.status(), &self.body(request_id));
         if let Some(after) = self.retry_after {
-            let value = HeaderValue::from(whole_seconds(after));
-            answer.headers_mut().insert(header::RETRY_AFTER, value);
+            let value = HeaderValue::from(round_up_to_seconds(after));
+            response.headers_mut().insert(header::RETRY_AFTER, value);
         }
-        if let Some(method) = &self.allowed
+        if let Some(method) = &self.allowed_method
             && let Ok(value) = HeaderValue::from_str(method.as_str())
         {
-            answer.headers_mut().insert(header::ALLOW, value);
+            response.headers_mut().insert(header::ALLOW, value);
         }
-        answer
+        response
     }
 }
 
 /// Whole seconds, rounded up, since `Retry-After` knows no fractions and 0 invites a stampede.
-fn whole_seconds(time: Duration) -> u64 {
+fn round_up_to_seconds(time: Duration) -> u64 {
     let seconds = time.as_secs() + u64::from(time.subsec_nanos() > 0);
     seconds.max(1)
 }
--- a/crates/entry/src/formatter.rs
+++ b/crates/entry/src/formatter.rs
@@ -13,30 +13,30 @@
 /// What all pieces of one answer have in common.
 #[derive(Debug, Clone)]
 pub struct ResponseFormatter {
-    request: RequestId,
+    request_id: RequestId,
     model: ModelName,
-    shape: ResponseFormat,
+    format: ResponseFormat,
     created: u64,
 }
 
 impl ResponseFormatter {
-    /// The frame of an order's answer.
+    /// The frame of an request's answer.
     #[must_use]
-    pub fn new(order: &GenerationRequest) -> Self {
+    pub fn new(request: &GenerationRequest) -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         Self {
-            request: order.request.clone(),
-            model: order.model.clone(),
-            shape: order.shape,
+            request_id: request.id.clone(),
+            model: request.model.clone(),
+            format: request.format,
             created: since_epoch.as_secs(),
         }
     }
 
     fn body(&self, object: &str, choices: Vec<CompletionChoice>) -> CompletionBody {
         CompletionBody {
-            id: self.request.to_string(),
+            id: self.request_id.to_string(),
             object: object.to_owned(),
             created: self.created,
             model: self.model.to_string(),
@@ -47,12 +47,12 @@
 
     /// A whole answer.
     #[must_use]
-    pub fn whole(&self, text: String, end: &GenerationSummary) -> CompletionBody {
+    pub fn complete(&self, text: String, summary: &GenerationSummary) -> CompletionBody {
         let mut choice = CompletionChoice {
-            finish_reason: Some(end.finish_reason.clone()),
+            finish_reason: Some(summary.finish_reason.clone()),
             ..CompletionChoice::default()
         };
-        let object = match self.shape {
+        let object = match self.format {
             ResponseFormat::Chat => {
                 choice.message = Some(ChoiceMessage {
                     role: Some("assistant".to_owned()),
@@ -66,74 +66,77 @@
             }
         };
         let mut body = self.body(object, vec![choice]);
-        body.usage = Some(usage_counts(end));
+        body.usage = Some(usage_counts(summary));
         body
     }
 
-    /// The piece that opens a streamed chat; a plain completion has none.
+    /// The chunk that opens a streamed chat; a plain completion has none.
     #[must_use]
-    pub fn opening(&self) -> Option<CompletionBody> {
-        match self.shape {
+    pub fn opening_chunk(&self) -> Option<CompletionBody> {
+        match self.format {
             ResponseFormat::Chat => {
                 let delta = ChoiceMessage {
                     role: Some("assistant".to_owned()),
                     content: Some(String::new()),
                 };
-                Some(self.piece(delta, None))
+                Some(self.chunk(delta, None))
             }
             ResponseFormat::Text => None,
         }
     }
 
-    /// A piece with one token.
+    /// A chunk with one token.
     #[must_use]
-    pub fn token(&self, text: &str) -> CompletionBody {
+    pub fn token_chunk(&self, text: &str) -> CompletionBody {
         let delta = ChoiceMessage {
             role: None,
             content: Some(text.to_owned()),
         };
-        self.piece(delta, None)
+        self.chunk(delta, None)
     }
 
-    /// The piece that says why the answer ended.
+    /// The chunk that says why the answer ended.
     #[must_use]
-    pub fn finish(&self, end: &GenerationSummary) -> CompletionBody {
-        self.piece(ChoiceMessage::default(), Some(end.finish_reason.clone()))
+    pub fn finish_chunk(&self, summary: &GenerationSummary) -> CompletionBody {
+        self.chunk(
+            ChoiceMessage::default(),
+            Some(summary.finish_reason.clone()),
+        )
     }
 
-    /// The piece with the counts, for callers that asked for it.
+    /// The chunk with the counts, for callers that asked for it.
     #[must_use]
-    pub fn usage(&self, end: &GenerationSummary) -> CompletionBody {
-        let mut body = self.body(self.piece_object(), Vec::new());
-        body.usage = Some(usage_counts(end));
+    pub fn usage_chunk(&self, summary: &GenerationSummary) -> CompletionBody {
+        let mut body = self.body(self.chunk_object(), Vec::new());
+        body.usage = Some(usage_counts(summary));
         body
     }
 
-    fn piece_object(&self) -> &'static str {
-        match self.shape {
+    fn chunk_object(&self) -> &'static str {
+        match self.format {
             ResponseFormat::Chat => "chat.completion.chunk",
             ResponseFormat::Text => "text_completion",
         }
     }
 
-    fn piece(&self, delta: ChoiceMessage, finish_reason: Option<String>) -> CompletionBody {
+    fn chunk(&self, delta: ChoiceMessage, finish_reason: Option<String>) -> CompletionBody {
         let mut choice = CompletionChoice {
             finish_reason,
             ..CompletionChoice::default()
         };
-        match self.shape {
+        match self.format {
             ResponseFormat::Chat => choice.delta = Some(delta),
             ResponseFormat::Text => choice.text = Some(delta.content.unwrap_or_default()),
         }
-        self.body(self.piece_object(), vec![choice])
+        self.body(self.chunk_object(), vec![choice])
     }
 }
 
-fn usage_counts(end: &GenerationSummary) -> UsageCounts {
+fn usage_counts(summary: &GenerationSummary) -> UsageCounts {
     UsageCounts {
-        prompt_tokens: end.prompt_tokens,
-        completion_tokens: end.count,
-        total_tokens: end.prompt_tokens.saturating_add(end.count),
+        prompt_tokens: summary.prompt_tokens,
+        completion_tokens: summary.count,
+        total_tokens: summary.prompt_tokens.saturating_add(summary.count),
     }
 }
 
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -38,11 +38,11 @@
     /// The prompt.
     pub prompt: String,
     /// Most tokens, with the name of the field that says so.
-    pub limit: Option<(u32, &'static str)>,
+    pub max_tokens: Option<(u32, &'static str)>,
     /// Seed, when the caller names one.
     pub seed: Option<u64>,
     /// Shape of the answer.
-    pub shape: ResponseFormat,
+    pub format: ResponseFormat,
     /// Whether to stream.
     pub stream: bool,
     /// Whether a stream closes with the usage.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 pub struct GenerationRequest {
     /// The request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Who asks.
     pub customer: CustomerId,
     /// Weight of the customer against others.
@@ -73,7 +73,7 @@
     /// Moment by which the answer shall have begun.
     pub deadline: Instant,
     /// Shape of the answer.
-    pub shape: ResponseFormat,
+    pub format: ResponseFormat,
 }
 
 impl GenerationRequest {
@@ -82,7 +82,7 @@
     pub fn content(&self) -> ContentDigest {
         let adapter = self.adapter.as_ref().map_or("", AdapterName::as_str);
         ContentDigest::of_parts(&[
-            self.shape.as_bytes(),
+            self.format.as_bytes(),
             self.model.as_str().as_bytes(),
             adapter.as_bytes(),
             self.prompt.as_bytes(),
@@ -92,15 +92,15 @@
     }
 }
 
-fn invalid(message: impl Into<String>, place: &str) -> RequestError {
-    RequestError::not_run(ErrorCode::InvalidRequest, message).at(place)
+fn invalid_request(message: impl Into<String>, param: &str) -> RequestError {
+    RequestError::not_run(ErrorCode::InvalidRequest, message).with_param(param)
 }
 
 fn check_choices(choices: Option<u32>) -> Result<(), RequestError> {
     if choices.is_none_or(|count| count == 1) {
         return Ok(());
     }
-    Err(invalid(
+    Err(invalid_request(
         "one choice is generated: leave 'n' out or send 1",
         "n",
     ))
@@ -112,7 +112,7 @@
     fn try_from(body: ChatRequest) -> Result<Self, RequestError> {
         check_choices(body.n)?;
         if body.messages.is_empty() {
-            return Err(invalid("send at least one message", "messages"));
+            return Err(invalid_request("send at least one message", "messages"));
         }
         let mut lines = Vec::with_capacity(body.messages.len());
         for message in &body.messages {
@@ -128,9 +128,9 @@
         Ok(Self {
             model: body.model,
             prompt: lines.join("\n"),
-            limit: newer.or(body.max_tokens.map(|limit| (limit, "max_tokens"))),
+            max_tokens: newer.or(body.max_tokens.map(|limit| (limit, "max_tokens"))),
             seed: body.seed,
-            shape: ResponseFormat::Chat,
+            format: ResponseFormat::Chat,
             stream: body.stream.unwrap_or(false),
             include_usage: body.stream_options.unwrap_or_default().include_usage,
         })
@@ -146,22 +146,22 @@
             PromptText::One(text) => text,
             PromptText::Many(texts) => match <[String; 1]>::try_from(texts) {
                 Ok([text]) => text,
-                Err(_) => return Err(invalid("send exactly one prompt", "prompt")),
+                Err(_) => return Err(invalid_request("send exactly one prompt", "prompt")),
             },
         };
         Ok(Self {
             model: body.model,
             prompt,
-            limit: body.max_tokens.map(|limit| (limit, "max_tokens")),
+            max_tokens: body.max_tokens.map(|limit| (limit, "max_tokens")),
             seed: body.seed,
-            shape: ResponseFormat::Text,
+            format: ResponseFormat::Text,
             stream: body.stream.unwrap_or(false),
             include_usage: body.stream_options.unwrap_or_default().include_usage,
         })
     }
 }
 
-/// Checks an ask against the customer's grants and the limits.
+/// Checks an params against the customer's grants and the limits.
 ///
 /// # Errors
 ///
@@ -170,13 +170,13 @@
     view: &ConfigView,
     customer: &CustomerRecord,
     settings: &EntrySettings,
-    ask: CompletionParams,
-    request: &RequestId,
+    params: CompletionParams,
+    request_id: &RequestId,
     deadline: Instant,
 ) -> Result<GenerationRequest, RequestError> {
-    let (model, adapter) = match ask.model.split_once(':') {
+    let (model, adapter) = match params.model.split_once(':') {
         Some((model, adapter)) => (model, Some(adapter)),
-        None => (ask.model.as_str(), None),
+        None => (params.model.as_str(), None),
     };
     let grant = find_grant(view, customer, model)?;
     let adapter = match adapter {
@@ -184,17 +184,17 @@
         None => None,
     };
     Ok(GenerationRequest {
-        request: request.clone(),
+        id: request_id.clone(),
         customer: customer.name.clone(),
         share: customer.share,
         model: grant.model.clone(),
         version: grant.version.clone(),
         adapter,
-        prompt: ask.prompt,
-        max_tokens: check_max_tokens(ask.limit, settings)?,
-        seed: ask.seed.unwrap_or_else(|| own_seed(request)),
+        prompt: params.prompt,
+        max_tokens: check_max_tokens(params.max_tokens, settings)?,
+        seed: params.seed.unwrap_or_else(|| derive_seed(request_id)),
         deadline,
-        shape: ask.shape,
+        format: params.format,
     })
 }
 
@@ -216,7 +216,7 @@
         let message = format!("there is no model {model:?}; GET /v1/models lists yours");
         RequestError::not_run(ErrorCode::NotFound, message)
     };
-    Err(error.at("model"))
+    Err(error.with_param("model"))
 }
 
 fn find_adapter(grant: &ModelGrant, adapter: &str) -> Result<AdapterName, RequestError> {
@@ -229,27 +229,27 @@
         "the customer may not use adapter {adapter:?} of {}, or there is none",
         grant.model
     );
-    Err(RequestError::not_run(ErrorCode::NotGranted, message).at("model"))
+    Err(RequestError::not_run(ErrorCode::NotGranted, message).with_param("model"))
 }
 
 fn check_max_tokens(
     limit: Option<(u32, &'static str)>,
     settings: &EntrySettings,
 ) -> Result<u32, RequestError> {
-    let Some((limit, place)) = limit else {
+    let Some((limit, param)) = limit else {
         return Ok(settings.default_max_tokens);
     };
     if (1..=settings.max_tokens).contains(&limit) {
         return Ok(limit);
     }
-    let message = format!("{place} must be from 1 to {}", settings.max_tokens);
-    Err(invalid(message, place))
+    let message = format!("{param} must be from 1 to {}", settings.max_tokens);
+    Err(invalid_request(message, param))
 }
 
 /// The seed of a request that names none: the same at every entry, since the resume token carries
 /// the request's id.
-fn own_seed(request: &RequestId) -> u64 {
-    let ContentDigest(bytes) = ContentDigest::of_parts(&[request.as_str().as_bytes()]);
+fn derive_seed(request_id: &RequestId) -> u64 {
+    let ContentDigest(bytes) = ContentDigest::of_parts(&[request_id.as_str().as_bytes()]);
     let mut seed = [0; 8];
     seed.copy_from_slice(&bytes[..8]);
     u64::from_be_bytes(seed)
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -84,5 +84,5 @@
 }
 
 fn invalid_header(name: &str, message: impl Into<String>) -> RequestError {
-    RequestError::not_run(ErrorCode::InvalidRequest, message).at(format!("header {name}"))
+    RequestError::not_run(ErrorCode::InvalidRequest, message).with_param(format!("header {name}"))
 }
--- a/crates/entry/src/latency.rs
+++ b/crates/entry/src/latency.rs
@@ -13,8 +13,8 @@
     sink: &'a mut A,
     metrics: Option<NodeMetrics>,
     model: &'a ModelName,
-    began: Instant,
-    last: Option<Instant>,
+    started: Instant,
+    last_token: Option<Instant>,
 }
 
 impl<'a, A: ResponseSink> LatencySink<'a, A> {
@@ -24,38 +24,38 @@
             sink,
             metrics: recorder.metrics().cloned(),
             model,
-            began: Instant::now(),
-            last: None,
+            started: Instant::now(),
+            last_token: None,
         }
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let now = Instant::now();
-        let last = self.last.replace(now);
+        let last_token = self.last_token.replace(now);
         let Some(metrics) = &self.metrics else { return };
-        match last {
-            Some(last) => metrics.record_token_gap(self.model.as_str(), now - last),
-            None => metrics.record_first_token(self.model.as_str(), now - self.began),
+        match last_token {
+            Some(last_token) => metrics.record_token_gap(self.model.as_str(), now - last_token),
+            None => metrics.record_first_token(self.model.as_str(), now - self.started),
         }
     }
 }
 
 impl<A: ResponseSink> ResponseSink for LatencySink<'_, A> {
-    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
-        self.sink.begin(signer, offset);
+    fn begin_attempt(&mut self, signer: ScopeSigner, offset: StreamOffset) {
+        self.sink.begin_attempt(signer, offset);
     }
 
-    async fn token(
+    async fn send_token(
         &mut self,
         text: String,
         offset: StreamOffset,
     ) -> Result<(), ClientDisconnected> {
-        self.note_token();
-        self.sink.token(text, offset).await
+        self.record_token();
+        self.sink.send_token(text, offset).await
     }
 
-    async fn gone(&self) {
-        self.sink.gone().await;
+    async fn disconnected(&self) {
+        self.sink.disconnected().await;
     }
 
     fn can_hand_over(&self) -> bool {
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -50,5 +50,5 @@
         }
     }
     let message = format!("the customer has no model {name:?}");
-    Err(RequestError::not_run(ErrorCode::NotFound, message).at("path"))
+    Err(RequestError::not_run(ErrorCode::NotFound, message).with_param("path"))
 }
--- a/crates/entry/src/request_head.rs
+++ b/crates/entry/src/request_head.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub struct RequestHead {
     /// Name of the request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Method.
     pub method: http::Method,
     /// Path.
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -40,7 +40,7 @@
 pub fn find_route<'path>(method: &Method, path: &'path str) -> Result<Route<'path>, RequestError> {
     let route = match_path(path).ok_or_else(|| {
         let message = format!("there is no path {path:?}");
-        RequestError::not_run(ErrorCode::NotFound, message).at("path")
+        RequestError::not_run(ErrorCode::NotFound, message).with_param("path")
     })?;
     let allowed = match route {
         Route::Health | Route::Ready | Route::Models | Route::Model(_) => Method::GET,
@@ -51,7 +51,7 @@
     }
     let message = format!("{path} takes {allowed} only");
     let error = RequestError::not_run(ErrorCode::MethodNotAllowed, message);
-    Err(error.at("method").allow(allowed))
+    Err(error.with_param("method").with_allowed_method(allowed))
 }
 
 fn match_path(path: &str) -> Option<Route<'_>> {
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -17,7 +17,7 @@
 use wire::openai::{ChatRequest, CompletionRequest};
 
 use crate::auth::authenticate;
-use crate::completion_handler::{CompletionContext, handle_completion};
+use crate::completion_handler::{IncomingCompletion, handle_completion};
 use crate::context::EntryContext;
 use crate::error::RequestError;
 use crate::generation::CompletionParams;
@@ -54,60 +54,62 @@
 
     async fn route(
         &self,
-        call: &RequestHead,
+        head: &RequestHead,
         body: impl RequestBody,
     ) -> Result<WebResponse, RequestError> {
-        let route = find_route(&call.method, &call.path)?;
+        let route = find_route(&head.method, &head.path)?;
         let view = Arc::clone(&self.context.config.borrow());
         match route {
             Route::Health => return Ok(text_response(StatusCode::OK, "live\n")),
-            Route::Ready => return self.ready(&view),
+            Route::Ready => return self.readiness(&view),
             _ => {}
         }
         require_current_config(&view)?;
-        let customer = authenticate(&view, &call.headers)?;
+        let customer = authenticate(&view, &head.headers)?;
         match route {
-            Route::Health | Route::Ready => self.ready(&view),
+            Route::Health | Route::Ready => self.readiness(&view),
             Route::Models => Ok(list_models(customer)),
             Route::Model(name) => show_model(customer, name),
             Route::Chat => {
                 let body: ChatRequest = self.read_json(body).await?;
-                self.complete(&view, customer, call, body.try_into()?).await
+                self.start_completion(&view, customer, head, body.try_into()?)
+                    .await
             }
             Route::Completion => {
                 let body: CompletionRequest = self.read_json(body).await?;
-                self.complete(&view, customer, call, body.try_into()?).await
+                self.start_completion(&view, customer, head, body.try_into()?)
+                    .await
             }
             Route::Service { name, call: path } => {
-                let found = resolve_call(&view, customer, name, path)?;
+                let resolved = resolve_call(&view, customer, name, path)?;
                 let bytes = self.read_limited(body).await?;
-                self.services.call(found, call, bytes).await
+                self.services.call(resolved, head, bytes).await
             }
         }
     }
 
-    async fn complete(
+    async fn start_completion(
         &self,
         view: &ConfigView,
         customer: &CustomerRecord,
-        call: &RequestHead,
-        ask: CompletionParams,
+        head: &RequestHead,
+        params: CompletionParams,
     ) -> Result<WebResponse, RequestError> {
-        let completion = CompletionContext {
+        let incoming = IncomingCompletion {
             view,
             customer,
-            headers: &call.headers,
-            request: call.request.clone(),
-            ask,
+            headers: &head.headers,
+            request_id: head.id.clone(),
+            params,
         };
-        handle_completion(&self.context, completion).await
+        handle_completion(&self.context, incoming).await
     }
 
-    fn ready(&self, view: &ConfigView) -> Result<WebResponse, RequestError> {
+    fn readiness(&self, view: &ConfigView) -> Result<WebResponse, RequestError> {
         if self.context.shutdown.is_stopping() {
             let message = "this node stops";
             let error = RequestError::not_run(ErrorCode::NotReady, message);
-            return Err(error.retry(NOT_READY_RETRY_AFTER));
+            return Err(error.with_retry_after(NOT_READY_RETRY_AFTER));
         }
         require_current_config(view)?;
         Ok(text_response(StatusCode::OK, "ready\n"))
@@ -129,33 +131,33 @@
 
     /// Answers one request, whatever its body is read from.
     pub async fn handle_request<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
-        let (head, body) = request.into_parts();
-        let call = RequestHead {
-            request: self.context.ids.request(),
-            method: head.method,
-            path: head.uri.path().to_owned(),
-            headers: head.headers,
+        let (request_parts, body) = request.into_parts();
+        let head = RequestHead {
+            id: self.context.ids.request_id(),
+            method: request_parts.method,
+            path: request_parts.uri.path().to_owned(),
+            headers: request_parts.headers,
         };
-        let mut answer = match self.route(&call, body).await {
-            Ok(answer) => answer,
-            Err(error) => self.fail(&call.request, &error),
+        let mut response = match self.route(&head, body).await {
+            Ok(response) => response,
+            Err(error) => self.error_response(&head.id, &error),
         };
-        if self.context.shutdown.is_stopping() && head.version < Version::HTTP_2 {
+        if self.context.shutdown.is_stopping() && request_parts.version < Version::HTTP_2 {
             // The client must not send its next request on a connection that is about to close.
             let value = HeaderValue::from_static("close");
-            answer.headers_mut().insert(header::CONNECTION, value);
+            response.headers_mut().insert(header::CONNECTION, value);
         }
-        answer
+        response
     }
 
-    fn fail(&self, request: &RequestId, error: &RequestError) -> WebResponse {
-        let subject = EventSubject::request(request);
+    fn error_response(&self, request_id: &RequestId, error: &RequestError) -> WebResponse {
+        let subject = EventSubject::request(request_id);
         let code = match error.code {
             ErrorCode::Overloaded => EventCode::RequestRefused,
             _ => EventCode::RequestFailed,
         };
         self.context.recorder.note(code, subject, error.to_string());
-        error.answer(request)
+        error.response(request_id)
     }
 }
 
@@ -175,7 +177,7 @@
         return Ok(());
     }
     let message = "this node does not know the configuration in force";
-    Err(RequestError::not_run(ErrorCode::NotReady, message).retry(NOT_READY_RETRY_AFTER))
+    Err(RequestError::not_run(ErrorCode::NotReady, message).with_retry_after(NOT_READY_RETRY_AFTER))
 }
 
 /// Place of a parse error as a caller writes it: a body that breaks off inside a field is given
@@ -191,13 +193,13 @@
     let message = error.to_string();
     match error {
         BodyError::TooLarge(_) => {
-            RequestError::not_run(ErrorCode::BodyTooLarge, message).at("body")
+            RequestError::not_run(ErrorCode::BodyTooLarge, message).with_param("body")
         }
         BodyError::Broken(_) => {
-            RequestError::not_run(ErrorCode::InvalidRequest, message).at("body")
+            RequestError::not_run(ErrorCode::InvalidRequest, message).with_param("body")
         }
         BodyError::Json { place, .. } => {
-            RequestError::not_run(ErrorCode::InvalidRequest, message).at(body_param(&place))
+            RequestError::not_run(ErrorCode::InvalidRequest, message).with_param(body_param(&place))
         }
     }
 }
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -54,84 +54,84 @@
 impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
     pub(super) async fn call_claimed(
         &self,
-        run: &PendingCall,
+        call: &PendingCall,
         key: &str,
     ) -> Result<WebResponse, RequestError> {
-        if run.found.service.targets.is_empty() {
-            return Err(no_instance(run));
+        if call.resolved.service.targets.is_empty() {
+            return Err(no_instance(call));
         }
         let claim_key = ClaimKey {
-            service: run.found.service.name.clone(),
-            customer: run.found.customer.name.clone(),
+            service: call.resolved.service.name.clone(),
+            customer: call.resolved.customer.name.clone(),
             key_hash: sha256_hex(key.as_bytes()),
         };
-        let attempt: AttemptId = run
-            .request
+        let attempt: AttemptId = call
+            .request_id
             .as_str()
             .parse()
             .unwrap_or_else(|error| unreachable!("one id is as good as the other: {error}"));
         let claimed = self
             .ledger
-            .claim(claim_key.clone(), attempt, body_hash(run))
+            .claim(claim_key.clone(), attempt, body_hash(call))
             .await
             .map_err(|error| store_error(&error))?;
         match claimed {
             ClaimOutcome::Granted(ticket) => {
-                self.note(EventCode::ClaimGranted, run, "");
-                self.send_claimed(run, ticket).await
+                self.record(EventCode::ClaimGranted, call, "");
+                self.send_claimed(call, ticket).await
             }
             ClaimOutcome::Existing(claim) => {
-                self.resolve_existing_claim(run, key, &claim_key, &claim)
+                self.resolve_existing_claim(call, key, &claim_key, &claim)
                     .await
             }
             ClaimOutcome::Reused => {
                 let message = "the idempotency key was used with another call or body";
                 let error = RequestError::not_run(ErrorCode::KeyReused, message);
-                Err(error.at("header idempotency-key"))
+                Err(error.with_param("header idempotency-key"))
             }
         }
     }
 
     async fn send_claimed(
         &self,
-        run: &PendingCall,
+        call: &PendingCall,
         ticket: ClaimTicket,
     ) -> Result<WebResponse, RequestError> {
-        match self.send_once(run, &ticket).await {
+        match self.send_once(call, &ticket).await {
             SendOutcome::Answered(answer) => {
                 self.record_settled(
-                    run,
+                    call,
                     self.ledger.settle(ticket, answered_state(&answer)).await,
                 );
                 Ok(response_from_service(&answer))
             }
             SendOutcome::Unsent(problem) => {
                 let error = RequestError::not_run(ErrorCode::TargetFailed, problem);
-                let error = error.retry(CALL_RETRY_AFTER);
+                let error = error.with_retry_after(CALL_RETRY_AFTER);
                 match self.ledger.settle(ticket, ClaimState::NotRun).await {
-                    Ok(()) => self.note(EventCode::ClaimWithdrawn, run, ""),
+                    Ok(()) => self.record(EventCode::ClaimWithdrawn, call, ""),
                     // The call was not run and never will be under this claim; only its key stays
                     // taken until the ledger has written so.
-                    Err(error) => self.note(EventCode::ClaimUnknown, run, &error.to_string()),
+                    Err(error) => self.record(EventCode::ClaimUnknown, call, &error.to_string()),
                 }
                 Err(error)
             }
             SendOutcome::Lost(problem) => {
-                self.note(EventCode::ClaimUnknown, run, &problem);
+                self.record(EventCode::ClaimUnknown, call, &problem);
                 let error = RequestError::unknown(ErrorCode::TargetFailed, problem);
-                Err(error.retry(CALL_RETRY_AFTER))
+                Err(error.with_retry_after(CALL_RETRY_AFTER))
             }
         }
     }
 
     /// Sends a claimed call, to the first instance that can be connected to.
-    async fn send_once(&self, run: &PendingCall, ticket: &ClaimTicket) -> SendOutcome {
-        let addresses = &run.found.service.targets;
+    async fn send_once(&self, call: &PendingCall, ticket: &ClaimTicket) -> SendOutcome {
+        let addresses = &call.resolved.service.targets;
         let mut tried = FastSet::default();
         let mut problem = "no instance can be reached".to_owned();
         while let Some(address) = self.pool.choose(addresses, &tried) {
             tried.insert(address);
-            if run.left().is_zero() || !ticket.is_fresh() {
+            if call.remaining().is_zero() || !ticket.is_fresh() {
                 // Frozen or kept waiting for too long: the caller was told something else by now,
                 // and the ledger may clean up settled rows that are far older than a ticket.
                 self.pool
@@ -141,9 +141,9 @@
                 );
             }
             let started = Instant::now();
-            self.note(EventCode::CallSent, run, &address.to_string());
+            self.record(EventCode::CallSent, call, &address.to_string());
             let limit = self.settings.call_timeout();
-            let outcome = self.service.call(address, &run.order, limit).await;
+            let outcome = self.service.call(address, &call.request, limit).await;
             let ended = match &outcome {
                 Ok(_) => CallOutcome::Answered,
                 Err(_) => CallOutcome::Failed,
@@ -152,11 +152,11 @@
             match outcome {
                 Ok(answer) => return SendOutcome::Answered(answer),
                 Err(ServiceError::ResponseLost(error)) => {
-                    self.note(EventCode::CallFailed, run, &format!("{address}: {error}"));
+                    self.record(EventCode::CallFailed, call, &format!("{address}: {error}"));
                     return SendOutcome::Lost(error.to_string());
                 }
                 Err(ServiceError::Unsent(error)) => {
-                    self.note(EventCode::CallFailed, run, &format!("{address}: {error}"));
+                    self.record(EventCode::CallFailed, call, &format!("{address}: {error}"));
                     problem = error.to_string();
                 }
             }
@@ -166,7 +166,7 @@
 
     async fn resolve_existing_claim(
         &self,
-        run: &PendingCall,
+        call: &PendingCall,
         key: &str,
         claim_key: &ClaimKey,
         claim: &CallClaim,
@@ -183,15 +183,15 @@
                 body: Bytes::from(body.clone()),
             }));
         }
-        if let Some(answer) = self.look_up_execution(run, key).await {
-            self.note(EventCode::ClaimFound, run, "");
+        if let Some(answer) = self.look_up_execution(call, key).await {
+            self.record(EventCode::ClaimFound, call, "");
             self.settle_later(claim_key, claim, answered_state(&answer));
             return Ok(response_from_service(&answer));
         }
         let message = "a call with this idempotency key may have run; it is not sent again. Ask \
                        again with the same key and body to learn of its outcome";
         let error = RequestError::unknown(ErrorCode::CallPending, message);
-        Err(error.retry(CALL_RETRY_AFTER))
+        Err(error.with_retry_after(CALL_RETRY_AFTER))
     }
 
     /// Settles a claim by the look-up, once a claimant that lives would have settled it itself.
@@ -215,19 +215,19 @@
     /// A service that shows no execution proves nothing, since the call may still be on its way.
     /// Where several customers may call a service, their keys could be the same, and one would be
     /// told of the other's payment; the service's word counts then only when it names the customer.
-    async fn look_up_execution(&self, run: &PendingCall, key: &str) -> Option<ServiceResponse> {
+    async fn look_up_execution(&self, call: &PendingCall, key: &str) -> Option<ServiceResponse> {
         let lookup = LookupRequest {
-            path: run.found.call.lookup.clone()?,
+            path: call.resolved.call.lookup.clone()?,
             key: key.to_owned(),
-            customer: run.found.customer.name.clone(),
+            customer: call.resolved.customer.name.clone(),
         };
-        let limit = self.settings.call_timeout().min(run.left());
-        for address in &run.found.service.targets {
+        let limit = self.settings.call_timeout().min(call.remaining());
+        for address in &call.resolved.service.targets {
             let Ok(found) = self.service.lookup(*address, &lookup, limit).await else {
                 continue;
             };
             let own = found.customer.as_ref() == Some(&lookup.customer);
-            if found.executions == 0 || !own && !run.found.sole_customer {
+            if found.executions == 0 || !own && !call.resolved.sole_customer {
                 continue;
             }
             let answer = found.answer.unwrap_or(serde_json::Value::Null);
@@ -240,22 +240,22 @@
         None
     }
 
-    fn record_settled(&self, run: &PendingCall, settled: Result<(), StoreError>) {
+    fn record_settled(&self, call: &PendingCall, settled: Result<(), StoreError>) {
         match settled {
-            Ok(()) => self.note(EventCode::ClaimSettled, run, ""),
+            Ok(()) => self.record(EventCode::ClaimSettled, call, ""),
             Err(error) => {
                 let detail = format!("answered, but not recorded: {error}");
-                self.note(EventCode::ClaimUnknown, run, &detail);
+                self.record(EventCode::ClaimUnknown, call, &detail);
             }
         }
     }
 }
 
 /// Hash of the whole call, so that a key that was used for another call is noticed too.
-fn body_hash(run: &PendingCall) -> String {
-    let mut bytes = run.order.path.clone().into_bytes();
+fn body_hash(call: &PendingCall) -> String {
+    let mut bytes = call.request.path.clone().into_bytes();
     bytes.push(b'\n');
-    bytes.extend_from_slice(&run.order.body);
+    bytes.extend_from_slice(&call.request.body);
     sha256_hex(&bytes)
 }
 
@@ -273,5 +273,5 @@
         StoreError::Throttled { retry_after } => *retry_after,
         _ => STORE_RETRY_AFTER,
     };
-    RequestError::not_run(ErrorCode::StoreUnavailable, error.to_string()).retry(after)
+    RequestError::not_run(ErrorCode::StoreUnavailable, error.to_string()).with_retry_after(after)
 }
--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -29,9 +29,9 @@
     /// its load.
     pub(super) async fn call_idempotent(
         &self,
-        run: &PendingCall,
+        call: &PendingCall,
     ) -> Result<WebResponse, RequestError> {
-        let addresses = &run.found.service.targets;
+        let addresses = &call.resolved.service.targets;
         let mut tried = FastSet::default();
         let mut may_have_run = false;
         let mut number = 0;
@@ -42,13 +42,13 @@
             let address = self
                 .pool
                 .choose(addresses, &tried)
-                .ok_or_else(|| no_instance(run))?;
+                .ok_or_else(|| no_instance(call))?;
             tried.insert(address);
             number += 1;
             let started = Instant::now();
-            let limit = self.settings.call_timeout().min(run.left());
-            self.note(EventCode::CallSent, run, &address.to_string());
-            let outcome = self.service.call(address, &run.order, limit).await;
+            let limit = self.settings.call_timeout().min(call.remaining());
+            self.record(EventCode::CallSent, call, &address.to_string());
+            let outcome = self.service.call(address, &call.request, limit).await;
             let ended = match &outcome {
                 Ok(answer) if !is_instance_failure(answer.status) => CallOutcome::Answered,
                 Ok(_) | Err(_) => CallOutcome::Failed,
@@ -62,8 +62,8 @@
                 Ok(answer) => format!("{address}: status {}", answer.status),
                 Err(error) => format!("{address}: {error}"),
             };
-            self.note(EventCode::CallFailed, run, &detail);
-            match self.pool.decide(number, run.deadline) {
+            self.record(EventCode::CallFailed, call, &detail);
+            match self.pool.decide(number, call.deadline) {
                 RetryDecision::Retry { wait } => tokio::time::sleep(wait).await,
                 RetryDecision::GiveUp(_) => return final_answer(outcome, may_have_run),
             }
@@ -80,7 +80,7 @@
         Err(error) => error,
     };
     let error = RequestError::not_run(ErrorCode::TargetFailed, error.to_string());
-    let error = error.retry(CALL_RETRY_AFTER);
+    let error = error.with_retry_after(CALL_RETRY_AFTER);
     Err(if may_have_run {
         error.with_unknown_execution()
     } else {
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -57,7 +57,7 @@
 ) -> Result<ResolvedCall, RequestError> {
     let unknown = || {
         let message = format!("there is no call {path:?} of a service {name:?}");
-        RequestError::not_run(ErrorCode::NotFound, message).at("path")
+        RequestError::not_run(ErrorCode::NotFound, message).with_param("path")
     };
     let service = view
         .services
@@ -66,7 +66,7 @@
         .ok_or_else(unknown)?;
     if !customer.services.contains(&service.name) {
         let message = format!("the customer may not call {name:?}");
-        return Err(RequestError::not_run(ErrorCode::NotGranted, message).at("path"));
+        return Err(RequestError::not_run(ErrorCode::NotGranted, message).with_param("path"));
     }
     let call = service
         .calls
@@ -120,42 +120,47 @@
     /// [`RequestError`].
     pub async fn call(
         &self,
-        found: ResolvedCall,
-        caller: &RequestHead,
+        resolved: ResolvedCall,
+        head: &RequestHead,
         body: Bytes,
     ) -> Result<WebResponse, RequestError> {
-        let deadline = request_deadline(&caller.headers, &self.settings)?;
-        let key = idempotency_key(&caller.headers)?;
-        let order = ServiceRequest {
-            path: format!("/{}", found.call.path),
+        let deadline = request_deadline(&head.headers, &self.settings)?;
+        let key = idempotency_key(&head.headers)?;
+        let request = ServiceRequest {
+            path: format!("/{}", resolved.call.path),
             key: key.map(str::to_owned),
-            customer: found.customer.name.clone(),
-            content_type: caller.headers.get(header::CONTENT_TYPE).cloned(),
+            customer: resolved.customer.name.clone(),
+            content_type: head.headers.get(header::CONTENT_TYPE).cloned(),
             body,
         };
-        let run = PendingCall {
-            request: caller.request.clone(),
-            found,
-            order,
+        let call = PendingCall {
+            request_id: head.id.clone(),
+            resolved,
+            request,
             deadline,
         };
-        self.note(EventCode::RequestAdmitted, &run, &run.order.path);
-        let answered = if run.found.call.idempotent {
-            self.call_idempotent(&run).await
+        self.record(EventCode::RequestAdmitted, &call, &call.request.path);
+        let response = if call.resolved.call.idempotent {
+            self.call_idempotent(&call).await
         } else {
             let Some(key) = key else {
                 let message = "this call may not be repeated: send an Idempotency-Key header";
                 let error = RequestError::not_run(ErrorCode::KeyRequired, message);
-                return Err(error.at("header idempotency-key"));
+                return Err(error.with_param("header idempotency-key"));
             };
-            self.call_claimed(&run, key).await
+            self.call_claimed(&call, key).await
         }?;
-        self.note(EventCode::RequestAnswered, &run, answered.status().as_str());
-        Ok(answered)
+        self.record(
+            EventCode::RequestAnswered,
+            &call,
+            response.status().as_str(),
+        );
+        Ok(response)
     }
 
-    fn note(&self, code: EventCode, run: &PendingCall, detail: &str) {
-        let subject = EventSubject::request(&run.request).and_customer(&run.found.customer.name);
+    fn record(&self, code: EventCode, call: &PendingCall, detail: &str) {
+        let subject =
+            EventSubject::request(&call.request_id).and_customer(&call.resolved.customer.name);
         self.recorder.note(code, subject, detail);
     }
 }
@@ -163,22 +168,22 @@
 /// One call on its way.
 #[derive(Debug)]
 struct PendingCall {
-    request: domain::RequestId,
-    found: ResolvedCall,
-    order: ServiceRequest,
+    request_id: domain::RequestId,
+    resolved: ResolvedCall,
+    request: ServiceRequest,
     deadline: std::time::Instant,
 }
 
 impl PendingCall {
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.deadline
             .saturating_duration_since(std::time::Instant::now())
     }
 }
 
-fn no_instance(run: &PendingCall) -> RequestError {
-    let message = format!("service {} has no instance", run.found.service.name);
-    RequestError::not_run(ErrorCode::NoReplica, message).retry(CALL_RETRY_AFTER)
+fn no_instance(call: &PendingCall) -> RequestError {
+    let message = format!("service {} has no instance", call.resolved.service.name);
+    RequestError::not_run(ErrorCode::NoReplica, message).with_retry_after(CALL_RETRY_AFTER)
 }
 
 fn response_from_service(answer: &ServiceResponse) -> WebResponse {
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -18,21 +18,21 @@
 /// Takes the tokens of an answer.
 pub trait ResponseSink: Send + Sync {
     /// A new attempt feeds the answer from here on.
-    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset);
+    fn begin_attempt(&mut self, signer: ScopeSigner, offset: StreamOffset);
 
     /// Takes a token; waits while the caller reads slowly.
     ///
     /// # Errors
     ///
     /// [`ClientDisconnected`].
-    fn token(
+    fn send_token(
         &mut self,
         text: String,
         offset: StreamOffset,
     ) -> impl Future<Output = Result<(), ClientDisconnected>> + Send;
 
     /// Completes when the caller is gone.
-    fn gone(&self) -> impl Future<Output = ()> + Send;
+    fn disconnected(&self) -> impl Future<Output = ()> + Send;
 
     /// Whether the caller can go on with the answer at another entry.
     fn can_hand_over(&self) -> bool;
@@ -46,14 +46,18 @@
 }
 
 impl ResponseSink for TextSink {
-    fn begin(&mut self, _: ScopeSigner, _: StreamOffset) {}
+    fn begin_attempt(&mut self, _: ScopeSigner, _: StreamOffset) {}
 
-    async fn token(&mut self, text: String, _: StreamOffset) -> Result<(), ClientDisconnected> {
+    async fn send_token(
+        &mut self,
+        text: String,
+        _: StreamOffset,
+    ) -> Result<(), ClientDisconnected> {
         self.text.push_str(&text);
         Ok(())
     }
 
-    async fn gone(&self) {
+    async fn disconnected(&self) {
         // The server drops the whole request when its caller goes.
         std::future::pending::<()>().await;
     }
@@ -72,33 +76,33 @@
 /// an error with its status, which clients and balancers understand better than an event.
 #[derive(Debug)]
 pub struct EventSink {
-    frame: ResponseFormatter,
+    formatter: ResponseFormatter,
     events: mpsc::Sender<Bytes>,
     head: Option<HeadSender>,
     signer: Option<ScopeSigner>,
     offset: StreamOffset,
     include_usage: bool,
-    opened: bool,
+    opening_sent: bool,
 }
 
 impl EventSink {
     /// A sink for a stream; a caller that goes on with an earlier one got its opening already.
     #[must_use]
     pub fn new(
-        frame: ResponseFormatter,
+        formatter: ResponseFormatter,
         events: mpsc::Sender<Bytes>,
         head: HeadSender,
         include_usage: bool,
         resumed: bool,
     ) -> Self {
         Self {
-            frame,
+            formatter,
             events,
             head: Some(head),
             signer: None,
             offset: StreamOffset::default(),
             include_usage,
-            opened: resumed,
+            opening_sent: resumed,
         }
     }
 
@@ -108,7 +112,7 @@
         self.head.is_none()
     }
 
-    fn id(&self) -> Option<String> {
+    fn event_id(&self) -> Option<String> {
         let signer = self.signer.as_ref()?;
         Some(signer.sign(self.offset))
     }
@@ -123,12 +127,12 @@
             .map_err(|_| ClientDisconnected)
     }
 
-    async fn open(&mut self, id: Option<&str>) -> Result<(), ClientDisconnected> {
-        if self.opened {
+    async fn send_opening(&mut self, id: Option<&str>) -> Result<(), ClientDisconnected> {
+        if self.opening_sent {
             return Ok(());
         }
-        self.opened = true;
-        match self.frame.opening() {
+        self.opening_sent = true;
+        match self.formatter.opening_chunk() {
             Some(body) => self.send(json_event(None, id, &body)).await,
             None => Ok(()),
         }
@@ -139,13 +143,13 @@
     /// # Errors
     ///
     /// [`ClientDisconnected`].
-    pub async fn finish(&mut self, end: &GenerationSummary) -> Result<(), ClientDisconnected> {
-        let id = self.id();
-        self.open(id.as_deref()).await?;
-        let finish = self.frame.finish(end);
+    pub async fn finish(&mut self, summary: &GenerationSummary) -> Result<(), ClientDisconnected> {
+        let id = self.event_id();
+        self.send_opening(id.as_deref()).await?;
+        let finish = self.formatter.finish_chunk(summary);
         self.send(json_event(None, id.as_deref(), &finish)).await?;
         if self.include_usage {
-            let usage = self.frame.usage(end);
+            let usage = self.formatter.usage_chunk(summary);
             self.send(json_event(None, id.as_deref(), &usage)).await?;
         }
         self.send(text_event(None, id.as_deref(), "[DONE]")).await
@@ -158,14 +162,14 @@
             let _ = head.send(Err(error));
             return;
         }
-        let id = self.id();
+        let id = self.event_id();
         let event = json_event(Some(ERROR_EVENT), id.as_deref(), body);
         let _ = self.send(event).await;
     }
 
     /// Ends the stream with the request to go on at another entry.
     pub async fn hand_over(&mut self) {
-        let Some(id) = self.id() else { return };
+        let Some(id) = self.event_id() else { return };
         // Event sources of browsers wait as long as `retry` says before they connect again.
         let data = r#"{"resume":true}"#;
         let event = format!("event: {RESUME_EVENT}\nretry: 100\nid: {id}\ndata: {data}\n\n");
@@ -174,27 +178,27 @@
 }
 
 impl ResponseSink for EventSink {
-    fn begin(&mut self, signer: ScopeSigner, offset: StreamOffset) {
+    fn begin_attempt(&mut self, signer: ScopeSigner, offset: StreamOffset) {
         self.signer = Some(signer);
         self.offset = offset;
     }
 
-    async fn token(
+    async fn send_token(
         &mut self,
         text: String,
         offset: StreamOffset,
     ) -> Result<(), ClientDisconnected> {
-        if !self.opened {
-            let id = self.id();
-            self.open(id.as_deref()).await?;
+        if !self.opening_sent {
+            let id = self.event_id();
+            self.send_opening(id.as_deref()).await?;
         }
         self.offset = offset;
-        let id = self.id();
-        let body = self.frame.token(&text);
+        let id = self.event_id();
+        let body = self.formatter.token_chunk(&text);
         self.send(json_event(None, id.as_deref(), &body)).await
     }
 
-    async fn gone(&self) {
+    async fn disconnected(&self) {
         self.events.closed().await;
     }
 
