--- a/crates/control/src/assembly/orders.rs
+++ b/crates/control/src/assembly/orders.rs
@@ -7,7 +7,7 @@
 use domain::{FabricFleet, HostId, ReplicaPlan};
 use futures::future::join_all;
 use target::{EngineClient, OrderOutcome};
-use wire::engine::{EngineAssignment, EngineOrder, EngineState, RankAddress};
+use wire::engine::{EngineAddress, EngineAssignment, EngineOrder, EngineState};
 
 use super::{AssemblySettings, HostHealth};
 use crate::directory::HostDirectory;
@@ -189,7 +189,7 @@
     let mut ranks = Vec::with_capacity(plan.hosts.len());
     for host in &plan.hosts {
         let entry = directory.hosts.get(host)?;
-        ranks.push(RankAddress {
+        ranks.push(EngineAddress {
             host: host.clone(),
             address: entry.address,
         });
--- a/crates/control/tests/rules/host_reassignment.rs
+++ b/crates/control/tests/rules/host_reassignment.rs
@@ -12,7 +12,7 @@
     BootNumber, FabricFleet, FastMap, HostId, HostSlot, IncarnationNumber, LeaseEpoch, ReplicaPlan,
 };
 use platform::HostEntry;
-use wire::engine::{EngineAssignment, EngineLoad, EngineState, RankAddress};
+use wire::engine::{EngineAddress, EngineAssignment, EngineLoad, EngineState};
 
 const LOADS_AT_ONCE: usize = 4;
 
@@ -39,7 +39,7 @@
 }
 
 fn assignment(replica: &str, members: &[&str], rank: u32) -> EngineAssignment {
-    let ranks = members.iter().map(|name| RankAddress {
+    let ranks = members.iter().map(|name| EngineAddress {
         host: host(name),
         address: address(),
     });
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -225,7 +225,7 @@
                 max_tokens: request.max_tokens,
                 seed: request.seed,
                 priority: 0,
-                resume: progress.delivered_tokens().unwrap_or_default().to_vec(),
+                generated_tokens: progress.delivered_tokens().unwrap_or_default().to_vec(),
             };
             context
                 .engine
--- a/crates/entry/src/progress.rs
+++ b/crates/entry/src/progress.rs
@@ -189,7 +189,7 @@
                 count,
                 prompt_tokens,
                 cached_tokens,
-                finish,
+                finish_reason,
             } => {
                 if !self.belongs_to_attempt(&attempt, incarnation) {
                     return StreamAction::Ignore;
@@ -204,7 +204,7 @@
                     prompt_tokens,
                     cached_tokens,
                     count,
-                    finish_reason: finish,
+                    finish_reason,
                 })
             }
             StreamEvent::Failed { attempt, reason } => {
--- a/crates/entry/tests/request_path/attempt_faults.rs
+++ b/crates/entry/tests/request_path/attempt_faults.rs
@@ -55,7 +55,10 @@
             };
             assert_eq!(text, answer_text(TOKENS), "{first:?}");
             let orders = entry.engine.orders();
-            let given: Vec<usize> = orders.iter().map(|(_, order)| order.resume.len()).collect();
+            let given: Vec<usize> = orders
+                .iter()
+                .map(|(_, order)| order.generated_tokens.len())
+                .collect();
             assert_eq!(given, [0, 2, 4], "each goes on behind the last");
             assert_ne!(orders[0].0, orders[1].0, "on another replica");
             assert_ne!(orders[0].1.attempt, orders[1].1.attempt);
--- a/crates/entry/tests/request_path/fake_engine.rs
+++ b/crates/entry/tests/request_path/fake_engine.rs
@@ -91,7 +91,7 @@
 
 impl FakeStream {
     fn new(address: SocketAddr, order: &StreamRequest, script: EngineScript) -> Self {
-        let from = u32::try_from(order.resume.len()).expect("few");
+        let from = u32::try_from(order.generated_tokens.len()).expect("few");
         let (until, tail) = match script {
             EngineScript::BreakAfter(count) => (count, StreamTail::Break),
             EngineScript::SilentAfter(count) => (count, StreamTail::Silence),
@@ -114,7 +114,7 @@
                 count: order.max_tokens,
                 prompt_tokens: 5,
                 cached_tokens: 0,
-                finish: "length".to_owned(),
+                finish_reason: "length".to_owned(),
             });
         }
         Self {
--- a/crates/entry/tests/stream_validation.rs
+++ b/crates/entry/tests/stream_validation.rs
@@ -35,7 +35,7 @@
         count,
         prompt_tokens: 3,
         cached_tokens: 0,
-        finish: "length".to_owned(),
+        finish_reason: "length".to_owned(),
     }
 }
 
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -80,7 +80,7 @@
     pub fn start(&mut self, order: StreamRequest, now: Instant) -> WebResponse {
         self.arrivals += 1;
         let attempt = order.attempt.clone();
-        let from = u32::try_from(order.resume.len()).unwrap_or(u32::MAX);
+        let from = u32::try_from(order.generated_tokens.len()).unwrap_or(u32::MAX);
         let mut stream = KeptStream::new(order, self.arrivals, now);
         let answer = stream.attach(from, now);
         self.streams.insert(attempt, stream);
@@ -176,7 +176,7 @@
         };
         // Tokens that the caller has already are read like a prompt.
         let unread = u64::from(stream.prompt_tokens - stream.cached_tokens);
-        let left = unread + order.resume.len() as u64;
+        let left = unread + order.generated_tokens.len() as u64;
         stream.phase = if left == 0 {
             StreamPhase::Decode
         } else {
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -55,7 +55,7 @@
     #[must_use]
     pub fn new(order: StreamRequest, arrival: u64, now: Instant) -> Self {
         let words = order.prompt.split_whitespace().count();
-        let tokens = order.resume.clone();
+        let tokens = order.generated_tokens.clone();
         Self {
             arrival,
             phase: StreamPhase::Waiting,
@@ -113,7 +113,7 @@
                 count: u32::try_from(self.tokens.len()).unwrap_or(u32::MAX),
                 prompt_tokens: self.prompt_tokens,
                 cached_tokens: self.cached_tokens,
-                finish: "length".to_owned(),
+                finish_reason: "length".to_owned(),
             });
         }
     }
--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -72,7 +72,7 @@
         max_tokens,
         seed: 0,
         priority: 0,
-        resume: Vec::new(),
+        generated_tokens: Vec::new(),
     };
     let address = assignment.hosts[0].address;
     let request = json_request(Method::POST, address, "/streams", Some(&order))?;
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -52,7 +52,7 @@
     /// Fencing number of the order.
     pub epoch: LeaseEpoch,
     /// All hosts by rank, with their addresses.
-    pub hosts: Vec<RankAddress>,
+    pub hosts: Vec<EngineAddress>,
     /// This host's rank.
     pub rank: u32,
     /// The model.
@@ -67,7 +67,7 @@
 
 /// A host of a replica and where it listens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RankAddress {
+pub struct EngineAddress {
     /// The host.
     pub host: HostId,
     /// Its engine's address.
@@ -125,7 +125,8 @@
     /// Higher goes first.
     pub priority: i32,
     /// Tokens of the answer that the caller has already; generation goes on behind them.
-    pub resume: Vec<String>,
+    #[serde(rename = "resume")]
+    pub generated_tokens: Vec<String>,
 }
 
 /// An order to go on with a stream whose connection was lost.
@@ -163,7 +164,8 @@
         /// Prompt tokens that the prefix cache held.
         cached_tokens: u32,
         /// Why it ended: `stop` or `length`.
-        finish: String,
+        #[serde(rename = "finish")]
+        finish_reason: String,
     },
     /// The engine gives the stream up.
     Failed {
--- a/tests/system/direct.rs
+++ b/tests/system/direct.rs
@@ -5,17 +5,17 @@
 use standin::stack::{PATIENCE, TestStack};
 use target::engine::HttpStream;
 use target::{EngineClient, HttpEngineClient, StreamStart, TokenStream};
-use wire::engine::{EngineAssignment, EngineOrder, RankAddress, StreamEvent, StreamRequest};
+use wire::engine::{EngineAddress, EngineAssignment, EngineOrder, StreamEvent, StreamRequest};
 
 /// Longest silence that a test takes for a stream that goes on.
 pub const SILENCE: Duration = Duration::from_secs(20);
 
 /// Makes the stack's engines one replica `r1` of `trader-help`.
 pub async fn form_replica(stack: &TestStack) -> EngineAssignment {
-    let hosts: Vec<RankAddress> = stack
+    let hosts: Vec<EngineAddress> = stack
         .engines
         .iter()
-        .map(|engine| RankAddress {
+        .map(|engine| EngineAddress {
             host: engine.name.parse().expect("a host"),
             address: engine.address,
         })
@@ -70,7 +70,7 @@
         max_tokens,
         seed: 7,
         priority: 0,
-        resume: Vec::new(),
+        generated_tokens: Vec::new(),
     }
 }
 
