--- a/crates/admin/src/records.rs
+++ b/crates/admin/src/records.rs
@@ -4,7 +4,7 @@
 use control::review::{FindingSeverity, ReviewReport, review_delete, review_record};
 use control::{AmendError, AmendOutcome, ConfigView, Expect, RecordAmendment};
 use domain::{FindingList, RecordSpec};
-use wire::admin::{AmendAnswer, AmendBody, ChangeBody, ExpectBody, RecordBody};
+use wire::admin::{AmendRequest, AmendResponse, ChangeBody, ExpectBody, RecordBody};
 use wire::record::RecordError;
 
 /// Checks an amendment against the configuration in `view`.
@@ -15,7 +15,10 @@
 /// # Errors
 ///
 /// The findings if the body doesn't hold a valid record.
-pub fn review_amendment(view: &ConfigView, body: &AmendBody) -> Result<ReviewReport, FindingList> {
+pub fn review_amendment(
+    view: &ConfigView,
+    body: &AmendRequest,
+) -> Result<ReviewReport, FindingList> {
     let mut findings = FindingList::default();
     let Some(frame) = &body.record else {
         return Ok(review_delete(view, body.kind, &body.name));
@@ -62,7 +65,7 @@
 
 /// Converts a request body into an amendment.
 #[must_use]
-pub fn amendment_from(body: AmendBody) -> RecordAmendment {
+pub fn amendment_from(body: AmendRequest) -> RecordAmendment {
     RecordAmendment {
         kind: body.kind,
         name: body.name,
@@ -82,12 +85,12 @@
 pub fn response_from(
     outcome: Result<AmendOutcome, AmendError>,
     warnings: FindingList,
-) -> AmendAnswer {
+) -> AmendResponse {
     match outcome {
-        Ok(AmendOutcome::Accepted(revision)) => AmendAnswer::Accepted { revision, warnings },
+        Ok(AmendOutcome::Accepted(revision)) => AmendResponse::Accepted { revision, warnings },
         Ok(AmendOutcome::Conflict(AmendConflict {
             current, change, ..
-        })) => AmendAnswer::Conflict {
+        })) => AmendResponse::Conflict {
             current: current.map(record_body),
             change: change.map(|entry| {
                 change_body(ChangeRow {
@@ -96,16 +99,16 @@
                 })
             }),
         },
-        Ok(AmendOutcome::Refused(findings)) => AmendAnswer::Refused { findings },
+        Ok(AmendOutcome::Refused(findings)) => AmendResponse::Refused { findings },
         Err(AmendError::Unsettled {
             revision,
             token,
             cause,
-        }) => AmendAnswer::Unsettled {
+        }) => AmendResponse::Unsettled {
             revision,
             reason: format!("{cause}; look for token {token} in the history"),
         },
-        Err(error) => AmendAnswer::Unavailable {
+        Err(error) => AmendResponse::Unavailable {
             reason: error.to_string(),
         },
     }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -12,7 +12,10 @@
     WebHandler, WebRequest, WebResponse, json_response, parse_json, query_value, read_body,
     text_response,
 };
-use wire::admin::{AmendAnswer, AmendBody, ChangeBody, NO_CALL, NO_RECORD, NodeStatus, RecordBody};
+use wire::admin::{
+    AmendRequest, AmendResponse, ChangeBody, NodeStatus, PATH_NOT_FOUND, RECORD_NOT_FOUND,
+    RecordBody,
+};
 
 use crate::access::OperatorKey;
 use crate::records::{
@@ -77,28 +80,28 @@
             Ok(bytes) => bytes,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        let body: AmendBody = match parse_json(&bytes) {
+        let body: AmendRequest = match parse_json(&bytes) {
             Ok(body) => body,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if let Some(reason) = self.context.status_source.amend_unavailable_reason() {
-            return json_response(StatusCode::OK, &AmendAnswer::Unavailable { reason });
+            return json_response(StatusCode::OK, &AmendResponse::Unavailable { reason });
         }
         json_response(StatusCode::OK, &self.review_and_amend(body).await)
     }
 
-    async fn review_and_amend(&self, body: AmendBody) -> AmendAnswer {
+    async fn review_and_amend(&self, body: AmendRequest) -> AmendResponse {
         let view = match self.stored_view().await {
             Ok(view) => view,
             Err(error) => return response_from(Err(error), FindingList::default()),
         };
         let report = match review_amendment(&view, &body) {
             Ok(report) => report,
-            Err(findings) => return AmendAnswer::Refused { findings },
+            Err(findings) => return AmendResponse::Refused { findings },
         };
         let (errors, warnings) = split_report(report);
         if !errors.is_empty() {
-            return AmendAnswer::Refused { findings: errors };
+            return AmendResponse::Refused { findings: errors };
         }
         let amendment = amendment_from(body);
         response_from(
@@ -146,11 +149,11 @@
                     Err(problem) => return text_response(StatusCode::BAD_REQUEST, &problem),
                 };
                 match get_record(&self.context.table, kind, name).await {
-                    Ok(None) => text_response(StatusCode::NOT_FOUND, NO_RECORD),
+                    Ok(None) => text_response(StatusCode::NOT_FOUND, RECORD_NOT_FOUND),
                     result => read_response(result.map(|stored| stored.map(record_body))),
                 }
             }
-            _ => text_response(StatusCode::NOT_FOUND, NO_CALL),
+            _ => text_response(StatusCode::NOT_FOUND, PATH_NOT_FOUND),
         }
     }
 
@@ -218,7 +221,7 @@
             }
             (Method::GET, "/history") => self.history(&query).await,
             (Method::GET, _) if path.starts_with("/records") => self.records(&path, &query).await,
-            _ => text_response(StatusCode::NOT_FOUND, NO_CALL),
+            _ => text_response(StatusCode::NOT_FOUND, PATH_NOT_FOUND),
         }
     }
 }
--- a/crates/control/src/amend/mod.rs
+++ b/crates/control/src/amend/mod.rs
@@ -11,7 +11,7 @@
 use domain::{ConfigRevision, FindingList, WriteToken};
 use platform::{StoreError, TableStore};
 use serde::{Deserialize, Serialize};
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 use attempt::{AmendAttempt, AttemptOutcome};
 use rows::{read_head, read_record};
@@ -39,7 +39,7 @@
     /// The revision that wrote it.
     pub revision: ConfigRevision,
     /// Content of the record in its schema version.
-    pub record: RecordFrame,
+    pub record: RecordEnvelope,
 }
 
 /// One row of the change log.
@@ -52,7 +52,7 @@
     /// Name of the changed record.
     pub name: String,
     /// The new content; none after a deletion.
-    pub record: Option<RecordFrame>,
+    pub record: Option<RecordEnvelope>,
     /// Name of the operator who made the change.
     pub operator: String,
 }
@@ -77,7 +77,7 @@
     /// Name of the record.
     pub name: String,
     /// The new content; none deletes the record.
-    pub record: Option<RecordFrame>,
+    pub record: Option<RecordEnvelope>,
     /// Precondition on the current record.
     pub expect: Expect,
     /// Name of the operator, written to the change log.
--- a/crates/control/src/config/state.rs
+++ b/crates/control/src/config/state.rs
@@ -6,7 +6,7 @@
 use domain::{ConfigRevision, RecordSpec};
 use platform::keys;
 use serde::{Deserialize, Serialize};
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 use crate::amend::{ChangeEntry, StoredRecord};
 use crate::view::ConfigView;
@@ -157,6 +157,6 @@
     }
 }
 
-fn parse_spec(frame: &RecordFrame) -> Option<RecordSpec> {
+fn parse_spec(frame: &RecordEnvelope) -> Option<RecordSpec> {
     RecordSpec::try_from(frame.clone()).ok()
 }
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -6,7 +6,7 @@
 
 use domain::record::{CustomerRecord, DrainRecord, RecordKind, ServiceRecord};
 use domain::{FastSet, FindingList, HostId, RecordFinding, RecordSpec};
-use wire::record::{KNOWN_SCHEMAS, RecordError, RecordFrame, frame_record};
+use wire::record::{RecordEnvelope, RecordError, SUPPORTED_SCHEMAS, record_to_envelope};
 
 use crate::view::ConfigView;
 
@@ -220,10 +220,13 @@
 /// adapters with it. The amendment is therefore refused; an operator who intends the loss uses
 /// version 2.
 #[must_use]
-pub fn schema_findings(current: Option<&RecordFrame>, next: Option<&RecordFrame>) -> FindingList {
+pub fn schema_findings(
+    current: Option<&RecordEnvelope>,
+    next: Option<&RecordEnvelope>,
+) -> FindingList {
     let mut findings = FindingList::default();
     let Some(next) = next else { return findings };
-    if !KNOWN_SCHEMAS.contains(&next.schema) {
+    if !SUPPORTED_SCHEMAS.contains(&next.schema) {
         findings.add(
             "schema",
             format!("schema version {} is not supported", next.schema),
@@ -234,7 +237,7 @@
     let Some(current) = current else {
         return findings;
     };
-    if !KNOWN_SCHEMAS.contains(&current.schema) {
+    if !SUPPORTED_SCHEMAS.contains(&current.schema) {
         findings.add(
             "schema",
             format!(
@@ -252,7 +255,9 @@
     let Ok(record) = RecordSpec::try_from(current.clone()) else {
         return findings;
     };
-    if let Err(RecordError::Inexpressible { place, .. }) = frame_record(&record, next.schema) {
+    if let Err(RecordError::Unrepresentable { place, .. }) =
+        record_to_envelope(&record, next.schema)
+    {
         findings.add(
             place,
             format!(
--- a/crates/control/tests/rules/config_load.rs
+++ b/crates/control/tests/rules/config_load.rs
@@ -10,7 +10,7 @@
 use domain::record::RecordKind;
 use platform::keys;
 use serde_json::json;
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 async fn amend(table: &FakeTable, number: u64) {
     let name = format!("d{}", number % 7);
@@ -18,7 +18,7 @@
     let amendment = RecordAmendment {
         kind,
         name: name.clone(),
-        record: Some(RecordFrame {
+        record: Some(RecordEnvelope {
             schema: 2,
             kind,
             name,
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -16,7 +16,7 @@
 use domain::record::RecordKind;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::json;
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 const TESTS: u64 = 500;
 const SEED: u64 = 0x5eed_0c0f;
@@ -50,7 +50,7 @@
             let name = format!("r{}", u8::arbitrary(source) % 3);
             let deleted = u8::arbitrary(source).is_multiple_of(4);
             let schema = u32::from(u8::arbitrary(source) % 3) + 1;
-            let record = (!deleted).then(|| RecordFrame {
+            let record = (!deleted).then(|| RecordEnvelope {
                 schema,
                 kind: RecordKind::Drain,
                 name: name.clone(),
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -7,14 +7,14 @@
 use domain::ConfigRevision;
 use domain::record::RecordKind;
 use serde_json::{Value, json};
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 fn amendment(name: &str, schema: u32, spec: Value, token: &str) -> RecordAmendment {
     let kind = RecordKind::Customer;
     RecordAmendment {
         kind,
         name: name.to_owned(),
-        record: Some(RecordFrame {
+        record: Some(RecordEnvelope {
             schema,
             kind,
             name: name.to_owned(),
--- a/crates/entry/src/completion_handler.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use web::body::channel_body;
 use web::{WebResponse, json_response};
-use wire::caller::{ErrorCode, LAST_EVENT_HEADER};
+use wire::caller::{ErrorCode, LAST_EVENT_ID_HEADER};
 
 use crate::completion::{CompletionResult, CompletionRun};
 use crate::context::EntryContext;
@@ -87,7 +87,7 @@
 
 fn invalid_resume(message: impl Into<String>) -> RequestError {
     RequestError::not_run(ErrorCode::InvalidResume, message)
-        .with_param(format!("header {LAST_EVENT_HEADER}"))
+        .with_param(format!("header {LAST_EVENT_ID_HEADER}"))
 }
 
 fn verified_token<E: EngineClient>(
--- a/crates/entry/src/formatter.rs
+++ b/crates/entry/src/formatter.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use domain::{ModelName, RequestId};
 use serde::Serialize;
-use wire::openai::{ChoiceMessage, CompletionBody, CompletionChoice, UsageCounts};
+use wire::openai::{ChoiceMessage, CompletionChoice, CompletionResponse, UsageCounts};
 
 use crate::generation::{GenerationRequest, ResponseFormat};
 use crate::progress::GenerationSummary;
@@ -34,8 +34,8 @@
         }
     }
 
-    fn body(&self, object: &str, choices: Vec<CompletionChoice>) -> CompletionBody {
-        CompletionBody {
+    fn body(&self, object: &str, choices: Vec<CompletionChoice>) -> CompletionResponse {
+        CompletionResponse {
             id: self.request_id.to_string(),
             object: object.to_owned(),
             created: self.created,
@@ -47,7 +47,7 @@
 
     /// A whole answer.
     #[must_use]
-    pub fn complete(&self, text: String, summary: &GenerationSummary) -> CompletionBody {
+    pub fn complete(&self, text: String, summary: &GenerationSummary) -> CompletionResponse {
         let mut choice = CompletionChoice {
             finish_reason: Some(summary.finish_reason.clone()),
             ..CompletionChoice::default()
@@ -72,7 +72,7 @@
 
     /// The chunk that opens a streamed chat; a plain completion has none.
     #[must_use]
-    pub fn opening_chunk(&self) -> Option<CompletionBody> {
+    pub fn opening_chunk(&self) -> Option<CompletionResponse> {
         match self.format {
             ResponseFormat::Chat => {
                 let delta = ChoiceMessage {
@@ -87,7 +87,7 @@
 
     /// A chunk with one token.
     #[must_use]
-    pub fn token_chunk(&self, text: &str) -> CompletionBody {
+    pub fn token_chunk(&self, text: &str) -> CompletionResponse {
         let delta = ChoiceMessage {
             role: None,
             content: Some(text.to_owned()),
@@ -97,7 +97,7 @@
 
     /// The chunk that says why the answer ended.
     #[must_use]
-    pub fn finish_chunk(&self, summary: &GenerationSummary) -> CompletionBody {
+    pub fn finish_chunk(&self, summary: &GenerationSummary) -> CompletionResponse {
         self.chunk(
             ChoiceMessage::default(),
             Some(summary.finish_reason.clone()),
@@ -106,7 +106,7 @@
 
     /// The chunk with the counts, for callers that asked for it.
     #[must_use]
-    pub fn usage_chunk(&self, summary: &GenerationSummary) -> CompletionBody {
+    pub fn usage_chunk(&self, summary: &GenerationSummary) -> CompletionResponse {
         let mut body = self.body(self.chunk_object(), Vec::new());
         body.usage = Some(usage_counts(summary));
         body
@@ -119,7 +119,7 @@
         }
     }
 
-    fn chunk(&self, delta: ChoiceMessage, finish_reason: Option<String>) -> CompletionBody {
+    fn chunk(&self, delta: ChoiceMessage, finish_reason: Option<String>) -> CompletionResponse {
         let mut choice = CompletionChoice {
             finish_reason,
             ..CompletionChoice::default()
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use http::HeaderMap;
-use wire::caller::{ErrorCode, LAST_EVENT_HEADER, REQUEST_TIMEOUT_HEADER};
-use wire::service::{IDEMPOTENCY_HEADER, MAX_KEY_BYTES};
+use wire::caller::{ErrorCode, LAST_EVENT_ID_HEADER, REQUEST_TIMEOUT_HEADER};
+use wire::service::{IDEMPOTENCY_KEY_HEADER, MAX_IDEMPOTENCY_KEY_BYTES};
 
 use crate::error::RequestError;
 use crate::settings::EntrySettings;
@@ -44,7 +44,7 @@
 ///
 /// [`ErrorCode::InvalidRequest`] when it is no text.
 pub fn last_event_id(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
-    let text = header_text(headers, LAST_EVENT_HEADER)?;
+    let text = header_text(headers, LAST_EVENT_ID_HEADER)?;
     // Browsers send an empty id when the stream they lost had not begun.
     Ok(text.filter(|text| !text.is_empty()))
 }
@@ -55,15 +55,15 @@
 ///
 /// [`ErrorCode::InvalidRequest`].
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
-    let Some(key) = header_text(headers, IDEMPOTENCY_HEADER)? else {
+    let Some(key) = header_text(headers, IDEMPOTENCY_KEY_HEADER)? else {
         return Ok(None);
     };
-    let fits = (1..=MAX_KEY_BYTES).contains(&key.len());
+    let fits = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len());
     if fits && key.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(Some(key));
     }
-    let message = format!("send 1 to {MAX_KEY_BYTES} visible ASCII characters");
-    Err(invalid_header(IDEMPOTENCY_HEADER, message))
+    let message = format!("send 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible ASCII characters");
+    Err(invalid_header(IDEMPOTENCY_KEY_HEADER, message))
 }
 
 fn header_text<'headers>(
--- a/crates/peers/tests/mesh/mod.rs
+++ b/crates/peers/tests/mesh/mod.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 /// Timeout of anything that a test waits for, long enough for a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -163,7 +163,7 @@
         revision: ConfigRevision(revision),
         kind: RecordKind::Drain,
         name: name.clone(),
-        record: Some(RecordFrame {
+        record: Some(RecordEnvelope {
             schema: 2,
             kind: RecordKind::Drain,
             name,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -11,7 +11,7 @@
 use web::{ClientError, WebClient, parse_json, read_body};
 use wire::hostlist::HostListBody;
 use wire::table::{
-    BatchBody, BatchDone, BatchRefused, ChangeBody, ExpectBody, RowBody, ScanPage,
+    BatchCommitted, BatchConflict, BatchRequest, ChangeBody, ExpectBody, RowBody, ScanPage,
     WRITE_TOKEN_HEADER, WriteBody,
 };
 
@@ -180,16 +180,16 @@
     }
 
     async fn commit(&self, batch: &WriteBatch) -> Result<CommitOutcome, StoreError> {
-        let body = BatchBody::from(batch);
+        let body = BatchRequest::from(batch);
         let request = json_request(Method::POST, self.endpoint.address, "/batch", Some(&body))?;
         let response = self.endpoint.send(request).await?;
         match response.status() {
             StatusCode::OK => {
-                let committed: BatchDone = parse_body(response.body())?;
+                let committed: BatchCommitted = parse_body(response.body())?;
                 Ok(CommitOutcome::Committed(RowVersion(committed.version)))
             }
             StatusCode::PRECONDITION_FAILED => {
-                let refused: BatchRefused = parse_body(response.body())?;
+                let refused: BatchConflict = parse_body(response.body())?;
                 Ok(CommitOutcome::Conflict(
                     refused
                         .conflicts
@@ -257,7 +257,7 @@
     }
 }
 
-impl From<&WriteBatch> for BatchBody {
+impl From<&WriteBatch> for BatchRequest {
     fn from(batch: &WriteBatch) -> Self {
         let writes = batch
             .writes
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -11,7 +11,7 @@
 use web::body::full_body;
 use web::{ClientError, WebBody, WebClient, read_body};
 use wire::caller::{ErrorBody, ExecutionState};
-use wire::service::IDEMPOTENCY_HEADER;
+use wire::service::IDEMPOTENCY_KEY_HEADER;
 
 use super::plan::{LoadPlan, LoadRequest, LoadWork};
 use crate::deployment::CallerPlan;
@@ -206,7 +206,7 @@
         .header("authorization", format!("Bearer {customer_key}"))
         .header("content-type", "application/json");
     if let Some(key) = key {
-        builder = builder.header(IDEMPOTENCY_HEADER, key);
+        builder = builder.header(IDEMPOTENCY_KEY_HEADER, key);
     }
     builder
         .body(full_body(body.to_string()))
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use web::{WebResponse, json_response, parse_json, text_response};
-use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_HEADER, LookupBody, ServiceLoad};
+use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_KEY_HEADER, LookupBody, ServiceLoad};
 
 use crate::faults::FaultSwitch;
 use crate::options::ServiceOptions;
@@ -170,7 +170,7 @@
     fn execute(&self, path: &str, request: &Request<Bytes>) -> WebResponse {
         let key = request
             .headers()
-            .get(IDEMPOTENCY_HEADER)
+            .get(IDEMPOTENCY_KEY_HEADER)
             .and_then(|value| value.to_str().ok());
         let input: Value = parse_json(request.body()).unwrap_or(Value::Null);
         let receipt = json!({ "call": path, "key": key, "input": input, "done": true });
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use web::{WebResponse, json_response, parse_json, query_value, text_response};
 use wire::table::{
-    BatchBody, BatchDone, BatchRefused, ChangeBody, ExpectBody, RowBody, ScanPage,
+    BatchCommitted, BatchConflict, BatchRequest, ChangeBody, ExpectBody, RowBody, ScanPage,
     WRITE_TOKEN_HEADER,
 };
 
@@ -41,7 +41,7 @@
 }
 
 impl RowStore {
-    fn conflicts(&self, batch: &BatchBody) -> Vec<RowBody> {
+    fn conflicts(&self, batch: &BatchRequest) -> Vec<RowBody> {
         let mut conflicts = Vec::new();
         for write in &batch.writes {
             let row = self.rows.get(&write.key);
@@ -58,7 +58,7 @@
         conflicts
     }
 
-    fn apply(&mut self, batch: BatchBody) -> u64 {
+    fn apply(&mut self, batch: BatchRequest) -> u64 {
         self.version += 1;
         for write in batch.writes {
             match write.change {
@@ -135,7 +135,7 @@
     }
 
     fn commit(&self, request: &Request<Bytes>) -> WebResponse {
-        let batch: BatchBody = match parse_json(request.body()) {
+        let batch: BatchRequest = match parse_json(request.body()) {
             Ok(batch) => batch,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
@@ -143,9 +143,12 @@
         let conflicts = store.conflicts(&batch);
         if conflicts.is_empty() {
             let version = store.apply(batch);
-            return json_response(StatusCode::OK, &BatchDone { version });
+            return json_response(StatusCode::OK, &BatchCommitted { version });
         }
-        json_response(StatusCode::PRECONDITION_FAILED, &BatchRefused { conflicts })
+        json_response(
+            StatusCode::PRECONDITION_FAILED,
+            &BatchConflict { conflicts },
+        )
     }
 
     fn scan(&self, query: &str) -> WebResponse {
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -11,7 +11,7 @@
 use web::body::full_body;
 use web::client::JsonResponse;
 use web::{ClientError, WebClient, parse_json, read_body};
-use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_HEADER, LookupBody, ServiceLoad};
+use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_KEY_HEADER, LookupBody, ServiceLoad};
 
 /// Largest answer of a service, in bytes; it is kept in the ledger's row.
 pub const MAX_RESPONSE_BYTES: usize = 256 << 10;
@@ -153,7 +153,7 @@
         .method(Method::POST)
         .uri(format!("http://{address}{}", order.path));
     if let Some(key) = &order.key {
-        builder = builder.header(IDEMPOTENCY_HEADER, key);
+        builder = builder.header(IDEMPOTENCY_KEY_HEADER, key);
     }
     builder = builder.header(CUSTOMER_HEADER, order.customer.as_str());
     if let Some(content_type) = &order.content_type {
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -2,7 +2,7 @@
 //!
 //! All calls but `/metrics` carry `Authorization: Bearer` with the operators' key.
 //!
-//! * `POST /amend` with an [`AmendBody`]: an [`AmendAnswer`].
+//! * `POST /amend` with an [`AmendRequest`]: an [`AmendResponse`].
 //! * `GET /records?kind=K`, `GET /records/{kind}/{name}`: [`RecordBody`] rows.
 //! * `GET /history?kind=K&name=N&limit=L`: [`ChangeBody`] rows, newest first.
 //! * `GET /status`: a [`NodeStatus`]. `GET /events`: the node's events. `GET /metrics`: text.
@@ -16,13 +16,13 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::record::RecordFrame;
+use crate::record::RecordEnvelope;
 
 /// Text of a 404 for a record that is not there.
-pub const NO_RECORD: &str = "no such record";
+pub const RECORD_NOT_FOUND: &str = "no such record";
 
 /// Text of a 404 for a path that is no call.
-pub const NO_CALL: &str = "no such call";
+pub const PATH_NOT_FOUND: &str = "no such call";
 
 /// What an operator expects of the record that is to be amended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,13 +42,13 @@
 
 /// An amendment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AmendBody {
+pub struct AmendRequest {
     /// Kind of the record.
     pub kind: RecordKind,
     /// Name of the record.
     pub name: String,
     /// The new record; none deletes it.
-    pub record: Option<RecordFrame>,
+    pub record: Option<RecordEnvelope>,
     /// What must hold of it.
     #[serde(default)]
     pub expect: ExpectBody,
@@ -61,7 +61,7 @@
 /// What became of an amendment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum AmendAnswer {
+pub enum AmendResponse {
     /// It is accepted.
     Accepted {
         /// Its revision.
@@ -101,7 +101,7 @@
     /// The revision.
     pub revision: ConfigRevision,
     /// The record.
-    pub record: RecordFrame,
+    pub record: RecordEnvelope,
 }
 
 /// A change.
@@ -114,7 +114,7 @@
     /// Name of the record.
     pub name: String,
     /// The record after it; none after a delete.
-    pub record: Option<RecordFrame>,
+    pub record: Option<RecordEnvelope>,
     /// Who made it.
     pub operator: String,
     /// Token of the amendment, with the number of its try behind a dot.
@@ -129,7 +129,8 @@
     /// Whether it takes callers' requests.
     pub ready: bool,
     /// Why it does or does not, in a few words.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub readiness: String,
     /// Revision in force on it.
     pub revision: ConfigRevision,
     /// Records whose schema version it does not know.
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -6,10 +6,10 @@
 pub const REQUEST_TIMEOUT_HEADER: &str = "x-request-timeout";
 
 /// Header with the id of the last event that a caller has of a stream it goes on with.
-pub const LAST_EVENT_HEADER: &str = "last-event-id";
+pub const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
 /// Name of the event that hands a stream over: send the same request again, at once and to any
-/// entry, with [`LAST_EVENT_HEADER`]. An entry that stops sends it as a stream's last event.
+/// entry, with [`LAST_EVENT_ID_HEADER`]. An entry that stops sends it as a stream's last event.
 pub const RESUME_EVENT: &str = "resume";
 
 /// Name of the event that ends a stream in an error; its data is an [`ErrorBody`].
@@ -83,7 +83,7 @@
     pub message: String,
     /// Class of the error, as `OpenAI` clients expect it.
     #[serde(rename = "type")]
-    pub class: String,
+    pub error_type: String,
     /// Place of the error in the request, where there is one.
     pub param: Option<String>,
     /// Whether the request was run.
--- a/crates/wire/src/openai.rs
+++ b/crates/wire/src/openai.rs
@@ -96,7 +96,7 @@
 pub struct ContentPart {
     /// `text` for text.
     #[serde(rename = "type")]
-    pub class: String,
+    pub part_type: String,
     /// The text.
     #[serde(default)]
     pub text: String,
@@ -126,7 +126,7 @@
 
 /// Whole answer of a chat or completion, or one event of its stream.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct CompletionBody {
+pub struct CompletionResponse {
     /// The request's id.
     pub id: String,
     /// `chat.completion`, `chat.completion.chunk` or `text_completion`.
--- a/crates/wire/src/record/convert.rs
+++ b/crates/wire/src/record/convert.rs
@@ -51,7 +51,7 @@
 
 pub(super) fn customer_to_v1(customer: &CustomerRecord) -> Result<CustomerSpecV1, RecordError> {
     if customer.share != DEFAULT_SHARE {
-        return Err(RecordError::Inexpressible {
+        return Err(RecordError::Unrepresentable {
             schema: 1,
             place: "spec.share",
         });
@@ -60,7 +60,7 @@
         if grant.version.is_none() && grant.adapters.is_empty() {
             continue;
         }
-        return Err(RecordError::Inexpressible {
+        return Err(RecordError::Unrepresentable {
             schema: 1,
             place: "spec.grants",
         });
@@ -125,13 +125,13 @@
 
 pub(super) fn model_to_v1(model: &ModelRecord) -> Result<ModelSpecV1, RecordError> {
     if !model.adapters.is_empty() {
-        return Err(RecordError::Inexpressible {
+        return Err(RecordError::Unrepresentable {
             schema: 1,
             place: "spec.adapters",
         });
     }
     let [plan] = model.versions.as_slice() else {
-        return Err(RecordError::Inexpressible {
+        return Err(RecordError::Unrepresentable {
             schema: 1,
             place: "spec.versions",
         });
--- a/crates/wire/src/record/mod.rs
+++ b/crates/wire/src/record/mod.rs
@@ -19,7 +19,7 @@
 };
 
 /// The schema versions that this program reads and writes.
-pub const KNOWN_SCHEMAS: [u32; 2] = [1, 2];
+pub const SUPPORTED_SCHEMAS: [u32; 2] = [1, 2];
 
 /// Share of a customer whose record has schema version 1.
 pub const DEFAULT_SHARE: u32 = 1;
@@ -27,7 +27,7 @@
 /// The frame of a record of any schema version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RecordFrame {
+pub struct RecordEnvelope {
     /// Schema version.
     pub schema: u32,
     /// Kind of the record.
@@ -49,7 +49,7 @@
     Invalid(FindingList),
     /// The record can't be said in this schema version.
     #[error("{place} can't be written in schema version {schema}: use version 2")]
-    Inexpressible {
+    Unrepresentable {
         /// The schema version asked for.
         schema: u32,
         /// What it has no words for.
@@ -57,11 +57,11 @@
     },
 }
 
-impl TryFrom<RecordFrame> for RecordSpec {
+impl TryFrom<RecordEnvelope> for RecordSpec {
     type Error = RecordError;
 
-    fn try_from(frame: RecordFrame) -> Result<Self, RecordError> {
-        if !KNOWN_SCHEMAS.contains(&frame.schema) {
+    fn try_from(frame: RecordEnvelope) -> Result<Self, RecordError> {
+        if !SUPPORTED_SCHEMAS.contains(&frame.schema) {
             return Err(RecordError::UnknownSchema(frame.schema));
         }
         let record = match (frame.kind, frame.schema) {
@@ -99,9 +99,9 @@
 ///
 /// # Errors
 ///
-/// [`RecordError::Inexpressible`] when version 1 has no words for a part of it,
+/// [`RecordError::Unrepresentable`] when version 1 has no words for a part of it,
 /// [`RecordError::UnknownSchema`] for any version but 1 and 2.
-pub fn frame_record(record: &RecordSpec, schema: u32) -> Result<RecordFrame, RecordError> {
+pub fn record_to_envelope(record: &RecordSpec, schema: u32) -> Result<RecordEnvelope, RecordError> {
     let spec = match (record, schema) {
         (RecordSpec::Customer(customer), 1) => to_value(&customer_to_v1(customer)?),
         (RecordSpec::Customer(customer), 2) => to_value(&customer_to_v2(customer)),
@@ -111,7 +111,7 @@
         (RecordSpec::Drain(drain), 1 | 2) => to_value(&drain_to_spec(drain)),
         _ => return Err(RecordError::UnknownSchema(schema)),
     };
-    Ok(RecordFrame {
+    Ok(RecordEnvelope {
         schema,
         kind: record.kind(),
         name: record.name().to_owned(),
--- a/crates/wire/src/service.rs
+++ b/crates/wire/src/service.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Header that names a non-idempotent call.
-pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Longest idempotency key, in bytes.
-pub const MAX_KEY_BYTES: usize = 255;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
 /// Header that names the customer on whose behalf a call is made.
 pub const CUSTOMER_HEADER: &str = "x-customer";
--- a/crates/wire/src/table.rs
+++ b/crates/wire/src/table.rs
@@ -3,7 +3,7 @@
 //! * `GET /rows/{key}`: 200 with the value as body and the row's version as `ETag`, 304 when
 //!   `If-None-Match` names it, 404 when there is no row. `X-Write-Token` tells who wrote it.
 //! * `GET /scan?prefix=P&after=K&limit=N`: a [`ScanPage`].
-//! * `POST /batch` with a [`BatchBody`]: 200 with [`BatchDone`], or 412 with [`BatchRefused`];
+//! * `POST /batch` with a [`BatchRequest`]: 200 with [`BatchCommitted`], or 412 with [`BatchConflict`];
 //!   all its writes take effect together or none does.
 //! * 503 means that nothing took effect; 429 likewise, with `Retry-After`.
 
@@ -37,7 +37,7 @@
 
 /// A transactional batch of conditional writes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BatchBody {
+pub struct BatchRequest {
     /// Marks every row that the batch writes.
     pub token: String,
     /// The writes.
@@ -87,14 +87,14 @@
 
 /// A batch that took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BatchDone {
+pub struct BatchCommitted {
     /// Version of every row that it wrote.
     pub version: u64,
 }
 
 /// A batch that did not take effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BatchRefused {
+pub struct BatchConflict {
     /// The rows whose expectation failed; an absent row has version 0 and a null value.
     pub conflicts: Vec<RowBody>,
 }
--- a/crates/wire/tests/record_schemas.rs
+++ b/crates/wire/tests/record_schemas.rs
@@ -7,7 +7,7 @@
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::json;
-use wire::record::{DEFAULT_SHARE, RecordError, RecordFrame, frame_record};
+use wire::record::{DEFAULT_SHARE, RecordEnvelope, RecordError, record_to_envelope};
 
 const TESTS: u64 = 2_000;
 const SEED: u64 = 0x5eed_0005;
@@ -129,7 +129,7 @@
 #[test]
 fn second_keeps_all() {
     fn property(SoundRecord(record): SoundRecord) -> bool {
-        let frame = frame_record(&record, 2).expect("version 2 says everything");
+        let frame = record_to_envelope(&record, 2).expect("version 2 says everything");
         RecordSpec::try_from(frame) == Ok(record)
     }
     check(property);
@@ -140,9 +140,9 @@
 #[test]
 fn first_keeps_or_refuses() {
     fn property(SoundRecord(record): SoundRecord) -> bool {
-        match frame_record(&record, 1) {
+        match record_to_envelope(&record, 1) {
             Ok(frame) => plain(&record) && RecordSpec::try_from(frame) == Ok(record),
-            Err(RecordError::Inexpressible { schema: 1, .. }) => !plain(&record),
+            Err(RecordError::Unrepresentable { schema: 1, .. }) => !plain(&record),
             Err(_) => false,
         }
     }
@@ -152,13 +152,13 @@
 #[test]
 fn first_to_second_and_back() {
     fn property(SoundRecord(record): SoundRecord) -> bool {
-        let Ok(first) = frame_record(&record, 1) else {
+        let Ok(first) = record_to_envelope(&record, 1) else {
             return true;
         };
         let read = RecordSpec::try_from(first.clone()).expect("it was written here");
-        let second = frame_record(&read, 2).expect("version 2 says everything");
+        let second = record_to_envelope(&read, 2).expect("version 2 says everything");
         let again = RecordSpec::try_from(second).expect("it was written here");
-        frame_record(&again, 1) == Ok(first)
+        record_to_envelope(&again, 1) == Ok(first)
     }
     check(property);
 }
@@ -168,7 +168,7 @@
 #[test]
 fn unknown_schema_named() {
     for schema in [0, 3, 4, u32::MAX] {
-        let frame = RecordFrame {
+        let frame = RecordEnvelope {
             schema,
             kind: RecordKind::Drain,
             name: "d".to_owned(),
@@ -185,7 +185,7 @@
 // customer would go without his share; the finding names the place.
 #[test]
 fn stray_key_found() {
-    let frame = RecordFrame {
+    let frame = RecordEnvelope {
         schema: 1,
         kind: RecordKind::Customer,
         name: "c".to_owned(),
--- a/src/client.rs
+++ b/src/client.rs
@@ -10,7 +10,10 @@
 use serde::de::DeserializeOwned;
 use web::client::json_request;
 use web::{ClientError, WebClient, parse_json, read_body};
-use wire::admin::{AmendAnswer, AmendBody, ChangeBody, NO_CALL, NO_RECORD, NodeStatus, RecordBody};
+use wire::admin::{
+    AmendRequest, AmendResponse, ChangeBody, NodeStatus, PATH_NOT_FOUND, RECORD_NOT_FOUND,
+    RecordBody,
+};
 
 use crate::options::OperatorAccess;
 
@@ -72,7 +75,7 @@
     }
 
     /// Sends an amendment to the first node that can be reached.
-    pub async fn amend(&self, body: &AmendBody) -> Result<AmendAnswer, AdminError> {
+    pub async fn amend(&self, body: &AmendRequest) -> Result<AmendResponse, AdminError> {
         self.first_reached(Method::POST, "/amend", Some(body)).await
     }
 
@@ -213,7 +216,7 @@
 }
 
 fn is_admin_text(bytes: &[u8]) -> bool {
-    [NO_RECORD, NO_CALL]
+    [RECORD_NOT_FOUND, PATH_NOT_FOUND]
         .iter()
         .any(|text| text.as_bytes() == bytes.trim_ascii())
 }
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -5,8 +5,8 @@
 use domain::record::RecordKind;
 use domain::{ConfigRevision, WriteToken};
 use serde_json::json;
-use wire::admin::{AmendAnswer, AmendBody, ExpectBody};
-use wire::record::RecordFrame;
+use wire::admin::{AmendRequest, AmendResponse, ExpectBody};
+use wire::record::RecordEnvelope;
 
 use super::CommandEnd;
 use super::files::read_files;
@@ -35,7 +35,7 @@
     let mut end = CommandEnd::Done;
     let mut newest = None;
     for frame in frames {
-        let body = AmendBody {
+        let body = AmendRequest {
             kind: frame.kind,
             name: frame.name.clone(),
             record: Some(frame),
@@ -63,7 +63,7 @@
         eyre::bail!("write which record to delete: KIND NAME");
     };
     let client = AdminClient::new(&plan.access)?;
-    let body = AmendBody {
+    let body = AmendRequest {
         kind,
         name,
         record: None,
@@ -82,13 +82,13 @@
 /// When no node can be reached.
 pub async fn write_drain(plan: &DrainPlan) -> eyre::Result<CommandEnd> {
     let client = AdminClient::new(&plan.access)?;
-    let record = RecordFrame {
+    let record = RecordEnvelope {
         schema: 1,
         kind: RecordKind::Drain,
         name: plan.name.clone(),
         spec: json!({ "hosts": plan.hosts, "domains": plan.domains }),
     };
-    let body = AmendBody {
+    let body = AmendRequest {
         kind: RecordKind::Drain,
         name: plan.name.clone(),
         record: Some(record),
@@ -120,7 +120,7 @@
 /// Sends an amendment and settles a lost answer by the token in the history.
 async fn amend_settled(
     client: &AdminClient,
-    body: &AmendBody,
+    body: &AmendRequest,
     format: OutputFormat,
 ) -> eyre::Result<(CommandEnd, Option<ConfigRevision>)> {
     let what = format!("{} {}", body.kind.as_str(), body.name);
@@ -141,25 +141,25 @@
     }
 }
 
-fn judge_answer(answer: &AmendAnswer) -> (CommandEnd, Option<ConfigRevision>) {
+fn judge_answer(answer: &AmendResponse) -> (CommandEnd, Option<ConfigRevision>) {
     match answer {
-        AmendAnswer::Accepted { revision, .. } => (CommandEnd::Done, Some(*revision)),
-        AmendAnswer::Conflict { .. }
-        | AmendAnswer::Refused { .. }
-        | AmendAnswer::Unavailable { .. } => (CommandEnd::Failed, None),
-        AmendAnswer::Unsettled { .. } => (CommandEnd::Unknown, None),
+        AmendResponse::Accepted { revision, .. } => (CommandEnd::Done, Some(*revision)),
+        AmendResponse::Conflict { .. }
+        | AmendResponse::Refused { .. }
+        | AmendResponse::Unavailable { .. } => (CommandEnd::Failed, None),
+        AmendResponse::Unsettled { .. } => (CommandEnd::Unknown, None),
     }
 }
 
-fn print_answer(what: &str, answer: &AmendAnswer) {
+fn print_answer(what: &str, answer: &AmendResponse) {
     match answer {
-        AmendAnswer::Accepted { revision, warnings } => {
+        AmendResponse::Accepted { revision, warnings } => {
             println!("{what}: accepted as revision {revision}");
             for finding in warnings.as_slice() {
                 eprintln!("{what}: warning: {}: {}", finding.path, finding.problem);
             }
         }
-        AmendAnswer::Conflict { current, change } => {
+        AmendResponse::Conflict { current, change } => {
             let now = current.as_ref().map_or_else(
                 || "it does not exist now".to_owned(),
                 |record| format!("revision {} is in force now", record.revision),
@@ -169,11 +169,11 @@
             });
             eprintln!("{what}: not accepted: {now}{by}; compare with `diff` and apply it again");
         }
-        AmendAnswer::Refused { findings } => eprintln!("{what}: refused:\n{findings}"),
-        AmendAnswer::Unavailable { reason } => {
+        AmendResponse::Refused { findings } => eprintln!("{what}: refused:\n{findings}"),
+        AmendResponse::Unavailable { reason } => {
             eprintln!("{what}: not accepted, nothing took effect: {reason}");
         }
-        AmendAnswer::Unsettled { revision, reason } => {
+        AmendResponse::Unsettled { revision, reason } => {
             eprintln!("{what}: not known whether it is revision {revision}: {reason}");
         }
     }
@@ -181,7 +181,7 @@
 
 async fn settle_lost(
     client: &AdminClient,
-    body: &AmendBody,
+    body: &AmendRequest,
     what: &str,
 ) -> (CommandEnd, Option<ConfigRevision>) {
     let own = format!("{}.", body.token);
--- a/src/commands/files.rs
+++ b/src/commands/files.rs
@@ -5,14 +5,14 @@
 use domain::{FindingList, RecordSpec};
 use eyre::WrapErr;
 use serde_json::Value;
-use wire::record::{RecordError, RecordFrame};
+use wire::record::{RecordEnvelope, RecordError};
 
 /// Reads and checks the records of every file.
 ///
 /// # Errors
 ///
 /// All findings of all files together, each with its file, record and JSON path.
-pub fn read_files(files: &[PathBuf]) -> eyre::Result<Vec<RecordFrame>> {
+pub fn read_files(files: &[PathBuf]) -> eyre::Result<Vec<RecordEnvelope>> {
     let mut frames = Vec::new();
     let mut findings = FindingList::default();
     for file in files {
@@ -42,8 +42,8 @@
     serde_json::from_str(&text).wrap_err_with(|| format!("{} is no JSON", file.display()))
 }
 
-fn read_record(value: Value, place: &str, findings: &mut FindingList) -> Option<RecordFrame> {
-    let frame: RecordFrame = match serde_json::from_value(value) {
+fn read_record(value: Value, place: &str, findings: &mut FindingList) -> Option<RecordEnvelope> {
+    let frame: RecordEnvelope = match serde_json::from_value(value) {
         Ok(frame) => frame,
         Err(error) => {
             let advice = "a record has schema, kind, name and spec";
--- a/src/commands/records.rs
+++ b/src/commands/records.rs
@@ -1,7 +1,7 @@
 //! `get`, `history` and `diff`: reading records.
 
 use wire::admin::RecordBody;
-use wire::record::RecordFrame;
+use wire::record::RecordEnvelope;
 
 use super::CommandEnd;
 use super::files::read_files;
@@ -105,7 +105,7 @@
 }
 
 /// Prints the lines of either record that the other lacks, as they stand in sorted JSON.
-fn print_lines(current: &RecordFrame, wanted: &RecordFrame) -> eyre::Result<()> {
+fn print_lines(current: &RecordEnvelope, wanted: &RecordEnvelope) -> eyre::Result<()> {
     let current = serde_json::to_string_pretty(current)?;
     let wanted = serde_json::to_string_pretty(wanted)?;
     for difference in similar::TextDiff::from_lines(&current, &wanted).iter_all_changes() {
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -64,7 +64,7 @@
             if status.ready { "yes" } else { "no" }.to_owned(),
             status.revision.to_string(),
             status.leases.join(","),
-            status.standing.clone(),
+            status.readiness.clone(),
         ]);
     }
     table.text()
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -200,7 +200,7 @@
         NodeStatus {
             node: self.node.clone(),
             ready: config.revision.0 > 0 && config.gate.is_open(now),
-            standing: self.follower.status().readiness.as_str().to_owned(),
+            readiness: self.follower.status().readiness.as_str().to_owned(),
             revision: config.revision,
             unknown_records: config.unknown.clone(),
             replicas,
--- a/tests/system/fault_switches.rs
+++ b/tests/system/fault_switches.rs
@@ -8,7 +8,7 @@
 use standin::stack::{StackPlan, TestStack};
 use web::client::json_request;
 use web::{ClientError, read_body};
-use wire::service::IDEMPOTENCY_HEADER;
+use wire::service::IDEMPOTENCY_KEY_HEADER;
 
 use crate::PRODUCT;
 
@@ -135,7 +135,7 @@
         let mut request =
             json_request(Method::POST, address, "/fees/pay", Some(&call)).expect("a request");
         let key = http::HeaderValue::from_static("k1");
-        request.headers_mut().insert(IDEMPOTENCY_HEADER, key);
+        request.headers_mut().insert(IDEMPOTENCY_KEY_HEADER, key);
         if let Ok(answer) = stack.client.send(address, request, SHORT * 10).await {
             read_body(answer.into_body(), 1 << 16).await.expect("whole");
         }
