--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -196,7 +196,7 @@
             let detail = format!("epoch {}", grant.epoch);
             self.context
                 .recorder
-                .note(EventCode::OrderFenced, subject, detail);
+                .record(EventCode::OrderFenced, subject, detail);
         }
         Ok(())
     }
--- a/crates/control/src/assembly/step_events.rs
+++ b/crates/control/src/assembly/step_events.rs
@@ -28,7 +28,7 @@
         hosts: &BTreeMap<HostId, HostHealth>,
     ) {
         let record_event =
-            |code, subject, detail: String| self.recorder.note(code, subject, detail);
+            |code, subject, detail: String| self.recorder.record(code, subject, detail);
         match step {
             AssemblyStep::Free(host) => {
                 record_event(
@@ -88,9 +88,9 @@
             if !hosts.get(host).is_some_and(|health| health.lost) {
                 continue;
             }
-            let subject = EventSubject::host(host).and_replica(replica);
+            let subject = EventSubject::host(host).with_replica(replica);
             self.recorder
-                .note(EventCode::HostLost, subject, String::new());
+                .record(EventCode::HostLost, subject, String::new());
         }
     }
 }
--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -155,14 +155,14 @@
         let mut view = self.state.view();
         view.gate = self.gate.clone();
         let subject = EventSubject::default();
-        self.recorder.note(
+        self.recorder.record(
             EventCode::ConfigApplied,
             subject.clone(),
             format!("revision {revision}"),
         );
         if !view.unknown.is_empty() {
             self.recorder
-                .note(EventCode::RecordUnknown, subject, view.unknown.join(" "));
+                .record(EventCode::RecordUnknown, subject, view.unknown.join(" "));
         }
         self.views.send_replace(Arc::new(view));
         if let Some(pending) = self.pending.take() {
@@ -218,7 +218,7 @@
             NodeReadiness::CutOff => EventCode::NodeCutOff,
         };
         self.recorder
-            .note(code, EventSubject::default(), readiness.as_str());
+            .record(code, EventSubject::default(), readiness.as_str());
     }
 }
 
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -101,7 +101,7 @@
         let detail =
             format!("the table has revision {head}, but revision {applied} is applied here");
         self.recorder
-            .note(EventCode::ConfigRegressed, EventSubject::default(), detail);
+            .record(EventCode::ConfigRegressed, EventSubject::default(), detail);
     }
 
     /// Writes a snapshot when this node is chosen for it: one node for each multiple of
@@ -129,6 +129,6 @@
         *published = revision;
         let detail = format!("revision {}", snapshot.revision);
         self.recorder
-            .note(EventCode::SnapshotWritten, EventSubject::default(), detail);
+            .record(EventCode::SnapshotWritten, EventSubject::default(), detail);
     }
 }
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -79,7 +79,7 @@
         return;
     }
     let subject = EventSubject::lease(&grant.name);
-    recorder.note(
+    recorder.record(
         EventCode::ClaimsCleaned,
         subject,
         format!("{cleaned} claims"),
--- a/crates/control/src/lease/actor.rs
+++ b/crates/control/src/lease/actor.rs
@@ -238,7 +238,7 @@
 
     fn record_event(&self, code: EventCode, detail: String) {
         let subject = EventSubject::lease(self.tracker.name());
-        self.recorder.note(code, subject, detail);
+        self.recorder.record(code, subject, detail);
     }
 }
 
--- a/crates/control/src/members/table.rs
+++ b/crates/control/src/members/table.rs
@@ -141,7 +141,7 @@
             return Ok(());
         }
         commit_with_retries(&self.table, &batch, COMMIT_ATTEMPTS).await?;
-        self.recorder.note(
+        self.recorder.record(
             EventCode::MemberExpired,
             EventSubject::default(),
             cleaned.join(" "),
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -82,11 +82,11 @@
         self.progress = ResponseProgress::resumed(token.offset);
         self.may_have_run = true;
         self.dispatch_request.admitted = true;
-        let subject = self.subject().and_replica(&token.scope.replica);
+        let subject = self.subject().with_replica(&token.scope.replica);
         let detail = format!("behind token {}", token.offset.count);
         self.context
             .recorder
-            .note(EventCode::RequestResumed, subject, detail);
+            .record(EventCode::RequestResumed, subject, detail);
         if let Some(target) = self.resumable_target(token)
             && let Ok(end) = self.attempt(&target, AttemptKind::Resume, None, sink).await
         {
@@ -274,12 +274,12 @@
     }
 
     fn subject(&self) -> EventSubject {
-        EventSubject::request(&self.request.id).and_customer(&self.request.customer)
+        EventSubject::request(&self.request.id).with_customer(&self.request.customer)
     }
 
     fn record(&self, code: EventCode, replica: &ReplicaId, detail: &str) {
-        let subject = self.subject().and_replica(replica);
-        self.context.recorder.note(code, subject, detail);
+        let subject = self.subject().with_replica(replica);
+        self.context.recorder.record(code, subject, detail);
     }
 }
 
--- a/crates/entry/src/completion_handler.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -74,7 +74,7 @@
     let subject = request_subject(&request);
     context
         .recorder
-        .note(EventCode::RequestAdmitted, subject, request.model.as_str());
+        .record(EventCode::RequestAdmitted, subject, request.model.as_str());
     if stream {
         return respond_streaming(context, request, resume_token, include_usage).await;
     }
@@ -82,7 +82,7 @@
 }
 
 fn request_subject(request: &GenerationRequest) -> EventSubject {
-    EventSubject::request(&request.id).and_customer(&request.customer)
+    EventSubject::request(&request.id).with_customer(&request.customer)
 }
 
 fn invalid_resume(message: impl Into<String>) -> RequestError {
@@ -186,17 +186,17 @@
             }
             context
                 .recorder
-                .note(EventCode::CallerLeft, subject, "at the end of the answer");
+                .record(EventCode::CallerLeft, subject, "at the end of the answer");
         }
         CompletionResult::ClientDisconnected => {
             context
                 .recorder
-                .note(EventCode::CallerLeft, subject, "within the answer");
+                .record(EventCode::CallerLeft, subject, "within the answer");
         }
         CompletionResult::HandOver => {
             context
                 .recorder
-                .note(EventCode::StreamHandedOver, subject, "");
+                .record(EventCode::StreamHandedOver, subject, "");
             sink.hand_over().await;
         }
         CompletionResult::Failed(error) => {
@@ -204,7 +204,7 @@
             if sink.has_begun() {
                 context
                     .recorder
-                    .note(EventCode::RequestFailed, subject, error.to_string());
+                    .record(EventCode::RequestFailed, subject, error.to_string());
             }
             sink.fail(error, &body).await;
         }
@@ -219,5 +219,5 @@
     let detail = format!("{} tokens", summary.count);
     context
         .recorder
-        .note(EventCode::RequestAnswered, request_subject(request), detail);
+        .record(EventCode::RequestAnswered, request_subject(request), detail);
 }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -103,7 +103,7 @@
     /// Body of the answer.
     #[must_use]
     pub fn body(&self, request_id: &RequestId) -> ErrorBody {
-        let class = if self.status().is_client_error() {
+        let error_type = if self.status().is_client_error() {
             "invalid_request_error"
         } else {
             "server_error"
@@ -112,7 +112,7 @@
             error: ErrorDetail {
                 code: self.code,
                 message: self.message.clone(),
-                class: class.to_owned(),
+                error_type: error_type.to_owned(),
                 param: self.param.clone(),
                 execution: self.execution,
                 retry_after: self.retry_after.map(round_up_to_seconds),
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -156,7 +156,9 @@
             ErrorCode::Overloaded => EventCode::RequestRefused,
             _ => EventCode::RequestFailed,
         };
-        self.context.recorder.note(code, subject, error.to_string());
+        self.context
+            .recorder
+            .record(code, subject, error.to_string());
         error.response(request_id)
     }
 }
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -160,8 +160,8 @@
 
     fn record(&self, code: EventCode, call: &PendingCall, detail: &str) {
         let subject =
-            EventSubject::request(&call.request_id).and_customer(&call.resolved.customer.name);
-        self.recorder.note(code, subject, detail);
+            EventSubject::request(&call.request_id).with_customer(&call.resolved.customer.name);
+        self.recorder.record(code, subject, detail);
     }
 }
 
--- a/crates/events/src/clock.rs
+++ b/crates/events/src/clock.rs
@@ -14,7 +14,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct HybridStamp {
+pub struct HybridTimestamp {
     /// Milliseconds since 1970.
     pub millis: u64,
     /// Order of the events within one millisecond.
@@ -23,30 +23,30 @@
 
 /// Farthest that a received stamp may move the clock ahead of wall time, in milliseconds; one
 /// process with a broken clock would otherwise take all the others with it.
-pub const MAX_LEAD_MS: u64 = 60_000;
+pub const MAX_CLOCK_OFFSET_MS: u64 = 60_000;
 
 /// The clock of one process.
 #[derive(Debug, Default)]
 pub struct HybridClock {
-    last: Mutex<HybridStamp>,
+    last: Mutex<HybridTimestamp>,
 }
 
 impl HybridClock {
     /// The next stamp, higher than every one before.
-    pub fn next(&self) -> HybridStamp {
+    pub fn next(&self) -> HybridTimestamp {
         self.next_at(wall_millis())
     }
 
     /// The next stamp at a given wall time in milliseconds.
-    pub fn next_at(&self, wall: u64) -> HybridStamp {
+    pub fn next_at(&self, wall: u64) -> HybridTimestamp {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         let next = if wall > last.millis {
-            HybridStamp {
+            HybridTimestamp {
                 millis: wall,
                 counter: 0,
             }
         } else {
-            HybridStamp {
+            HybridTimestamp {
                 millis: last.millis,
                 counter: last.counter.saturating_add(1),
             }
@@ -56,13 +56,13 @@
     }
 
     /// Moves the clock past a stamp that another process sent.
-    pub fn observe(&self, stamp: HybridStamp) {
+    pub fn observe(&self, stamp: HybridTimestamp) {
         self.observe_at(stamp, wall_millis());
     }
 
     /// Moves the clock past a stamp, at a given wall time in milliseconds.
-    pub fn observe_at(&self, stamp: HybridStamp, wall: u64) {
-        if stamp.millis > wall.saturating_add(MAX_LEAD_MS) {
+    pub fn observe_at(&self, stamp: HybridTimestamp, wall: u64) {
+        if stamp.millis > wall.saturating_add(MAX_CLOCK_OFFSET_MS) {
             return;
         }
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod recorder;
 pub mod timeline;
 
-pub use clock::{HybridClock, HybridStamp};
+pub use clock::{HybridClock, HybridTimestamp};
 pub use code::{EventCode, EventLevel};
-pub use lines::{EventLine, LineSink};
+pub use lines::{LogLine, LogSink};
 pub use logs::log_skipped;
 pub use metrics::NodeMetrics;
 pub use record::{EventRecord, EventSubject};
--- a/crates/events/src/lines.rs
+++ b/crates/events/src/lines.rs
@@ -27,12 +27,12 @@
 
 /// One line in the making.
 #[derive(Debug)]
-pub struct EventLine {
+pub struct LogLine {
     code: EventCode,
     fields: String,
 }
 
-impl EventLine {
+impl LogLine {
     /// A line of a kind.
     #[must_use]
     pub fn new(code: EventCode) -> Self {
@@ -73,7 +73,7 @@
 
 /// Where lines go.
 #[derive(Debug)]
-pub struct LineSink {
+pub struct LogSink {
     node: String,
     least: EventLevel,
     sender: SyncSender<String>,
@@ -81,7 +81,7 @@
     rate: std::cell::Cell<(f64, Duration)>,
 }
 
-impl LineSink {
+impl LogSink {
     /// Starts the writer's thread.
     #[must_use]
     pub fn to_stdout(node: &str, least: EventLevel) -> Self {
@@ -111,7 +111,7 @@
     }
 
     /// Writes a line, or counts it; `now` is the time since the start of the process.
-    pub fn write(&self, line: &EventLine, now: Duration) {
+    pub fn write(&self, line: &LogLine, now: Duration) {
         if !self.is_wanted(line.code.level()) {
             return;
         }
--- a/crates/events/src/logs.rs
+++ b/crates/events/src/logs.rs
@@ -10,7 +10,7 @@
 use crate::record::EventRecord;
 
 /// Starts logging of events at `level` and above; a second call changes the level only.
-pub fn start_logs(level: EventLevel) {
+pub fn init_logging(level: EventLevel) {
     let started = logforth::starter_log::builder()
         .dispatch(|dispatch| {
             dispatch
--- a/crates/events/src/metrics.rs
+++ b/crates/events/src/metrics.rs
@@ -100,7 +100,7 @@
 /// # Errors
 ///
 /// [`MetricsError::Exporter`].
-pub fn open_exporter() -> Result<(Registry, SdkMeterProvider), MetricsError> {
+pub fn build_exporter() -> Result<(Registry, SdkMeterProvider), MetricsError> {
     let registry = Registry::new();
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// [`MetricsError::Encoder`].
-pub fn registry_text(registry: &Registry) -> Result<String, MetricsError> {
+pub fn encode_registry(registry: &Registry) -> Result<String, MetricsError> {
     TextEncoder::new()
         .encode_to_string(&registry.gather())
         .map_err(|error| MetricsError::Encoder(error.to_string()))
@@ -128,7 +128,7 @@
     ///
     /// [`MetricsError::Exporter`].
     pub fn new() -> Result<Self, MetricsError> {
-        let (registry, provider) = open_exporter()?;
+        let (registry, provider) = build_exporter()?;
         let meter = provider.meter("bramleyspring");
         let inner = MetricsInner {
             registry,
@@ -185,7 +185,7 @@
     ///
     /// [`MetricsError::Encoder`].
     pub fn text(&self) -> Result<String, MetricsError> {
-        registry_text(&self.inner.registry)
+        encode_registry(&self.inner.registry)
     }
 
     fn bounded_name(&self, name: &str) -> String {
--- a/crates/events/src/record.rs
+++ b/crates/events/src/record.rs
@@ -3,7 +3,7 @@
 use domain::{CustomerId, HostId, LeaseName, NodeId, ReplicaId, RequestId};
 use serde::{Deserialize, Serialize};
 
-use crate::clock::HybridStamp;
+use crate::clock::HybridTimestamp;
 use crate::code::EventCode;
 
 /// What an event is about.
@@ -77,21 +77,21 @@
 
     /// The same event, also about a customer.
     #[must_use]
-    pub fn and_customer(mut self, customer: &CustomerId) -> Self {
+    pub fn with_customer(mut self, customer: &CustomerId) -> Self {
         self.customer = Some(customer.clone());
         self
     }
 
     /// The same event, also about a replica.
     #[must_use]
-    pub fn and_replica(mut self, replica: &ReplicaId) -> Self {
+    pub fn with_replica(mut self, replica: &ReplicaId) -> Self {
         self.replica = Some(replica.clone());
         self
     }
 
     /// The same event, also about a host.
     #[must_use]
-    pub fn and_host(mut self, host: &HostId) -> Self {
+    pub fn with_host(mut self, host: &HostId) -> Self {
         self.host = Some(host.clone());
         self
     }
@@ -106,7 +106,7 @@
     /// dropped events.
     pub sequence: u64,
     /// When.
-    pub stamp: HybridStamp,
+    pub stamp: HybridTimestamp,
     /// Kind.
     pub code: EventCode,
     /// What it is about.
--- a/crates/events/src/recorder.rs
+++ b/crates/events/src/recorder.rs
@@ -41,7 +41,7 @@
 
     /// A recorder that also counts its events.
     #[must_use]
-    pub fn counted(node: NodeId, capacity: usize, metrics: NodeMetrics) -> Self {
+    pub fn with_metrics(node: NodeId, capacity: usize, metrics: NodeMetrics) -> Self {
         Self::build(node, capacity, Some(metrics))
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Records an event.
-    pub fn note(&self, code: EventCode, subject: EventSubject, detail: impl Into<String>) {
+    pub fn record(&self, code: EventCode, subject: EventSubject, detail: impl Into<String>) {
         let event = self.store(code, subject, detail.into());
         log_event(&event);
         if let Some(metrics) = &self.inner.metrics {
--- a/crates/events/tests/clock_order.rs
+++ b/crates/events/tests/clock_order.rs
@@ -1,7 +1,7 @@
 //! Stamps of the hybrid logical clock.
 
-use events::clock::MAX_LEAD_MS;
-use events::{HybridClock, HybridStamp};
+use events::clock::MAX_CLOCK_OFFSET_MS;
+use events::{HybridClock, HybridTimestamp};
 use quickcheck::{Gen, QuickCheck};
 
 fn check() -> QuickCheck {
@@ -14,7 +14,7 @@
 fn stamps_rise() {
     fn property(walls: Vec<u16>) -> bool {
         let clock = HybridClock::default();
-        let stamps: Vec<HybridStamp> = walls
+        let stamps: Vec<HybridTimestamp> = walls
             .into_iter()
             .map(|wall| clock.next_at(u64::from(wall)))
             .collect();
@@ -30,7 +30,7 @@
 fn effect_after_cause() {
     fn property(sender_wall: u16, receiver_wall: u16) -> bool {
         let (sender, receiver) = (HybridClock::default(), HybridClock::default());
-        let sender_wall = u64::from(sender_wall) % MAX_LEAD_MS;
+        let sender_wall = u64::from(sender_wall) % MAX_CLOCK_OFFSET_MS;
         let cause = sender.next_at(sender_wall);
         receiver.observe_at(cause, u64::from(receiver_wall));
         cause < receiver.next_at(u64::from(receiver_wall))
@@ -43,8 +43,8 @@
 #[test]
 fn broken_clock_ignored() {
     let clock = HybridClock::default();
-    let far = HybridStamp {
-        millis: 5_000 + MAX_LEAD_MS + 1,
+    let far = HybridTimestamp {
+        millis: 5_000 + MAX_CLOCK_OFFSET_MS + 1,
         counter: 0,
     };
     clock.observe_at(far, 5_000);
--- a/crates/events/tests/line_bounds.rs
+++ b/crates/events/tests/line_bounds.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use events::{EventCode, EventLevel, EventLine, LineSink};
+use events::{EventCode, EventLevel, LogLine, LogSink};
 
-fn line(number: u64) -> EventLine {
-    EventLine::new(EventCode::GatewayRefused)
+fn line(number: u64) -> LogLine {
+    LogLine::new(EventCode::GatewayRefused)
         .text("request", &format!("r-{number}"))
         .text("reason", "all targets are full")
 }
@@ -14,7 +14,7 @@
 /// so a bad minute can't fill the disk of whoever collects them.
 #[test]
 fn burst_is_bounded() {
-    let sink = LineSink::to_stdout("n0", EventLevel::Info);
+    let sink = LogSink::to_stdout("n0", EventLevel::Info);
     for number in 0..5000 {
         sink.write(&line(number), Duration::from_millis(number / 10));
     }
@@ -24,7 +24,7 @@
 
 #[test]
 fn quiet_lines_pass() {
-    let sink = LineSink::to_stdout("n0", EventLevel::Info);
+    let sink = LogSink::to_stdout("n0", EventLevel::Info);
     for number in 0..100 {
         sink.write(&line(number), Duration::from_millis(number * 20));
     }
@@ -34,7 +34,7 @@
 /// Lines below the level cost neither the rate nor a count.
 #[test]
 fn level_filters() {
-    let sink = LineSink::to_stdout("n0", EventLevel::Error);
+    let sink = LogSink::to_stdout("n0", EventLevel::Error);
     for number in 0..5000 {
         sink.write(&line(number), Duration::ZERO);
     }
@@ -44,11 +44,11 @@
 /// A caller sends a header of a megabyte that ends up in a line.
 #[test]
 fn long_values_cut() {
-    let sink = LineSink::to_stdout("n0", EventLevel::Info);
+    let sink = LogSink::to_stdout("n0", EventLevel::Info);
     let began = Instant::now();
     let long = "é".repeat(1 << 20);
     sink.write(
-        &EventLine::new(EventCode::RequestFailed).text("reason", &long),
+        &LogLine::new(EventCode::RequestFailed).text("reason", &long),
         Duration::ZERO,
     );
     assert!(began.elapsed() < Duration::from_secs(5));
--- a/crates/events/tests/timeline_merge.rs
+++ b/crates/events/tests/timeline_merge.rs
@@ -22,11 +22,11 @@
 #[test]
 fn way_of_request() {
     let (first, second) = (recorder("e1", 100), recorder("e2", 100));
-    first.note(EventCode::RequestAdmitted, request("r1"), "trader-help");
-    first.note(EventCode::RequestAdmitted, request("r2"), "trader-help");
+    first.record(EventCode::RequestAdmitted, request("r1"), "trader-help");
+    first.record(EventCode::RequestAdmitted, request("r2"), "trader-help");
     let sent = first.clock().next();
     second.clock().observe(sent);
-    second.note(EventCode::AttemptStarted, request("r1"), "resumed here");
+    second.record(EventCode::AttemptStarted, request("r1"), "resumed here");
     let filter = TimelineFilter {
         request: Some("r1".to_owned()),
         ..TimelineFilter::default()
@@ -44,7 +44,7 @@
 #[test]
 fn missing_node_named() {
     let first = recorder("e1", 100);
-    first.note(EventCode::NodeStarted, EventSubject::default(), "here");
+    first.record(EventCode::NodeStarted, EventSubject::default(), "here");
     let gone = NodeEvents {
         node: "e2".to_owned(),
         events: Err("no connection".to_owned()),
@@ -59,7 +59,7 @@
 fn ring_bounded() {
     let recorder = recorder("e1", 3);
     for number in 0..10 {
-        recorder.note(
+        recorder.record(
             EventCode::RequestAdmitted,
             EventSubject::default(),
             number.to_string(),
@@ -79,7 +79,7 @@
 fn markup_escaped() {
     let recorder = recorder("e1", 3);
     let detail = "no model <script>alert(1)</script>";
-    recorder.note(EventCode::RequestFailed, EventSubject::default(), detail);
+    recorder.record(EventCode::RequestFailed, EventSubject::default(), detail);
     let view = TimelineView::merge(vec![answer("e1", &recorder)], &TimelineFilter::default());
     assert!(!timeline_page(&view).contains("<script>"));
 }
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use domain::{BootNumber, FastMap, HostId};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::{CrashedRequest, TargetCrash};
 use web::{ConnectionError, HttpConnection};
 
@@ -111,7 +111,7 @@
             )
         });
     let named: Vec<String> = named.collect();
-    let line = EventLine::new(EventCode::TargetEnded)
+    let line = LogLine::new(EventCode::TargetEnded)
         .text("host", host.as_str())
         .number("boot", boot.0)
         .number(
--- a/crates/gateway/src/crash_records.rs
+++ b/crates/gateway/src/crash_records.rs
@@ -11,7 +11,7 @@
 
 use adapter::{RowPage, StoreClient, StoreError, StoreRow};
 use domain::{BootNumber, HostId};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serde::{Deserialize, Serialize};
 use serving::poison::CRASH_RETENTION;
 use serving::{CrashedRequest, RequestFingerprint, TargetCrash};
@@ -239,7 +239,7 @@
 }
 
 fn log_skipped(node: &GatewayNode, step: &str, error: &StoreError) {
-    let line = EventLine::new(EventCode::StepSkipped)
+    let line = LogLine::new(EventCode::StepSkipped)
         .text("step", step)
         .text("reason", &error.to_string());
     node.log(&line);
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -6,7 +6,7 @@
 use adapter::RequestHeaders;
 use bytes::Bytes;
 use domain::{FastSet, HostId, RequestId};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use http::{Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Either, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -122,7 +122,7 @@
         EventCode::RequestFailed
     };
     let status = reply.status();
-    let mut line = EventLine::new(code)
+    let mut line = LogLine::new(code)
         .text("request", headers.id.as_ref().map_or("", RequestId::as_str))
         .number("status", u64::from(status.as_u16()))
         .text("reason", reason)
@@ -149,7 +149,7 @@
     let elapsed = node.now().saturating_sub(admitted.arrived);
     node.metrics
         .record_request(admitted.labels(), response.status(), elapsed);
-    let line = EventLine::new(EventCode::GatewayAnswered)
+    let line = LogLine::new(EventCode::GatewayAnswered)
         .text(
             "request",
             admitted.id.as_ref().map_or("", RequestId::as_str),
@@ -285,7 +285,7 @@
 }
 
 fn log_failed_attempt(node: &GatewayNode, admitted: &AdmittedRequest, host: &HostId, reason: &str) {
-    let line = EventLine::new(EventCode::GatewayAttemptFailed)
+    let line = LogLine::new(EventCode::GatewayAttemptFailed)
         .text(
             "request",
             admitted.id.as_ref().map_or("", RequestId::as_str),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use events::metrics::{MetricsError, open_exporter, registry_text};
+use events::metrics::{MetricsError, build_exporter, encode_registry};
 use http::StatusCode;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, MeterProvider as _};
@@ -102,7 +102,7 @@
     ///
     /// [`MetricsError::Exporter`].
     pub fn new() -> Result<Self, MetricsError> {
-        let (registry, provider) = open_exporter()?;
+        let (registry, provider) = build_exporter()?;
         let meter = provider.meter("bramleyspring");
         let counter = |name| meter.u64_counter(name).build();
         let seconds_counter = |name| meter.f64_counter(name).with_unit("s").build();
@@ -189,7 +189,7 @@
         for (gauge, read_stat) in &self.gauges {
             gauge.record(read_stat(stats), &[]);
         }
-        registry_text(&self.registry)
+        encode_registry(&self.registry)
     }
 }
 
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -6,7 +6,7 @@
 
 use adapter::HostError;
 use domain::HostId;
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::plan::CLOSE_TIMEOUT;
 use serving::stall::StallDetector;
 use serving::{ReplicaView, TargetState};
@@ -120,7 +120,7 @@
         if failure == FailureKind::Unresponsive
             && let Some(silence) = self.recent_silence(id)
         {
-            let line = EventLine::new(EventCode::TargetDoubted)
+            let line = LogLine::new(EventCode::TargetDoubted)
                 .text("host", id.as_str())
                 .text("reason", reason)
                 .millis("replica_silent_ms", silence);
@@ -135,7 +135,7 @@
         }
         suspects.insert(id.clone(), Suspicion { since, failure });
         drop(suspects);
-        let line = EventLine::new(EventCode::TargetSuspected)
+        let line = LogLine::new(EventCode::TargetSuspected)
             .text("host", id.as_str())
             .text("reason", reason);
         self.log(&line);
@@ -191,7 +191,7 @@
         }
         retired.insert(id.clone(), now);
         drop(retired);
-        let line = EventLine::new(EventCode::TargetRetired)
+        let line = LogLine::new(EventCode::TargetRetired)
             .text("host", id.as_str())
             .text("reason", reason);
         self.log(&line);
@@ -235,7 +235,7 @@
         if self.suspicions.borrow_mut().remove(id).is_none() {
             return;
         }
-        let line = EventLine::new(EventCode::TargetBack).text("host", id.as_str());
+        let line = LogLine::new(EventCode::TargetBack).text("host", id.as_str());
         self.log(&line);
         self.notify_change();
     }
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use domain::{FastMap, FastSet, HostId, ReplicaId, RowVersion, ServiceName};
-use events::{EventCode, EventLine, LineSink};
+use events::{EventCode, LogLine, LogSink};
 use policy::admission::CustomerShares;
 use serving::stall::StallDetector;
 use serving::{
@@ -37,7 +37,7 @@
     /// Settings read at startup.
     pub settings: GatewaySettings,
     /// Destination of log lines.
-    pub sink: LineSink,
+    pub sink: LogSink,
     /// Metric instruments.
     pub metrics: GatewayMetrics,
     /// Pool of idle connections to targets.
@@ -112,7 +112,7 @@
     #[must_use]
     pub fn new(
         settings: GatewaySettings,
-        sink: LineSink,
+        sink: LogSink,
         metrics: GatewayMetrics,
         hints: HintChannel,
     ) -> Self {
@@ -169,7 +169,7 @@
     }
 
     /// Writes a line to the log.
-    pub fn log(&self, line: &EventLine) {
+    pub fn log(&self, line: &LogLine) {
         self.sink.write(line, self.now());
     }
 
@@ -295,7 +295,7 @@
             return;
         }
         let count = u64::try_from(nodes.len()).unwrap_or(u64::MAX);
-        let line = EventLine::new(EventCode::NodesCounted).number("nodes", count);
+        let line = LogLine::new(EventCode::NodesCounted).number("nodes", count);
         *self.live_nodes.borrow_mut() = nodes;
         self.nodes_generation.set(self.nodes_generation.get() + 1);
         self.log(&line);
--- a/crates/gateway/src/node/poison.rs
+++ b/crates/gateway/src/node/poison.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::{CrashedRequest, PoisonDetector, PoisonVerdict, RequestFingerprint};
 
 use super::GatewayNode;
@@ -62,7 +62,7 @@
             if known.contains(fingerprint) {
                 continue;
             }
-            let line = EventLine::new(EventCode::RequestBarred)
+            let line = LogLine::new(EventCode::RequestBarred)
                 .text("mark", &fingerprint.to_string())
                 .text("outcome", outcome);
             self.log(&line);
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use domain::{FastMap, FastSet, HostId, ModelName, ReplicaId, RowVersion, ServiceName};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::{
     MemberState, ReplicaMembership, ReplicaView, ServiceConfig, TargetEntry, TargetState,
 };
@@ -106,7 +106,7 @@
             return false;
         }
         self.unlisted.borrow_mut().insert(id.clone());
-        let line = EventLine::new(EventCode::TargetUnlisted).text("host", id.as_str());
+        let line = LogLine::new(EventCode::TargetUnlisted).text("host", id.as_str());
         self.log(&line);
         self.notify_change();
         true
@@ -266,8 +266,8 @@
     }
 }
 
-fn target_line(code: EventCode, entry: &TargetEntry) -> EventLine {
-    let mut line = EventLine::new(code)
+fn target_line(code: EventCode, entry: &TargetEntry) -> LogLine {
+    let mut line = LogLine::new(code)
         .text("host", entry.id.as_str())
         .text("service", entry.service.as_str())
         .text("state", state_name(entry.state));
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -12,7 +12,7 @@
 use adapter::OrderResponse;
 use adapter::orders::HostOrder;
 use domain::{BootNumber, FastMap, FastSet, HostId, ReplicaId};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::{MemberState, ReplicaMembership};
 
 use crate::node::{FailureKind, GatewayNode};
@@ -154,7 +154,7 @@
 ) -> OrderOutcome {
     let started_at = node.now();
     let (outcome, attempts, detail) = send_until_settled(node, order_tracker, planned).await;
-    let line = EventLine::new(EventCode::OrderEnded)
+    let line = LogLine::new(EventCode::OrderEnded)
         .text("host", planned.host.as_str())
         .text("order", planned.order.name())
         .text("outcome", outcome.name())
--- a/crates/gateway/src/reconcile/mod.rs
+++ b/crates/gateway/src/reconcile/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use domain::{ConfigRevision, FabricId, FastMap, HostId, ModelName};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use serving::hashing::stable_hash;
 use serving::plan::{
     FabricCapacity, FabricLayout, FabricState, FabricSummary, HostLifecycle, HostState, PlanStep,
@@ -200,7 +200,7 @@
             format!("{} {current} of {desired}", found.model)
         });
         let models: Vec<String> = models.collect();
-        let line = EventLine::new(EventCode::FabricCounted)
+        let line = LogLine::new(EventCode::FabricCounted)
             .text("fabric", fabric.as_str())
             .text("models", &models.join(", "))
             .number(
@@ -314,7 +314,7 @@
             self.order_tracker.release(&hosts);
             return;
         }
-        let line = EventLine::new(EventCode::StepTaken)
+        let line = LogLine::new(EventCode::StepTaken)
             .text("step", &step_text(&step))
             .millis("registry_age_ms", self.node.registry_age());
         self.node.log(&line);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use domain::{FastSet, HostId, RequestId};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Body, Frame};
@@ -335,9 +335,9 @@
         self.node.log(&line);
     }
 
-    fn log_line(&self, code: EventCode) -> EventLine {
+    fn log_line(&self, code: EventCode) -> LogLine {
         let since = |at: Duration| at.saturating_sub(self.request.arrived);
-        let line = EventLine::new(code)
+        let line = LogLine::new(code)
             .text(
                 "request",
                 self.request.id.as_ref().map_or("", RequestId::as_str),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use events::{EventCode, EventLevel, EventLine, LineSink};
+use events::{EventCode, EventLevel, LogLine, LogSink};
 use http::StatusCode;
 use serving::ShutdownPlan;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -41,7 +41,7 @@
 
 async fn serve(settings: GatewaySettings, path: &Path) -> eyre::Result<()> {
     let listen = settings.listen;
-    let sink = LineSink::to_stdout(settings.node.as_str(), EventLevel::Info);
+    let sink = LogSink::to_stdout(settings.node.as_str(), EventLevel::Info);
     let requests = listen::bind_tcp(listen.requests).await?;
     let readiness = listen::bind_tcp(listen.readiness).await?;
     let metrics = listen::bind_tcp(listen.metrics).await?;
@@ -56,7 +56,7 @@
     let node = Rc::new(node);
     let hint_address = node.hints.address().map(|address| address.to_string());
     node.log(
-        &EventLine::new(EventCode::NodeStarted)
+        &LogLine::new(EventCode::NodeStarted)
             .text("version", env!("CARGO_PKG_VERSION"))
             .text("requests", &requests.local_addr()?.to_string())
             .text("readiness", &readiness.local_addr()?.to_string())
@@ -114,7 +114,7 @@
         let elapsed = node.now().saturating_sub(started_at);
         let stats = node.stats();
         if stats.dropped_lines > reported {
-            let line = EventLine::new(EventCode::LinesDropped)
+            let line = LogLine::new(EventCode::LinesDropped)
                 .number("lines", stats.dropped_lines - reported);
             reported = stats.dropped_lines;
             node.log(&line);
@@ -133,7 +133,7 @@
             Ok(_) => "usable".to_owned(),
             Err(error) => format!("{error:#}"),
         };
-        node.log(&EventLine::new(EventCode::SettingsReread).text("outcome", &outcome));
+        node.log(&LogLine::new(EventCode::SettingsReread).text("outcome", &outcome));
     }
 }
 
@@ -163,9 +163,9 @@
     }
 }
 
-fn shutdown_line(node: &GatewayNode, phase: &str) -> EventLine {
+fn shutdown_line(node: &GatewayNode, phase: &str) -> LogLine {
     let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
-    EventLine::new(EventCode::NodeStopping)
+    LogLine::new(EventCode::NodeStopping)
         .text("phase", phase)
         .number("requests", count(node.running_requests()))
         .number("connections", count(node.open_connections()))
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -8,7 +8,7 @@
 use adapter::registry::TARGETS_TABLE;
 use adapter::{RowPage, StoreClient, StoreError, StoreRow, decode_config, decode_target};
 use domain::{HostId, RowVersion};
-use events::{EventCode, EventLine};
+use events::{EventCode, LogLine};
 
 use crate::node::GatewayNode;
 use crate::probe::probe_unlisted;
@@ -151,7 +151,7 @@
 }
 
 fn log_store_lost(node: &GatewayNode, table: &str, error: &StoreError) {
-    let line = EventLine::new(EventCode::StoreLost)
+    let line = LogLine::new(EventCode::StoreLost)
         .text("table", table)
         .text("reason", &error.to_string())
         .millis("registry_age_ms", node.registry_age());
@@ -159,7 +159,7 @@
 }
 
 fn log_store_regained(node: &GatewayNode, table: &str, failures: u32) {
-    let line = EventLine::new(EventCode::StoreRegained)
+    let line = LogLine::new(EventCode::StoreRegained)
         .text("table", table)
         .number("failures", u64::from(failures));
     node.log(&line);
@@ -187,7 +187,7 @@
         let config = match decode_config(&bytes) {
             Ok(config) => config,
             Err(error) => {
-                let line = EventLine::new(EventCode::ConfigUnreadable)
+                let line = LogLine::new(EventCode::ConfigUnreadable)
                     .number("row_version", row.version.0)
                     .text("reason", &error.to_string());
                 self.node.log(&line);
@@ -196,7 +196,7 @@
         };
         let revision = config.revision;
         if self.node.set_config(config) {
-            let line = EventLine::new(EventCode::ConfigApplied).number("revision", revision.0);
+            let line = LogLine::new(EventCode::ConfigApplied).number("revision", revision.0);
             self.node.log(&line);
         }
     }
@@ -244,7 +244,7 @@
 
     fn apply_page(&mut self, page: RowPage) {
         let mut present: HashSet<String> = HashSet::new();
-        let line = EventLine::new(EventCode::RegistryRead)
+        let line = LogLine::new(EventCode::RegistryRead)
             .number("rows", u64::try_from(page.rows.len()).unwrap_or(u64::MAX))
             .number("row_version", page.version.0);
         self.node.log(&line);
@@ -274,7 +274,7 @@
                 self.node.apply_listed_target(&entry);
             }
             Err(error) => {
-                let line = EventLine::new(EventCode::EntryUnreadable)
+                let line = LogLine::new(EventCode::EntryUnreadable)
                     .text("host", &row.key)
                     .number("row_version", row.version.0)
                     .text("reason", &error.to_string());
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -7,7 +7,7 @@
 use control::config::{ConfigHandle, ConfigObservation, ConfigSnapshot, HeadConfirmation};
 use control::members::{HeartbeatSource, SharedMembership};
 use domain::ConfigRevision;
-use events::{EventRecorder, HybridStamp};
+use events::{EventRecorder, HybridTimestamp};
 use tokio::sync::Notify;
 use wire::peer::{PeerChange, PeerConfirmation, PeerDigest, PeerTimestamp};
 
@@ -108,7 +108,7 @@
         let PeerTimestamp { millis, counter } = digest.timestamp;
         self.recorder
             .clock()
-            .observe(HybridStamp { millis, counter });
+            .observe(HybridTimestamp { millis, counter });
         peer_view.revision = peer_view.revision.max(digest.revision());
         self.apply_members(peer_view, &digest);
         for evidence in peer_view.apply_evidence(&digest, not_before) {
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -70,7 +70,7 @@
         open_link(context, address, expected),
     )
     .await?;
-    context.recorder.note(
+    context.recorder.record(
         EventCode::PeerLinked,
         EventSubject::default(),
         format!("{} at {address}", link.peer),
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -63,7 +63,7 @@
                 let detail = format!("{address}: {error}");
                 context
                     .recorder
-                    .note(EventCode::PeerRefused, EventSubject::default(), detail);
+                    .record(EventCode::PeerRefused, EventSubject::default(), detail);
             }
             drop(permit);
         });
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -130,7 +130,7 @@
         let detail = format!("{:?}: {}", ended.endpoint, ended.error);
         self.context
             .recorder
-            .note(EventCode::PeerLost, EventSubject::default(), detail);
+            .record(EventCode::PeerLost, EventSubject::default(), detail);
         self.avoided.insert(ended.endpoint, until);
     }
 }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -153,6 +153,6 @@
         } else {
             EventCode::StoreCircuitOpened
         };
-        recorder.note(code, EventSubject::default(), "table");
+        recorder.record(code, EventSubject::default(), "table");
     }
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -133,12 +133,12 @@
         tokio::time::sleep(period).await;
         match source.reload() {
             Ok(true) => {
-                recorder.note(EventCode::CertificateLoaded, EventSubject::default(), "");
+                recorder.record(EventCode::CertificateLoaded, EventSubject::default(), "");
             }
             Ok(false) => {}
             Err(error) => {
                 let detail = error.to_string();
-                recorder.note(
+                recorder.record(
                     EventCode::CertificateRefused,
                     EventSubject::default(),
                     detail,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -11,7 +11,7 @@
 
 use ::control::{ConfigView, ControlSettings, EvidenceStore, TargetView};
 use domain::NodeId;
-use events::logs::start_logs;
+use events::logs::init_logging;
 use events::{EventCode, EventRecorder, EventSubject, NodeMetrics};
 use platform::BudgetedTable;
 use platform::http::{HttpHostList, HttpObjects, HttpTable, ServiceEndpoint};
@@ -59,7 +59,7 @@
             list: HttpHostList::new(endpoint(settings.platform.hostlist)),
             engine: HttpEngineClient::new(client.clone()),
             service: HttpServiceClient::new(client),
-            recorder: EventRecorder::counted(settings.node.clone(), capacity, metrics.clone()),
+            recorder: EventRecorder::with_metrics(settings.node.clone(), capacity, metrics.clone()),
             metrics,
             config_sender: watch::Sender::new(Arc::new(ConfigView::default())),
             target_sender: watch::Sender::new(Arc::new(TargetView::default())),
@@ -76,7 +76,7 @@
 ///
 /// When an address can't be bound.
 pub async fn serve(mut settings: NodeSettings) -> eyre::Result<()> {
-    start_logs(settings.log.level);
+    init_logging(settings.log.level);
     settings.node = renewed_id(&settings.node)?;
     let context = NodeContext::new(settings)?;
     let admin = admin::bind(&context).await?;
@@ -85,7 +85,7 @@
     let peers = peers.start(&context)?;
     let running = entry::bind(&context, peers.membership().watch()).await?;
     let address = running.address;
-    context.recorder.note(
+    context.recorder.record(
         EventCode::NodeStarted,
         EventSubject::default(),
         address.to_string(),
@@ -102,7 +102,7 @@
     let (released, release) = oneshot::channel();
     let stop = async move {
         stop_signal().await;
-        recorder.note(EventCode::NodeStopping, EventSubject::default(), "");
+        recorder.record(EventCode::NodeStopping, EventSubject::default(), "");
         // Others take the leases over while this node still finishes its streams.
         let _ = released.send(tokio::spawn(tasks.release()));
     };
