--- a/crates/events/src/logs.rs
+++ b/crates/events/src/logs.rs
@@ -98,7 +98,7 @@
         visitor.visit_pair(Key::from("number"), Value::from(event.code.number()))?;
         visitor.visit_pair(Key::from("event"), Value::from(event.code.name()))?;
         visitor.visit_pair(Key::from("node"), Value::from(event.node.as_str()))?;
-        for (name, value) in event.subject.pairs() {
+        for (name, value) in event.subject.fields() {
             let Some(value) = value else { continue };
             visitor.visit_pair(Key::from(name), Value::from(value))?;
         }
--- a/crates/events/src/page.rs
+++ b/crates/events/src/page.rs
@@ -5,7 +5,7 @@
 
 use crate::code::EventLevel;
 use crate::record::EventRecord;
-use crate::timeline::{TimelineView, clock_text, subject_text};
+use crate::timeline::{TimelineView, format_subject, format_time_of_day};
 
 const STYLE: &str = "body{font:13px system-ui;margin:16px}table{border-collapse:collapse}\
 th{position:sticky;top:0;background:#fff;border-bottom:2px solid #444;text-align:left;padding:4px}\
@@ -67,7 +67,7 @@
     let _ = write!(
         out,
         "<tr><td class=\"t\">{}</td>",
-        clock_text(event.stamp.millis)
+        format_time_of_day(event.timestamp.millis)
     );
     for _ in 0..lane {
         out.push_str("<td></td>");
@@ -77,7 +77,7 @@
         "<td class=\"{level}\"><span class=\"c\">{} {}</span> <span class=\"s\">{}</span><br>{}</td>",
         event.code.number(),
         event.code.name(),
-        escaped(&subject_text(event)),
+        escaped(&format_subject(event)),
         escaped(&event.detail),
     );
     for _ in lane + 1..lanes.len() {
--- a/crates/events/src/record.rs
+++ b/crates/events/src/record.rs
@@ -65,7 +65,7 @@
 
     /// Every part with its name.
     #[must_use]
-    pub fn pairs(&self) -> [(&'static str, Option<&str>); 5] {
+    pub fn fields(&self) -> [(&'static str, Option<&str>); 5] {
         [
             ("request", self.request.as_ref().map(RequestId::as_str)),
             ("customer", self.customer.as_ref().map(CustomerId::as_str)),
@@ -106,7 +106,8 @@
     /// dropped events.
     pub sequence: u64,
     /// When.
-    pub stamp: HybridTimestamp,
+    #[serde(rename = "stamp")]
+    pub timestamp: HybridTimestamp,
     /// Kind.
     pub code: EventCode,
     /// What it is about.
--- a/crates/events/src/recorder.rs
+++ b/crates/events/src/recorder.rs
@@ -87,13 +87,13 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         // The stamp is taken under the lock, so that sequence and stamp rise together.
-        let stamp = self.inner.clock.next();
+        let timestamp = self.inner.clock.next();
         let sequence = ring.next;
         let node = self.inner.node.clone();
         let event = EventRecord {
             node,
             sequence,
-            stamp,
+            timestamp,
             code,
             subject,
             detail,
--- a/crates/events/src/timeline.rs
+++ b/crates/events/src/timeline.rs
@@ -39,7 +39,7 @@
             &self.host,
             &self.lease,
         ];
-        let given = event.subject.pairs();
+        let given = event.subject.fields();
         wanted
             .into_iter()
             .zip(given)
@@ -74,8 +74,8 @@
             }
         }
         view.events.sort_by(|left, right| {
-            let left_key = (left.stamp, &left.node, left.sequence);
-            left_key.cmp(&(right.stamp, &right.node, right.sequence))
+            let left_key = (left.timestamp, &left.node, left.sequence);
+            left_key.cmp(&(right.timestamp, &right.node, right.sequence))
         });
         view.events.dedup();
         view
@@ -89,11 +89,11 @@
             let _ = writeln!(
                 out,
                 "{} {:<10} {} {:<18} {} {}",
-                clock_text(event.stamp.millis),
+                format_time_of_day(event.timestamp.millis),
                 event.node,
                 event.code.number(),
                 event.code.name(),
-                subject_text(event),
+                format_subject(event),
                 event.detail,
             );
         }
@@ -106,7 +106,7 @@
 
 /// Time of day in UTC, with milliseconds.
 #[must_use]
-pub fn clock_text(millis: u64) -> String {
+pub fn format_time_of_day(millis: u64) -> String {
     let seconds = millis / 1_000;
     let (hours, minutes) = (seconds / 3_600 % 24, seconds / 60 % 60);
     format!(
@@ -118,9 +118,9 @@
 
 /// What an event is about, in one line.
 #[must_use]
-pub fn subject_text(event: &EventRecord) -> String {
+pub fn format_subject(event: &EventRecord) -> String {
     let mut parts = Vec::new();
-    for (name, value) in event.subject.pairs() {
+    for (name, value) in event.subject.fields() {
         let Some(value) = value else { continue };
         parts.push(format!("{name}={value}"));
     }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -41,8 +41,8 @@
 impl<E: EvidenceExchange> GossipState<E> {
     /// Builds the digest for a peer, with everything that it lacks according to `peer_view`.
     ///
-    /// `echo` is the sequence number of the last frame received from the peer.
-    pub async fn build_digest(&self, peer_view: &mut PeerView, echo: u64) -> PeerDigest {
+    /// `acked_sequence` is the sequence number of the last frame received from the peer.
+    pub async fn build_digest(&self, peer_view: &mut PeerView, acked_sequence: u64) -> PeerDigest {
         let status = self.config.status();
         let now = Instant::now();
         let confirmation = status.confirmation.map(|known| PeerConfirmation {
@@ -51,7 +51,7 @@
         });
         let stamp = self.recorder.clock().next();
         let mut digest = PeerDigest {
-            echo,
+            acked_sequence,
             timestamp: PeerTimestamp {
                 millis: stamp.millis,
                 counter: stamp.counter,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -179,8 +179,11 @@
         context: &LinkContext<E>,
     ) -> Result<(), LinkError> {
         let requested_at = Instant::now();
-        let echo = self.auth.last_received();
-        let digest = context.gossip.build_digest(&mut self.peer_view, echo).await;
+        let acked_sequence = self.auth.last_received();
+        let digest = context
+            .gossip
+            .build_digest(&mut self.peer_view, acked_sequence)
+            .await;
         let payload = encode_message(&digest)?;
         let response = self.request::<MAX_DIGEST_BYTES>("/digest", payload).await?;
         context.gossip.traffic.count_exchange();
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -125,10 +125,10 @@
 impl ResponderSession {
     /// Returns when the echoed response was sent, which is before the request was built. None if
     /// the response is no longer kept.
-    fn response_time(&self, echo: u64) -> Option<Instant> {
+    fn response_time(&self, acked_sequence: u64) -> Option<Instant> {
         self.responses
             .iter()
-            .find(|response| response.sequence == echo)
+            .find(|response| response.sequence == acked_sequence)
             .map(|response| response.sent_at)
     }
 
@@ -166,7 +166,9 @@
             let bytes = read_stream(body, MAX_DIGEST_BYTES).await?;
             let frame = session.auth.verify::<MAX_DIGEST_BYTES>(&bytes)?;
             let digest: PeerDigest = decode_message::<_, MAX_DIGEST_BYTES>(&frame.payload)?;
-            let not_before = session.response_time(digest.echo).ok_or(LinkError::Stale)?;
+            let not_before = session
+                .response_time(digest.acked_sequence)
+                .ok_or(LinkError::Stale)?;
             if not_before.elapsed() > MAX_ECHO_AGE {
                 return Err(LinkError::Stale);
             }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -92,7 +92,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDigest {
     /// Sequence of the newest answer that the sender got on this connection; 0 before the first.
-    pub echo: u64,
+    #[serde(rename = "echo")]
+    pub acked_sequence: u64,
     /// The sender's hybrid logical clock, so that events here sort behind what caused them there.
     #[serde(rename = "stamp")]
     pub timestamp: PeerTimestamp,
--- a/crates/wire/tests/peer_messages.rs
+++ b/crates/wire/tests/peer_messages.rs
@@ -50,7 +50,7 @@
 #[test]
 fn digest_returns() {
     let digest = PeerDigest {
-        echo: 5,
+        acked_sequence: 5,
         revision: 300,
         departed: vec![node()],
         ..PeerDigest::default()
