--- a/crates/settings/src/catalogue/mod.rs
+++ b/crates/settings/src/catalogue/mod.rs
@@ -1,4 +1,4 @@
-//! Every setting of a node.
+//! Catalogue of all settings of a node.
 
 mod control;
 mod entry;
@@ -7,7 +7,7 @@
 
 use crate::field::{FieldKind, SettingField};
 
-/// Sections, in the order of the docs.
+/// Sections, in the order of the documentation.
 pub const SECTIONS: &[&str] = &[
     "platform",
     "secrets",
@@ -26,29 +26,29 @@
     "log",
 ];
 
-/// What a section is about.
+/// Returns a description of a section; empty for an unknown one.
 #[must_use]
-pub fn section_text(section: &str) -> &'static str {
+pub fn section_description(section: &str) -> &'static str {
     match section {
-        "platform" => "The platform's services.",
+        "platform" => "Addresses of the platform's services.",
         "secrets" => {
             "Where secrets are read from: a file or an environment variable, never this file."
         }
-        "tls" => "TLS towards callers.",
-        "entry" => "The request path.",
-        "config" => "Following the configuration.",
-        "members" => "Knowing the other entry hosts.",
-        "peers" => "Links to other entry hosts.",
-        "control" => "Following hosts and replicas.",
-        "leases" => "Leases on fabric domains and housekeeping.",
-        "assembly" => "Assembly of replicas, by the holder of a fabric domain's lease.",
-        "watch" => "Evidence that replicas are whole.",
+        "tls" => "TLS for connections from callers.",
+        "entry" => "Handling of callers' requests.",
+        "config" => "Polling and confirming the configuration.",
+        "members" => "Membership of the entry nodes.",
+        "peers" => "Links to other entry nodes.",
+        "control" => "Polling the host list and the replica plans.",
+        "leases" => "Leases on fabric domains and on housekeeping.",
+        "assembly" => "Assembly of replicas by the holder of a fabric domain's lease.",
+        "watch" => "Health probes of replicas.",
         "ledger" => "Claims of non-idempotent calls.",
-        "housekeeping" => "Cleaning up, by the holder of the housekeeping lease.",
+        "housekeeping" => "Cleanup by the holder of the housekeeping lease.",
         "budget" => {
-            "The node's part of the table's limits, and what it does while the table fails."
+            "The node's share of the table's rate limits, and its circuit breaker for the table."
         }
-        "log" => "Logs and the time line.",
+        "log" => "Logs and the timeline of events.",
         _ => "",
     }
 }
@@ -58,7 +58,7 @@
     key: &'static str,
     kind: FieldKind,
     default: Option<&'static str>,
-    text: &'static str,
+    description: &'static str,
 ) -> SettingField {
     SettingField {
         section,
@@ -66,7 +66,7 @@
         kind,
         default,
         required: false,
-        text,
+        description,
     }
 }
 
@@ -74,7 +74,7 @@
     section: &'static str,
     key: &'static str,
     kind: FieldKind,
-    text: &'static str,
+    description: &'static str,
 ) -> SettingField {
     SettingField {
         section,
@@ -82,15 +82,15 @@
         kind,
         default: None,
         required: true,
-        text,
+        description,
     }
 }
 
 const SECOND: u64 = 1_000;
 const MINUTE: u64 = 60 * SECOND;
-const LEVELS: &[&str] = &["debug", "info", "warn", "error"];
+const LOG_LEVELS: &[&str] = &["debug", "info", "warn", "error"];
 
-/// Every setting, in the order of the docs.
+/// Iterates over all settings, in the order of the documentation.
 pub fn fields() -> impl Iterator<Item = &'static SettingField> {
     let groups = [node::FIELDS, entry::FIELDS, peers::FIELDS, control::FIELDS];
     groups.into_iter().flatten()
--- a/crates/settings/src/catalogue/node.rs
+++ b/crates/settings/src/catalogue/node.rs
@@ -1,6 +1,6 @@
-//! Settings of the node itself, its secrets and its logs.
+//! Settings of the node itself: addresses, platform services, secrets, logs and TLS.
 
-use super::{LEVELS, MINUTE, field, required};
+use super::{LOG_LEVELS, MINUTE, field, required};
 use crate::field::{FieldKind, SettingField};
 
 pub(super) const FIELDS: &[SettingField] = &[
@@ -8,49 +8,64 @@
         "",
         "node",
         FieldKind::Id,
-        "Name of the node, unlike every other's.",
+        "Name of the node, unique among all nodes.",
+    ),
+    required(
+        "",
+        "region",
+        FieldKind::Id,
+        "Region in which the node runs.",
+    ),
+    required(
+        "",
+        "domain",
+        FieldKind::Id,
+        "Failure domain in which the node runs.",
     ),
-    required("", "region", FieldKind::Id, "Region of the node."),
-    required("", "domain", FieldKind::Id, "Failure domain of the node."),
     required(
         "",
         "listen",
         FieldKind::Address,
-        "Where callers connect; port 0 takes a free one.",
+        "Address on which callers connect; port 0 selects a free port.",
     ),
     field(
         "",
         "admin",
         FieldKind::Address,
         None,
-        "Where operators and monitoring connect; left out, there is no such listener.",
+        "Address of the admin listener for operators and monitoring; if omitted, there is none.",
     ),
     required(
         "platform",
         "table",
         FieldKind::Address,
-        "The table service.",
+        "Address of the table service.",
     ),
     required(
         "platform",
         "objects",
         FieldKind::Address,
-        "The object store.",
+        "Address of the object store.",
+    ),
+    required(
+        "platform",
+        "hostlist",
+        FieldKind::Address,
+        "Address of the host list service.",
     ),
-    required("platform", "hostlist", FieldKind::Address, "The host list."),
     field(
         "platform",
         "timeout",
         FieldKind::Duration(100, MINUTE),
         Some("2s"),
-        "Longest wait for an answer; a slower store counts as down.",
+        "Timeout of a call to a service of the platform; a slower store counts as down.",
     ),
     field(
         "secrets",
         "operator_key_file",
         FieldKind::Path,
         None,
-        "File with the operators' key. Without a key the node takes no amendments.",
+        "File with the operators' key. Without a key the node accepts no amendments.",
     ),
     field(
         "secrets",
@@ -64,29 +79,29 @@
         "resume_key_file",
         FieldKind::Path,
         None,
-        "File with the key that seals resume tokens, the same on every entry host. Without a key \
-a token works only at the process that gave it.",
+        "File with the key that signs resume tokens, the same on every entry node. Without a key \
+a token is valid only in the process that issued it.",
     ),
     field(
         "secrets",
         "resume_key_env",
         FieldKind::Variable,
         None,
-        "Environment variable with the key that seals resume tokens.",
+        "Environment variable with the key that signs resume tokens.",
     ),
     field(
         "log",
         "level",
-        FieldKind::Word(LEVELS),
+        FieldKind::Choice(LOG_LEVELS),
         Some("info"),
-        "Lowest level that is logged.",
+        "Minimum level of logged events.",
     ),
     field(
         "log",
         "events",
-        FieldKind::Count(100, 1_000_000),
+        FieldKind::Integer(100, 1_000_000),
         Some("20000"),
-        "Events kept in memory for the time line, about 400 bytes each.",
+        "Number of events kept in memory for the timeline, about 400 bytes each.",
     ),
     field(
         "tls",
@@ -100,13 +115,13 @@
         "key_file",
         FieldKind::Path,
         None,
-        "Its private key, as PEM.",
+        "Private key of the certificate, as PEM.",
     ),
     field(
         "tls",
         "reload",
         FieldKind::Duration(100, 60 * MINUTE),
         Some("30s"),
-        "Time between two looks at the files; a renewed pair serves new connections.",
+        "Interval between two checks of the files; a renewed pair is used for new connections.",
     ),
 ];
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -1,4 +1,4 @@
-//! One setting: its path, kind, default and bounds.
+//! Descriptions of settings: path, kind, default and bounds.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,51 +6,50 @@
 use bytesize::ByteSize;
 use serde_json::Value;
 
-/// What values a setting takes.
+/// Type and bounds of a setting's value. All bounds are inclusive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FieldKind {
-    /// An identifier.
+    /// An identifier, parsed like the name of a record.
     Id,
     /// An IP address with its port, such as `127.0.0.1:7100`.
     Address,
-    /// A list of such addresses.
+    /// A list of IP addresses with their ports.
     Addresses,
-    /// A path of a file.
+    /// A path of a file; only checked not to be empty.
     Path,
-    /// The name of an environment variable.
+    /// The name of an environment variable; only checked not to be empty.
     Variable,
-    /// A time in a human form, with its bounds in milliseconds.
+    /// A duration such as `250ms`, with its bounds in milliseconds.
     Duration(u64, u64),
-    /// A size in a human form, with its bounds in bytes.
+    /// A size such as `4MiB`, with its bounds in bytes.
     Size(u64, u64),
-    /// A whole number with its bounds.
-    Count(u64, u64),
+    /// An integer with its bounds.
+    Integer(u64, u64),
     /// A number with its bounds.
-    Share(f64, f64),
-    /// One of these words.
-    Word(&'static [&'static str]),
+    Number(f64, f64),
+    /// One of these strings.
+    Choice(&'static [&'static str]),
 }
 
-/// A setting.
+/// Description of a setting.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingField {
-    /// Section, empty at the top.
+    /// Section of the file; empty for a setting at the top level.
     pub section: &'static str,
     /// Key within the section.
     pub key: &'static str,
-    /// What values it takes.
+    /// Type and bounds of the value.
     pub kind: FieldKind,
-    /// The default as it would be written; none where the setting may be left out or must be
-    /// given.
+    /// The default as written in a settings file; none if the setting is required or may be unset.
     pub default: Option<&'static str>,
-    /// Whether it must be given.
+    /// Whether the settings file must contain it.
     pub required: bool,
-    /// What it does, and why the default is as it is.
-    pub text: &'static str,
+    /// Description for the documentation, as one line of Markdown.
+    pub description: &'static str,
 }
 
 impl SettingField {
-    /// JSON path of the setting.
+    /// Returns the path of the setting in the file, such as `leases.ttl`.
     #[must_use]
     pub fn path(&self) -> String {
         if self.section.is_empty() {
@@ -59,7 +58,7 @@
         format!("{}.{}", self.section, self.key)
     }
 
-    /// Key under which the typed form reads it: with its unit.
+    /// Returns the key of the setting in the typed form, with the suffix of its unit.
     #[must_use]
     pub fn typed_key(&self) -> String {
         match self.kind {
@@ -69,11 +68,11 @@
         }
     }
 
-    /// What to write: the form and the bounds.
+    /// Returns what to write for the setting: the format and the bounds.
     #[must_use]
     pub fn advice(&self) -> String {
         match self.kind {
-            FieldKind::Id => "write letters, digits, '.', '_', ':' and '-'".to_owned(),
+            FieldKind::Id => "write only letters, digits, '.', '_', ':' and '-'".to_owned(),
             FieldKind::Address => {
                 "write an IP address with its port, such as 127.0.0.1:7100".to_owned()
             }
@@ -85,27 +84,27 @@
             FieldKind::Variable => "write the name of an environment variable".to_owned(),
             FieldKind::Duration(low, high) => {
                 format!(
-                    "write a time from {} to {}, such as 250ms or 3s",
-                    time_text(low),
-                    time_text(high)
+                    "write a duration from {} to {}, such as 250ms or 3s",
+                    format_millis(low),
+                    format_millis(high)
                 )
             }
             FieldKind::Size(low, high) => {
                 format!(
                     "write a size from {} to {}, such as 64KiB or 4MiB",
-                    size_text(low),
-                    size_text(high)
+                    format_bytes(low),
+                    format_bytes(high)
                 )
             }
-            FieldKind::Count(low, high) => format!("write a whole number from {low} to {high}"),
-            FieldKind::Share(low, high) => format!("write a number from {low} to {high}"),
-            FieldKind::Word(words) => format!("write one of: {}", words.join(", ")),
+            FieldKind::Integer(low, high) => format!("write an integer from {low} to {high}"),
+            FieldKind::Number(low, high) => format!("write a number from {low} to {high}"),
+            FieldKind::Choice(choices) => format!("write one of: {}", choices.join(", ")),
         }
     }
 
-    /// The typed form of a value; none when it is not of the kind or out of bounds.
+    /// Converts a value into its typed form; none if it is of the wrong type or out of bounds.
     #[must_use]
-    pub fn typed(&self, value: &Value) -> Option<Value> {
+    pub fn parse(&self, value: &Value) -> Option<Value> {
         match self.kind {
             FieldKind::Id => {
                 let id: Result<domain::RecordName, _> = value.as_str()?.parse();
@@ -127,28 +126,28 @@
                 (!text.is_empty()).then(|| value.clone())
             }
             FieldKind::Duration(low, high) => {
-                let time = humantime::parse_duration(value.as_str()?).ok()?;
-                bounded(u64::try_from(time.as_millis()).ok()?, low, high)
+                let duration = humantime::parse_duration(value.as_str()?).ok()?;
+                check_bounds(u64::try_from(duration.as_millis()).ok()?, low, high)
             }
             FieldKind::Size(low, high) => {
                 let size: ByteSize = value.as_str()?.parse().ok()?;
-                bounded(size.as_u64(), low, high)
+                check_bounds(size.as_u64(), low, high)
             }
-            FieldKind::Count(low, high) => bounded(value.as_u64()?, low, high),
-            FieldKind::Share(low, high) => {
+            FieldKind::Integer(low, high) => check_bounds(value.as_u64()?, low, high),
+            FieldKind::Number(low, high) => {
                 let number = value.as_f64()?;
                 (low..=high).contains(&number).then(|| value.clone())
             }
-            FieldKind::Word(words) => words.contains(&value.as_str()?).then(|| value.clone()),
+            FieldKind::Choice(choices) => choices.contains(&value.as_str()?).then(|| value.clone()),
         }
     }
 
-    /// The default as JSON.
+    /// Returns the default as JSON.
     #[must_use]
     pub fn default_value(&self) -> Option<Value> {
         let text = self.default?;
         match self.kind {
-            FieldKind::Count(..) | FieldKind::Share(..) | FieldKind::Addresses => {
+            FieldKind::Integer(..) | FieldKind::Number(..) | FieldKind::Addresses => {
                 serde_json::from_str(text).ok()
             }
             _ => Some(Value::from(text)),
@@ -156,16 +155,17 @@
     }
 }
 
-fn bounded(number: u64, low: u64, high: u64) -> Option<Value> {
+fn check_bounds(number: u64, low: u64, high: u64) -> Option<Value> {
     (low..=high).contains(&number).then(|| Value::from(number))
 }
 
-/// A time in the form in which settings are written.
+/// Formats a duration as in settings files.
 #[must_use]
-pub fn time_text(millis: u64) -> String {
+pub fn format_millis(millis: u64) -> String {
     humantime::format_duration(Duration::from_millis(millis)).to_string()
 }
 
-fn size_text(bytes: u64) -> String {
+/// Formats a size as in settings files.
+fn format_bytes(bytes: u64) -> String {
     ByteSize(bytes).display().iec().to_string().replace(' ', "")
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of a node: their catalogue, their checks and their typed form.
+//! Settings of a node: the catalogue, validation and the typed form.
 //!
-//! A settings file is JSON with durations and sizes in a human form. [`read_settings`] checks it
-//! whole against the catalogue, collects every finding with its JSON path, and fills in the
-//! defaults; the typed structs of the parts are then read from the result.
+//! A settings file is JSON with human-readable durations and sizes. [`read_settings`] validates it
+//! against the catalogue, collects all findings with their JSON paths, and fills in the defaults.
+//! The typed settings of each component are then deserialized from the result.
 
 pub mod catalogue;
 pub mod field;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a settings file.
+//! Loading and validating a settings file.
 
 use std::path::Path;
 
@@ -9,67 +9,67 @@
 use crate::reader::read_settings;
 use crate::rules::check_rules;
 
-/// Why a settings file can't be used.
+/// Why a settings file can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("can't read {path}: {problem}")]
     File {
-        /// The path.
+        /// Path of the settings file.
         path: String,
-        /// Why.
+        /// Error of the file system.
         problem: String,
     },
-    /// The file is no JSON.
-    #[error("{path} is no JSON: {problem}")]
+    /// The file isn't valid JSON.
+    #[error("{path} is not valid JSON: {problem}")]
     Json {
-        /// The path.
+        /// Path of the settings file.
         path: String,
-        /// Why, with line and column.
+        /// Error of the parser, with line and column.
         problem: String,
     },
-    /// Its content breaks rules.
+    /// The settings are invalid.
     #[error("{path} has {} finding(s):\n{findings}", findings.as_slice().len())]
     Findings {
-        /// The path.
+        /// Path of the settings file.
         path: String,
-        /// The findings.
+        /// All findings with their JSON paths.
         findings: FindingList,
     },
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
     ///
     /// [`SettingsError`].
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let shown = path.display().to_string();
+        let displayed = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
-            path: shown.clone(),
+            path: displayed.clone(),
             problem: error.to_string(),
         })?;
         let file: Value = serde_json::from_str(&text).map_err(|error| SettingsError::Json {
-            path: shown.clone(),
+            path: displayed.clone(),
             problem: error.to_string(),
         })?;
         Self::from_value(&file).map_err(|findings| SettingsError::Findings {
-            path: shown,
+            path: displayed,
             findings,
         })
     }
 
-    /// Checks settings that are already JSON.
+    /// Validates settings that are already parsed as JSON.
     ///
     /// # Errors
     ///
-    /// Every finding.
+    /// All findings.
     pub fn from_value(file: &Value) -> Result<Self, FindingList> {
         let typed = read_settings(file)?;
         let settings: Self = serde_json::from_value(typed).map_err(|error| {
             let mut findings = FindingList::default();
-            let advice = "report this: the catalogue lacks a check";
+            let advice = "report this as a bug: the settings catalogue lacks a check";
             findings.add(".", error.to_string(), advice);
             findings
         })?;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The typed settings of a node.
+//! Typed settings of a node.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,102 +22,102 @@
 
 use crate::secret::{SecretError, SecretText};
 
-/// Settings of a node.
+/// Settings of a node, as deserialized from the result of [`crate::read_settings`].
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The node's name.
+    /// Name of the node. A running process appends its start time.
     pub node: NodeId,
-    /// Region of the node.
+    /// Region in which the node runs.
     pub region: RegionId,
-    /// Failure domain of the node.
+    /// Failure domain in which the node runs.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Address on which callers connect; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where operators and monitoring connect.
+    /// Address of the admin listener; if none, the node has no admin listener.
     #[serde(default)]
     pub admin: Option<SocketAddr>,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Where secrets come from.
+    /// Files and environment variables with the node's secrets.
     #[serde(default)]
     pub secrets: SecretSettings,
-    /// TLS towards callers.
+    /// TLS for connections from callers.
     pub tls: TlsSettings,
-    /// The request path.
+    /// Handling of callers' requests.
     pub entry: EntrySettings,
-    /// Following the configuration.
+    /// Polling and confirming the configuration.
     pub config: ConfigSettings,
-    /// Knowing the other entry hosts.
+    /// Membership of the entry nodes.
     pub members: MemberSettings,
-    /// Links to other entry hosts.
+    /// Links to other entry nodes.
     pub peers: PeerSettings,
-    /// Following hosts and replicas.
-    pub control: FollowSettings,
-    /// Leases.
+    /// Polling the host list and the replica plans.
+    pub control: DiscoverySettings,
+    /// Leases on fabric domains and on housekeeping.
     pub leases: LeaseSettings,
-    /// Assembly of replicas.
+    /// Assembly of replicas by the holder of a fabric domain's lease.
     pub assembly: AssemblySettings,
-    /// Evidence that replicas are whole.
+    /// Health probes of replicas.
     pub watch: ProbeSettings,
     /// Claims of non-idempotent calls.
     pub ledger: LedgerSettings,
-    /// Cleaning up.
+    /// Cleanup by the holder of the housekeeping lease.
     pub housekeeping: HousekeepingSettings,
-    /// The node's part of the table's limits.
+    /// Rate limits and the circuit breaker for the table.
     pub budget: BudgetSettings,
-    /// Logs and the time line.
+    /// Logs and the timeline of events.
     pub log: LogSettings,
 }
 
-/// Following hosts and replicas. Times are milliseconds.
+/// Intervals at which the host list and the replica plans are polled.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FollowSettings {
-    /// Time between two looks at the host list.
+pub struct DiscoverySettings {
+    /// Interval between two reads of the host list, in milliseconds.
     pub hosts_ms: u64,
-    /// Time between two looks at the replicas in the table.
+    /// Interval between two reads of the replica plans in the table, in milliseconds.
     pub plans_ms: u64,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// The object store.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// The host list.
+    /// Address of the host list service.
     pub hostlist: SocketAddr,
-    /// Longest wait for an answer, in milliseconds.
+    /// Timeout of a call to a service, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl PlatformSettings {
-    /// Longest wait for an answer.
+    /// [`Self::timeout_ms`] as a duration.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 }
 
-/// TLS towards callers.
+/// TLS for connections from callers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// Certificate with its chain, as PEM.
+    /// File with the certificate and its chain, as PEM. Without it callers connect without TLS.
     #[serde(default)]
     pub certificate_file: Option<PathBuf>,
-    /// Its private key, as PEM.
+    /// File with the private key of the certificate, as PEM.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// Time between two looks at the files, in milliseconds.
+    /// Interval between two checks of the files for changes, in milliseconds.
     pub reload_ms: u64,
 }
 
 impl TlsSettings {
-    /// The files, when both are named.
+    /// Returns the certificate and key files; none unless both are set.
     #[must_use]
     pub fn files(&self) -> Option<TlsFiles> {
         let certificate = self.certificate_file.clone()?;
@@ -125,29 +125,30 @@
         Some(TlsFiles { certificate, key })
     }
 
-    /// Time between two looks at the files.
+    /// [`Self::reload_ms`] as a duration.
     #[must_use]
-    pub fn reload(&self) -> Duration {
+    pub fn reload_interval(&self) -> Duration {
         Duration::from_millis(self.reload_ms)
     }
 }
 
-/// Where secrets come from.
+/// Files and environment variables with the node's secrets. A file takes precedence.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SecretSettings {
-    /// File with the operators' key.
+    /// File with the operators' key. Without a key the node accepts no amendments.
     pub operator_key_file: Option<PathBuf>,
-    /// Variable with the operators' key.
+    /// Environment variable with the operators' key.
     pub operator_key_env: Option<String>,
-    /// File with the key that seals resume tokens.
+    /// File with the key that signs resume tokens, the same on every entry node. Without a key a
+    /// token is valid only in the process that issued it.
     pub resume_key_file: Option<PathBuf>,
-    /// Variable with the key that seals resume tokens.
+    /// Environment variable with the key that signs resume tokens.
     pub resume_key_env: Option<String>,
 }
 
 impl SecretSettings {
-    /// The operators' key; none when no place is named.
+    /// Loads the operators' key; none if neither file nor variable is set.
     ///
     /// # Errors
     ///
@@ -159,7 +160,7 @@
         )
     }
 
-    /// The key that seals resume tokens; none when no place is named.
+    /// Loads the key that signs resume tokens; none if neither file nor variable is set.
     ///
     /// # Errors
     ///
@@ -172,7 +173,7 @@
     }
 }
 
-/// The key that all nodes share, for their links; none when no place is named.
+/// Loads the key that all nodes share for their links; none if neither file nor variable is set.
 ///
 /// # Errors
 ///
@@ -192,18 +193,18 @@
     }
 }
 
-/// Logs and the time line.
+/// Logs and the timeline of events.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Lowest level that is logged.
+    /// Minimum level of logged events.
     pub level: EventLevel,
-    /// Events kept in memory.
+    /// Number of events kept in memory for the timeline; the oldest are dropped first.
     pub events: usize,
 }
 
 impl NodeSettings {
-    /// The settings of control as one.
+    /// Returns the sections of the control plane as one struct.
     #[must_use]
     pub fn control_settings(&self) -> ControlSettings {
         ControlSettings {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Checking a settings file against the catalogue.
+//! Validates a settings file against the catalogue.
 
 use domain::FindingList;
 use serde_json::{Map, Value};
@@ -6,22 +6,22 @@
 use crate::catalogue::{SECTIONS, fields};
 use crate::field::SettingField;
 
-/// Greatest edit distance at which a known key is suggested for an unknown one.
-const SUGGESTION_DISTANCE: usize = 4;
+/// Maximum edit distance at which a known key is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE: usize = 4;
 
-/// Checks a settings file and returns it in typed form: defaults filled in, times in milliseconds
-/// under `…_ms`, sizes in bytes under `…_bytes`.
+/// Validates a settings file and returns its typed form: defaults are filled in, durations become
+/// milliseconds under `…_ms`, and sizes become bytes under `…_bytes`.
 ///
 /// # Errors
 ///
-/// Every finding with its JSON path.
+/// All findings with their JSON paths.
 pub fn read_settings(file: &Value) -> Result<Value, FindingList> {
     let mut findings = FindingList::default();
     let Some(top) = file.as_object() else {
-        findings.add(".", "the file is no JSON object", "start it with '{'");
+        findings.add(".", "the file is not a JSON object", "start it with '{'");
         return Err(findings);
     };
-    find_unknown_keys(top, &mut findings);
+    report_unknown_keys(top, &mut findings);
     let mut typed = Map::new();
     for field in fields() {
         let section = if field.section.is_empty() {
@@ -33,18 +33,18 @@
         let Some(value) = field_value(field, given, &mut findings) else {
             continue;
         };
-        let place = if field.section.is_empty() {
+        let target = if field.section.is_empty() {
             &mut typed
         } else {
             let entry = typed
                 .entry(field.section)
                 .or_insert_with(|| Value::Object(Map::new()));
-            let Some(place) = entry.as_object_mut() else {
+            let Some(target) = entry.as_object_mut() else {
                 continue;
             };
-            place
+            target
         };
-        place.insert(field.typed_key(), value);
+        target.insert(field.typed_key(), value);
     }
     findings.into_result(Value::Object(typed))
 }
@@ -58,23 +58,23 @@
         if field.required {
             findings.add(field.path(), "missing", field.advice());
         }
-        return field.default_value().and_then(|value| field.typed(&value));
+        return field.default_value().and_then(|value| field.parse(&value));
     };
-    let typed = field.typed(given);
+    let typed = field.parse(given);
     if typed.is_none() {
         findings.add(
             field.path(),
-            format!("{given} can't be used"),
+            format!("{given} is not a valid value"),
             field.advice(),
         );
     }
     typed
 }
 
-fn find_unknown_keys(top: &Map<String, Value>, findings: &mut FindingList) {
+fn report_unknown_keys(top: &Map<String, Value>, findings: &mut FindingList) {
     for (key, value) in top {
         if SECTIONS.contains(&key.as_str()) {
-            find_unknown_in_section(key, value, findings);
+            report_unknown_in_section(key, value, findings);
             continue;
         }
         let known: Vec<&str> = keys_of("")
@@ -84,16 +84,20 @@
         if known.contains(&key.as_str()) {
             continue;
         }
-        findings.add(key.clone(), "unknown setting", suggestion(key, &known));
+        findings.add(
+            key.clone(),
+            "unknown setting",
+            unknown_key_advice(key, &known),
+        );
     }
 }
 
-fn find_unknown_in_section(section: &str, value: &Value, findings: &mut FindingList) {
+fn report_unknown_in_section(section: &str, value: &Value, findings: &mut FindingList) {
     let Some(object) = value.as_object() else {
         findings.add(
             section,
             "not an object",
-            "write the section's settings between braces",
+            "write the settings of the section in braces",
         );
         return;
     };
@@ -105,7 +109,7 @@
         findings.add(
             format!("{section}.{key}"),
             "unknown setting",
-            suggestion(key, &known),
+            unknown_key_advice(key, &known),
         );
     }
 }
@@ -117,14 +121,14 @@
         .collect()
 }
 
-fn suggestion(key: &str, known: &[&str]) -> String {
+fn unknown_key_advice(key: &str, known: &[&str]) -> String {
     let nearest = known
         .iter()
         .map(|other| (strsim::damerau_levenshtein(key, other), *other))
         .min()
-        .filter(|(distance, _)| *distance <= SUGGESTION_DISTANCE);
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE);
     match nearest {
         Some((_, other)) => format!("did you mean {other}?"),
-        None => format!("known here: {}", known.join(", ")),
+        None => format!("known settings: {}", known.join(", ")),
     }
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,88 +1,89 @@
-//! Rules between settings: each fine alone, harmful together.
+//! Checks of combinations of settings whose values are valid individually but not together.
 
 use domain::FindingList;
 
-use crate::field::time_text;
+use crate::field::format_millis;
 use crate::node::NodeSettings;
 
-/// Polls of the head that must fit into the time after which a node steps out of service.
-const POLLS_IN_CONFIRM: u64 = 3;
+/// Minimum number of polls within `config.confirm`, after which a node stops serving.
+const MIN_POLLS_PER_CONFIRM: u64 = 3;
 
-/// Renewals that must fit into a lease's time to live: one lost answer must not lose the lease.
-const BEATS_IN_TTL: u64 = 2;
+/// Minimum number of renewals within `leases.ttl`: one lost response must not lose the lease.
+const MIN_RENEWALS_PER_TTL: u64 = 2;
 
-/// Heartbeats that must fit into the time after which a silent node counts as dead.
-const BEATS_IN_DEATH: u64 = 3;
+/// Minimum number of heartbeats within `members.dead`, after which a silent node is considered
+/// dead.
+const MIN_HEARTBEATS_PER_DEAD: u64 = 3;
 
-/// Checks the rules between settings.
+/// Checks the combinations of settings.
 ///
 /// # Errors
 ///
-/// Every breach, with the setting to change.
+/// All violations, each with the setting to change.
 pub fn check_rules(settings: &NodeSettings) -> Result<(), FindingList> {
     let mut findings = FindingList::default();
-    let mut at_least = |place: &str, value: u64, least: u64, why: &str| {
-        if value < least {
-            let problem = format!("{} is too short: {why}", time_text(value));
+    let mut require_min = |path: &str, value: u64, min: u64, reason: &str| {
+        if value < min {
+            let problem = format!("{} is too short: {reason}", format_millis(value));
             findings.add(
-                place,
+                path,
                 problem,
-                format!("write at least {}", time_text(least)),
+                format!("write at least {}", format_millis(min)),
             );
         }
     };
-    at_least(
+    require_min(
         "config.confirm",
         settings.config.confirm_ms,
-        POLLS_IN_CONFIRM * settings.config.poll_ms,
-        "a node would leave service after one lost answer of the table",
+        MIN_POLLS_PER_CONFIRM * settings.config.poll_ms,
+        "a node would stop serving after one lost response of the table",
     );
-    at_least(
+    require_min(
         "leases.ttl",
         settings.leases.ttl_ms,
-        BEATS_IN_TTL * settings.leases.beat_ms,
-        "one lost answer of the table would lose the lease",
+        MIN_RENEWALS_PER_TTL * settings.leases.beat_ms,
+        "one lost response of the table would lose the lease",
     );
-    at_least(
+    require_min(
         "members.dead",
         settings.members.dead_ms,
-        BEATS_IN_DEATH * settings.members.beat_ms,
-        "a node would count as dead after one lost heartbeat",
+        MIN_HEARTBEATS_PER_DEAD * settings.members.beat_ms,
+        "a node would be considered dead after one lost heartbeat",
     );
-    at_least(
+    require_min(
         "assembly.rest",
         settings.assembly.rest_ms,
         settings.entry.evidence_ms + 1,
-        "a host would join another replica while entries still trust evidence of the old one",
+        "a host could join another replica while entry nodes still use health evidence of the old one",
     );
-    at_least(
+    require_min(
         "entry.evidence",
         settings.entry.evidence_ms,
         settings.watch.silence_ms + settings.watch.timeout_ms,
-        "service would stop whenever one probe is missed",
+        "requests would no longer be dispatched after one missed probe",
     );
-    at_least(
+    require_min(
         "housekeeping.claim_retention",
         settings.housekeeping.claim_retention_ms,
         100 * settings.ledger.send_limit_ms,
-        "a claim could be cleaned up while its claimant may still send",
+        "a claim could be deleted while its call may still be sent",
     );
-    let longest = settings.leases.ttl_ms / 2;
-    if settings.budget.longest_open_ms > longest {
-        let problem = "the table would be left alone until leases run out";
+    let max_open = settings.leases.ttl_ms / 2;
+    if settings.budget.longest_open_ms > max_open {
+        let problem = "the circuit breaker could stay open until leases expire";
         findings.add(
             "budget.longest_open",
             problem,
-            format!("write at most {}", time_text(longest)),
+            format!("write at most {}", format_millis(max_open)),
         );
     }
     let tls = &settings.tls;
     if tls.certificate_file.is_some() != tls.key_file.is_some() {
-        let problem = "only one of certificate and key is named";
+        let problem = "only one of certificate and key is set";
         findings.add(
             "tls",
             problem,
-            "name both certificate_file and key_file, or neither",
+            "set both certificate_file and key_file, or neither",
         );
     }
     findings.into_result(())
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,49 +1,49 @@
-//! Secrets, from a file or from the environment; never from the settings file itself.
+//! Secrets, which are read from files or environment variables, never from the settings file.
 
 use std::fmt;
 use std::path::Path;
 
-/// Shortest secret that is accepted, in bytes.
+/// Minimum length of a secret, in bytes.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// A secret. Its debug form hides it, so that no log can show it.
+/// A secret. Its `Debug` output is redacted, so that it can't appear in logs.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SecretText(String);
 
-/// Why a secret can't be had.
+/// Why a secret can't be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SecretError {
     /// The file can't be read.
-    #[error("the secret's file {path} can't be read: {problem}")]
+    #[error("can't read the secret file {path}: {problem}")]
     File {
-        /// The path.
+        /// Path of the secret file.
         path: String,
-        /// Why.
+        /// Error of the file system.
         problem: String,
     },
-    /// The variable is not set.
+    /// The environment variable is not set or isn't valid Unicode.
     #[error("the environment variable {0} is not set")]
     Variable(String),
-    /// The secret is too short.
-    #[error("a secret needs at least {MIN_SECRET_BYTES} bytes")]
-    Short,
+    /// The secret is shorter than [`MIN_SECRET_BYTES`].
+    #[error("a secret must have at least {MIN_SECRET_BYTES} bytes")]
+    TooShort,
 }
 
 impl SecretText {
-    /// A secret from text; white space around it is dropped.
+    /// Creates a secret; leading and trailing whitespace is removed.
     ///
     /// # Errors
     ///
-    /// [`SecretError::Short`].
+    /// [`SecretError::TooShort`].
     pub fn new(text: &str) -> Result<Self, SecretError> {
         let text = text.trim();
         if text.len() < MIN_SECRET_BYTES {
-            return Err(SecretError::Short);
+            return Err(SecretError::TooShort);
         }
         Ok(Self(text.to_owned()))
     }
 
-    /// A secret from a file.
+    /// Reads a secret from a file.
     ///
     /// # Errors
     ///
@@ -56,7 +56,7 @@
         Self::new(&text)
     }
 
-    /// A secret from the environment.
+    /// Reads a secret from an environment variable.
     ///
     /// # Errors
     ///
@@ -66,7 +66,7 @@
         Self::new(&text)
     }
 
-    /// The secret itself.
+    /// Returns the secret in plain text.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
--- a/crates/settings/tests/file_checks.rs
+++ b/crates/settings/tests/file_checks.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file: findings with their places, defaults, units.
+//! Tests of reading settings files: findings with their paths, defaults and units.
 
 use control::ControlSettings;
 use control::config::ConfigSettings;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use settings::{NodeSettings, SecretText, fields};
 
-fn smallest() -> Value {
+fn minimal_settings() -> Value {
     json!({
         "node": "e0", "region": "dakar", "domain": "plateau", "listen": "127.0.0.1:7100",
         "platform": {
@@ -17,8 +17,8 @@
     })
 }
 
-fn findings_of(file: &Value) -> Vec<String> {
-    let findings = NodeSettings::from_value(file).expect_err("findings");
+fn finding_paths(file: &Value) -> Vec<String> {
+    let findings = NodeSettings::from_value(file).expect_err("the settings are invalid");
     findings
         .as_slice()
         .iter()
@@ -26,11 +26,11 @@
         .collect()
 }
 
-/// The parts' own defaults and the catalogue's are written in two places; when they differ, the
-/// docs promise what the node does not do.
+/// Defaults are stated in the catalogue and in the settings of each component. If they differed,
+/// the documentation would be wrong.
 #[test]
-fn defaults_agree() {
-    let settings = NodeSettings::from_value(&smallest()).expect("fine");
+fn defaults_match_components() {
+    let settings = NodeSettings::from_value(&minimal_settings()).expect("valid settings");
     assert_eq!(settings.config, ConfigSettings::default());
     assert_eq!(settings.members, MemberSettings::default());
     assert_eq!(settings.entry, EntrySettings::default());
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn all_findings() {
-    let mut file = smallest();
+fn all_findings_reported() {
+    let mut file = minimal_settings();
     file["listen"] = json!("localhost");
     file["platform"]["timeout"] = json!("2 fortnights");
     file["entry"] = json!({ "max_body": "1TiB", "silense": "3s" });
     file.as_object_mut().expect("an object").remove("domain");
-    let mut places = findings_of(&file);
-    places.sort();
+    let mut paths = finding_paths(&file);
+    paths.sort();
     assert_eq!(
-        places,
+        paths,
         [
             "domain",
             "entry.max_body",
@@ -60,60 +60,59 @@
 }
 
 #[test]
-fn key_suggested() {
-    let mut file = smallest();
+fn similar_key_suggested() {
+    let mut file = minimal_settings();
     file["entry"] = json!({ "silense": "3s" });
-    let findings = NodeSettings::from_value(&file).expect_err("a finding");
+    let findings = NodeSettings::from_value(&file).expect_err("the settings are invalid");
     assert_eq!(findings.as_slice()[0].advice, "did you mean silence?");
 }
 
 #[test]
-fn units_read() {
-    let mut file = smallest();
+fn units_converted() {
+    let mut file = minimal_settings();
     file["entry"] = json!({ "silence": "1s 500ms", "max_body": "64KiB" });
-    let settings = NodeSettings::from_value(&file).expect("fine");
+    let settings = NodeSettings::from_value(&file).expect("valid settings");
     assert_eq!(settings.entry.silence_ms, 1_500);
     assert_eq!(settings.entry.max_body_bytes, 64 << 10);
 }
 
 #[test]
-fn bounds_kept() {
+fn defaults_within_bounds() {
     for field in fields() {
         let Some(default) = field.default_value() else {
             continue;
         };
         assert!(
-            field.typed(&default).is_some(),
+            field.parse(&default).is_some(),
             "{} is outside its bounds",
             field.path()
         );
     }
 }
 
-/// An operator turns on debug output to look into a failure and sends the log to a colleague. The
-/// keys must not be in it.
+/// Debug output of secrets must be redacted, so that logs can be shared.
 #[test]
-fn secret_hidden() {
+fn secret_redacted() {
     let secret = SecretText::new("a-very-secret-operators-key").expect("long enough");
     assert!(!format!("{secret:?}").contains("secret-operators"));
     assert!(SecretText::new("short").is_err());
 }
 
 #[test]
-fn page_current() {
+fn settings_page_up_to_date() {
     let page = include_str!("../../../docs/SETTINGS.md");
     assert!(
         page == settings::page::settings_page(),
-        "docs/SETTINGS.md is not what the catalogue says: cargo run -p settings --example page"
+        "docs/SETTINGS.md is out of date; print it with: cargo run -p settings --example page"
     );
 }
 
-/// Each value is within its bounds, and together they let a node leave service after one lost
-/// answer, or a host serve two replicas. The operator must hear of it before the node starts.
+/// Each value is within its bounds, but together they would let a node stop serving after one lost
+/// response, or a host serve two replicas. Loading the settings must report this.
 #[test]
-fn rules_between() {
-    let mut file = smallest();
+fn invalid_combinations_reported() {
+    let mut file = minimal_settings();
     file["config"] = json!({ "poll": "5s", "confirm": "6s" });
     file["assembly"] = json!({ "rest": "1s" });
-    assert_eq!(findings_of(&file), ["config.confirm", "assembly.rest"]);
+    assert_eq!(finding_paths(&file), ["config.confirm", "assembly.rest"]);
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -115,7 +115,7 @@
         return Ok(None);
     };
     let source = ReloadableTlsConfig::load(files)?;
-    let period = context.settings.tls.reload();
+    let period = context.settings.tls.reload_interval();
     tokio::spawn(follow_certificate(
         source.clone(),
         period,
