--- a/crates/gateway/src/admitted.rs
+++ b/crates/gateway/src/admitted.rs
@@ -160,7 +160,7 @@
     }
 
     /// Priority of this request among competing ones. A request that already had an attempt was
-    /// admitted before and gets full standing, because the work spent on it would be lost
+    /// admitted before and gets the highest class, because the work spent on it would be lost
     /// otherwise.
     fn admission_class(
         &self,
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -78,8 +78,8 @@
     clock: Option<ClockSample>,
 ) -> Result<Duration, StoreError> {
     // The first heartbeat follows the first read, which supplies the store's clock.
-    if let Some((store, own)) = clock {
-        let now = store + node.now().saturating_sub(own);
+    if let Some((store_time, process_time)) = clock {
+        let now = store_time + node.now().saturating_sub(process_time);
         let row = NodeRow {
             clock_ms: u64::try_from(now.as_millis()).unwrap_or(u64::MAX),
             hints: node.hints.address(),
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -135,8 +135,8 @@
         // A newly opened connection gets time to send its request; if it were closed before the
         // request is read, the client would get no `Retry-After`.
         tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
-        let stop = node.shutdown_plan();
-        if stop.is_some_and(|stop| stop.closes_connections(node.now())) {
+        let plan = node.shutdown_plan();
+        if plan.is_some_and(|plan| plan.closes_connections(node.now())) {
             return;
         }
         if usage.idle_time(node.now()) > node.idle_timeout() {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -60,9 +60,9 @@
     /// Returns the most recently used connection, so that the others can expire.
     fn take_idle(&self, id: &HostId) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(id)?;
+        let connections = idle.get_mut(id)?;
         let now = Instant::now();
-        while let Some(last) = links.pop() {
+        while let Some(last) = connections.pop() {
             if last.expires_at > now && last.connection.is_open() {
                 return Some(last.connection);
             }
@@ -77,11 +77,11 @@
             return;
         };
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(id.clone()).or_default();
-        if links.len() >= MAX_IDLE_PER_TARGET {
-            links.remove(0);
+        let connections = idle.entry(id.clone()).or_default();
+        if connections.len() >= MAX_IDLE_PER_TARGET {
+            connections.remove(0);
         }
-        links.push(IdleConnection {
+        connections.push(IdleConnection {
             connection,
             expires_at: Instant::now() + time,
         });
@@ -96,9 +96,9 @@
     pub fn evict_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(|idle| idle.expires_at > now);
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.expires_at > now);
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/crates/gateway/src/reconcile/ranks.rs
+++ b/crates/gateway/src/reconcile/ranks.rs
@@ -46,9 +46,9 @@
         if let Some(rank) = self.ranks.get(fabric) {
             return *rank;
         }
-        let own = node.settings.node.as_str();
+        let node_name = node.settings.node.as_str();
         let rank = node.with_live_nodes(|nodes| {
-            rendezvous_rank(own, nodes.iter().map(String::as_str), fabric.as_str())
+            rendezvous_rank(node_name, nodes.iter().map(String::as_str), fabric.as_str())
         });
         self.ranks.insert(fabric.clone(), rank);
         rank
@@ -98,7 +98,7 @@
     /// Delay before this node takes a step, so that nodes of lower rank can take it first.
     pub(super) fn step_delay(&self, fabric: &FabricId, step: &PlanStep) -> Duration {
         let node = &self.node;
-        let own = node.settings.node.as_str();
+        let node_name = node.settings.node.as_str();
         let formed_here = match step {
             PlanStep::Open { replica, .. } | PlanStep::Close { replica, .. } => {
                 replica.as_str().contains(&self.node_tag())
@@ -119,7 +119,8 @@
             .min(MAX_DELAY_RANK);
         // Until other nodes are known, use a pseudorandom rank.
         let rank = if node.with_live_nodes(<[String]>::is_empty) {
-            let random_rank = stable_hash(&(own, fabric.as_str())) % u64::from(MAX_DELAY_RANK);
+            let random_rank =
+                stable_hash(&(node_name, fabric.as_str())) % u64::from(MAX_DELAY_RANK);
             u32::try_from(random_rank).unwrap_or(0)
         } else {
             rank
--- a/crates/gateway/src/reconcile/store_outage.rs
+++ b/crates/gateway/src/reconcile/store_outage.rs
@@ -35,7 +35,7 @@
 }
 
 impl FabricRefreshes {
-    fn may_begin(&mut self, fabric: &FabricId, now: Duration) -> bool {
+    fn try_start(&mut self, fabric: &FabricId, now: Duration) -> bool {
         let round = self.rounds.entry(fabric.clone()).or_default();
         let due = round
             .started_at
@@ -46,7 +46,7 @@
         due
     }
 
-    fn end(&mut self, fabric: &FabricId, now: Duration) {
+    fn finish(&mut self, fabric: &FabricId, now: Duration) {
         self.rounds.entry(fabric.clone()).or_default().ended_at = Some(now);
     }
 
@@ -70,7 +70,7 @@
         }
         let now = self.node.now();
         let mut refreshes = self.refreshes.borrow_mut();
-        if refreshes.may_begin(fabric, now) {
+        if refreshes.try_start(fabric, now) {
             let ids: Vec<HostId> = hosts
                 .iter()
                 .filter(|host| host.silent_for.is_none())
@@ -89,7 +89,7 @@
             Some(refresh_host(&self.node, target))
         });
         futures::future::join_all(queries).await;
-        self.refreshes.borrow_mut().end(fabric, self.node.now());
+        self.refreshes.borrow_mut().finish(fabric, self.node.now());
         self.node.state_changed.notify_waiters();
     }
 }
@@ -108,11 +108,11 @@
                 return true;
             }
             let head = hosts.iter().find(|other| {
-                let own = other.membership.as_ref();
-                own.is_some_and(|own| own.replica == membership.replica && own.rank == 0)
+                let peer = other.membership.as_ref();
+                peer.is_some_and(|peer| peer.replica == membership.replica && peer.rank == 0)
             });
             let Some(head) = head else { return false };
-            let state = head.membership.as_ref().map(|own| own.state);
+            let state = head.membership.as_ref().map(|peer| peer.state);
             state == Some(MemberState::Open) && head.silent_for.is_none()
         })
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -132,7 +132,7 @@
             if self.finished {
                 return None;
             }
-            let broken = match self.read().await {
+            let failure = match self.read().await {
                 SourceEvent::Bytes(bytes) => match self.splitter.push(&bytes) {
                     Ok(None) => continue,
                     Ok(Some(events)) => {
@@ -162,8 +162,8 @@
                 }
             };
             self.source = None;
-            if let Err(reason) = self.fail_over(&broken).await {
-                self.abort(&format!("{broken}; {reason}"));
+            if let Err(reason) = self.fail_over(&failure).await {
+                self.abort(&format!("{failure}; {reason}"));
                 return Some(Err(StreamTruncated));
             }
         }
@@ -224,7 +224,7 @@
     }
 
     /// Resumes the stream at another target after the last complete event.
-    async fn fail_over(&mut self, lost: &str) -> Result<(), String> {
+    async fn fail_over(&mut self, trigger: &str) -> Result<(), String> {
         if self.request.kind != (RouteKind::Streaming { resumable: true }) {
             return Err("stream is not resumable".to_owned());
         }
@@ -268,7 +268,7 @@
                     self.attempts += 1;
                     self.loss_signal = self.node.loss_signal(&response.host);
                     self.last_host = Some(response.host.clone());
-                    self.log_failover(lost, &response.host);
+                    self.log_failover(trigger, &response.host);
                     // Drops the incomplete event of the failed target; it must not be joined with
                     // data from the new one.
                     self.splitter.drop_partial();
@@ -327,11 +327,11 @@
         }
     }
 
-    fn log_failover(&self, lost: &str, host: &HostId) {
+    fn log_failover(&self, trigger: &str, host: &HostId) {
         let line = self
             .log_line(EventCode::StreamMoved)
             .text("to", host.as_str())
-            .text("reason", lost);
+            .text("reason", trigger);
         self.node.log(&line);
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -119,9 +119,11 @@
             reported = stats.dropped_lines;
             node.log(&line);
         }
-        let times = |count: usize| elapsed * u32::try_from(count).unwrap_or(u32::MAX);
-        node.metrics
-            .add_lost_time(times(stats.stranded_hosts), times(stats.idle_replicas));
+        let total_time = |count: usize| elapsed * u32::try_from(count).unwrap_or(u32::MAX);
+        node.metrics.add_lost_time(
+            total_time(stats.stranded_hosts),
+            total_time(stats.idle_replicas),
+        );
     }
 }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -91,7 +91,7 @@
     Flag,
 }
 
-/// All settings with their types, for validation and for docs/SETTINGS.md.
+/// All settings with their types, for validation.
 const FIELDS: [(&str, SettingKind); 14] = [
     ("node", SettingKind::Name),
     ("failure_domain", SettingKind::Name),
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -140,14 +140,14 @@
         watcher.apply_page(page);
         return Ok((version, true));
     };
-    let answer = client
+    let response = client
         .watch_table(table, after, LONG_POLL_WAIT, LONG_POLL_SLACK)
         .await?;
-    let changed = !answer.rows.is_empty();
-    for row in answer.rows {
+    let changed = !response.rows.is_empty();
+    for row in response.rows {
         watcher.apply_row(row);
     }
-    Ok((answer.version.max(after), changed))
+    Ok((response.version.max(after), changed))
 }
 
 fn log_store_lost(node: &GatewayNode, table: &str, error: &StoreError) {
--- a/tests/gateway/site.rs
+++ b/tests/gateway/site.rs
@@ -133,7 +133,7 @@
             .put("op", "config", config.to_string().as_bytes());
     }
 
-    /// Makes an engine unreachable without removing its registry entry.
+    /// Makes an engine unresponsive without removing its registry entry.
     pub fn kill_engine(&mut self, id: &str) {
         self.groups.go_dark(id);
         self.engines.retain(|engine| engine.id != id);
