--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! Gateway process for a platform that has its own target registry and store: proxies client
 //! requests to targets and reconciles the model replicas that serve them.
 //!
-//! Everything runs on one thread. [`node::GatewayNode`] holds the state, none of which is
+//! Everything runs on one thread. `node::GatewayNode` holds the state, none of which is
 //! persisted: configuration, targets and replicas are read from the store again after a restart.
 
 mod admit;
