--- a/crates/entry/src/dispatch/actor.rs
+++ b/crates/entry/src/dispatch/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the dispatcher's state, and the tasks that feed it.
+//! Actor that owns the dispatcher state, and the tasks that send it messages.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,10 +12,10 @@
 use super::state::DispatchState;
 use super::time::SlotReply;
 
-/// Time between two looks at what expired: a refusal may come so much late.
+/// Interval at which expired requests are rejected; a rejection can be late by this much.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Owns the dispatcher's state.
+/// Actor that owns the dispatcher state.
 #[derive(Debug, xtra::Actor)]
 pub struct DispatchActor {
     state: DispatchState,
@@ -27,32 +27,32 @@
     }
 }
 
-/// A request asks for a replica.
+/// Queues a request until a replica can take it.
 pub struct EnqueueRequest {
     pub number: u64,
     pub request: DispatchRequest,
     pub reply: SlotReply,
 }
 
-/// The replicas changed, or time has passed.
+/// Updates the replicas, or only advances the time.
 struct UpdateTargets(Option<Arc<TargetView>>);
 
-/// Asks whether a failed request is tried again.
+/// Asks whether a failed request is retried.
 pub struct DecideRetry {
     pub number: u32,
     pub deadline: Instant,
 }
 
-/// Tells how many entries there are.
+/// Sets the number of entries.
 pub struct SetEntries(pub u32);
 
 impl Handler<EnqueueRequest> for DispatchActor {
     type Return = ();
 
-    async fn handle(&mut self, offer: EnqueueRequest, _: &mut Context<Self>) {
+    async fn handle(&mut self, enqueue: EnqueueRequest, _: &mut Context<Self>) {
         let at = self.state.current_time();
         self.state
-            .offer(at, offer.number, offer.request, offer.reply);
+            .offer(at, enqueue.number, enqueue.request, enqueue.reply);
     }
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Hands events on; they come from places that can't wait.
+/// Forwards events to the actor, from senders that can't wait for its mailbox.
 pub async fn forward_events(
     mut events: mpsc::UnboundedReceiver<DispatchEvent>,
     address: WeakAddress<DispatchActor>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Hands new views on, and ticks in between.
+/// Forwards new target views to the actor and ticks in between.
 pub async fn watch_targets(
     mut targets: watch::Receiver<Arc<TargetView>>,
     address: WeakAddress<DispatchActor>,
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -1,4 +1,4 @@
-//! The replicas as the dispatcher sees them: their views, loads and the choice among them.
+//! Index of the replicas known to the dispatcher, and selection among them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,10 +14,10 @@
 
 use super::request::DispatchRequest;
 
-/// Assumed round trip to a replica in another error domain of the region.
+/// Assumed round-trip time to a replica in another failure domain of the region.
 const CROSS_DOMAIN_ROUND_TRIP: Duration = Duration::from_millis(1);
 
-/// All replicas.
+/// All known replicas.
 #[derive(Debug)]
 pub(super) struct ReplicaIndex {
     pub pool: TargetPool,
@@ -28,7 +28,7 @@
     local_domain: Option<DomainId>,
 }
 
-/// Replicas of one model after a change of the view.
+/// Replicas of one model after an update.
 #[derive(Debug, Default)]
 pub(super) struct ModelTargets {
     pub keys: Vec<TargetKey>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes a new view in and tells each model's replicas.
+    /// Replaces the known replicas and returns them grouped by model.
     pub fn update_targets(
         &mut self,
         view: &TargetView,
@@ -87,8 +87,8 @@
                 add_report(&mut targets.report, replica, load);
             }
         }
-        for (_, gone) in self.keys.drain() {
-            self.pool.remove(gone);
+        for (_, removed) in self.keys.drain() {
+            self.pool.remove(removed);
         }
         self.keys = keys;
         self.views = views;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether any of these takes work now.
+    /// Returns whether any of the candidates accepts work.
     pub fn any_usable(&self, candidates: &CandidateList, instant: Instant) -> bool {
         candidates.as_slice().iter().any(|key| {
             let view = self.views.get(key);
@@ -116,9 +116,10 @@
         })
     }
 
-    /// Chooses a replica and counts the attempt as sent.
+    /// Selects a replica and counts the attempt as sent.
     ///
-    /// A replica that failed this request once may have recovered; it is better than none.
+    /// Prefers replicas that have not failed this request, but falls back to the others, which may
+    /// have recovered.
     pub fn place(
         &mut self,
         candidates: &CandidateList,
@@ -157,7 +158,7 @@
 
 fn add_report(report: &mut Option<PoolReport>, replica: &ReplicaView, load: TargetLoad) {
     let sum = report.get_or_insert_default();
-    // A replica of unknown size takes at least one stream.
+    // A replica of unknown size can run at least one stream.
     let slots = replica.load.map_or(1, |(load, _)| load.slots.max(1));
     sum.slots += slots;
     sum.running += load.running;
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatcher: admits requests, lets them wait and finds a replica for each attempt.
+//! Request dispatcher: admits and queues requests and selects a replica for each attempt.
 //!
-//! The decisions are those of the crate `policy`; [`state`] applies them without I/O, and one
-//! actor owns the state.
+//! The decisions are implemented in the `policy` crate. [`state`] applies them without I/O, and a
+//! single actor owns the state.
 
 mod actor;
 mod index;
@@ -27,10 +27,10 @@
 use request::{DispatchEvent, DispatchEventSender, DispatchRequest, SlotGuard};
 use state::{DispatchSettings, DispatchState};
 
-/// Messages that wait for the actor; senders wait beyond that.
+/// Capacity of the actor's mailbox; senders wait when it is full.
 const MAILBOX_CAPACITY: usize = 1_024;
 
-/// A handle of the dispatcher. Cheap to clone.
+/// Handle of the dispatcher. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct RequestDispatcher {
     address: Address<DispatchActor>,
@@ -40,7 +40,7 @@
 }
 
 impl RequestDispatcher {
-    /// Starts a dispatcher. Needs a tokio runtime.
+    /// Starts a dispatcher. Must be called within a Tokio runtime.
     #[must_use]
     pub fn start(settings: DispatchSettings, targets: watch::Receiver<Arc<TargetView>>) -> Self {
         let (events, received) = mpsc::unbounded_channel();
@@ -59,14 +59,15 @@
         }
     }
 
-    /// Waits for a replica.
+    /// Waits until a replica can take the request.
     ///
     /// # Errors
     ///
-    /// [`RequestError`] as not run: refused at once, or given up at its deadline.
+    /// [`RequestError`] marked as not executed, if the request is refused immediately or its
+    /// deadline expires.
     pub async fn place(&self, request: DispatchRequest) -> Result<SlotGuard, RequestError> {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.waiting.fetch_add(1, Ordering::Relaxed);
         let mut guard = WaitGuard {
             waiting: &self.waiting,
@@ -74,13 +75,13 @@
             model: Some(request.model.clone()),
             number,
         };
-        let offer = EnqueueRequest {
+        let enqueue = EnqueueRequest {
             number,
             request,
             reply,
         };
-        let sent = self.address.send(offer).await.is_ok();
-        let result = if sent { answer.await.ok() } else { None };
+        let sent = self.address.send(enqueue).await.is_ok();
+        let result = if sent { response.await.ok() } else { None };
         guard.model = None;
         result.unwrap_or_else(|| {
             let message = "the dispatcher has stopped";
@@ -88,30 +89,30 @@
         })
     }
 
-    /// Requests that wait for a replica now.
+    /// Returns the number of requests that are waiting for a replica.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Decides whether a request that failed without a token is tried again; `number` counts its
-    /// attempts.
+    /// Decides whether a request that failed before its first token is retried. `number` is the
+    /// number of attempts so far.
     pub async fn decide_retry(&self, number: u32, deadline: Instant) -> RetryDecision {
         let decided = self.address.send(DecideRetry { number, deadline }).await;
         decided.unwrap_or(RetryDecision::GiveUp(GiveUpReason::AttemptsExhausted))
     }
 
-    /// Tells how many entries share the replicas.
+    /// Sets the number of entries that share the replicas.
     pub async fn set_entries(&self, entries: u32) {
         log_skipped(
-            "count entries",
+            "set number of entries",
             self.address.send(SetEntries(entries)).await,
         );
     }
 }
 
-/// Counts a waiting caller, and tells the dispatcher when it is gone, so that it doesn't fill a
-/// place in the queue.
+/// Counts a waiting request. If the client disconnects while waiting, removes the request from the
+/// queue.
 struct WaitGuard<'a> {
     waiting: &'a AtomicUsize,
     events: &'a DispatchEventSender,
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one model, and what is given out of it.
+//! Request queue of a single model.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use super::time::{DispatchTime, SlotReply};
 use crate::error::RequestError;
 
-/// Time without any whole replica after which waiting is hopeless.
+/// Time without a usable replica after which waiting requests are rejected.
 ///
-/// A missed round of reports, or a host that is replaced by a spare, is over within a few seconds.
-/// Beyond that a caller is better off with an answer now.
+/// A missed round of reports, or a host that is replaced by a spare, is resolved within a few
+/// seconds. After that, an immediate error serves the client better.
 const NO_REPLICA_GRACE: Duration = Duration::from_secs(5);
 
-/// When to come back while no whole replica serves a model.
+/// Retry delay while no replica of the model is usable.
 const NO_REPLICA_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// An ask that waits.
+/// A request that waits for a replica.
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
     pub number: u64,
@@ -34,28 +34,28 @@
 
 impl QueuedRequest {
     fn reject(self, error: RequestError) {
-        // A caller that is gone needs no answer.
+        // The client may have disconnected, so the receiver may be gone.
         let _ = self.reply.send(Err(error));
     }
 
     fn no_replica_error(&self) -> RequestError {
-        let message = format!("no whole replica serves {} now", self.request.model);
+        let message = format!("no replica of {} is available", self.request.model);
         RequestError::not_run(ErrorCode::NoReplica, message)
             .with_retry_after(NO_REPLICA_RETRY_AFTER)
     }
 }
 
-/// One model at this entry.
+/// Queue, capacity share and replicas of one model at this entry.
 #[derive(Debug)]
 pub(super) struct ModelQueue {
     pub queue: AdmissionQueue,
     pub share: CapacityShare,
     pub candidates: CandidateList,
     queued: FastMap<RequestKey, QueuedRequest>,
-    /// Admitted asks that found no replica that fits them.
+    /// Admitted requests for which no suitable replica was found yet.
     unplaced: Vec<QueuedRequest>,
     usable: bool,
-    unusable_since: Duration,
+    last_usable_at: Duration,
 }
 
 impl ModelQueue {
@@ -68,7 +68,7 @@
             queued: FastMap::default(),
             unplaced: Vec::new(),
             usable: false,
-            unusable_since: now,
+            last_usable_at: now,
         }
     }
 
@@ -76,7 +76,7 @@
         self.queued.len() + self.unplaced.len()
     }
 
-    /// Judges whether any replica takes work.
+    /// Updates whether any replica accepts work.
     pub fn refresh(&mut self, index: &ReplicaIndex, at: DispatchTime) {
         let was_usable = self.usable;
         self.usable = index.any_usable(&self.candidates, at.instant);
@@ -84,15 +84,15 @@
             if !was_usable {
                 self.queue.reset_drain_rate();
             }
-            self.unusable_since = at.now;
+            self.last_usable_at = at.now;
         }
     }
 
     fn is_unavailable(&self, now: Duration) -> bool {
-        now.saturating_sub(self.unusable_since) > NO_REPLICA_GRACE
+        now.saturating_sub(self.last_usable_at) > NO_REPLICA_GRACE
     }
 
-    /// Lets an ask in, or answers it at once.
+    /// Admits a request to the queue, or rejects it immediately.
     pub fn offer(&mut self, at: DispatchTime, waiting: QueuedRequest) {
         if waiting.request.admitted {
             self.unplaced.push(waiting);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The caller of an ask is gone.
+    /// Removes a request whose client has disconnected.
     pub fn cancel(&mut self, number: u64) {
         self.unplaced.retain(|waiting| waiting.number != number);
         let found = self
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Answers what expired and gives out what may be sent.
+    /// Rejects expired requests and dispatches as many others as capacity permits.
     pub fn dispatch_ready(
         &mut self,
         index: &mut ReplicaIndex,
@@ -165,15 +165,16 @@
             let Some(waiting) = self.queued.remove(&key) else {
                 continue;
             };
-            // Without a usable replica the queue's rate says nothing of when to come back, and
-            // "too late" would send an operator after load where a host is missing.
+            // The drain rate of the queue says nothing about the time until a replica returns, and
+            // a "deadline exceeded" error would make operators look for excess load instead of a
+            // missing host.
             if !self.usable {
                 let error = waiting.no_replica_error();
                 waiting.reject(error);
                 continue;
             }
             let after = self.queue.retry_after(at.now, waiting.request.cost);
-            let message = "the answer could not begin within the request's timeout";
+            let message = "the response could not start within the request timeout";
             let error = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
             waiting.reject(error.with_retry_after(after));
         }
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Gives an ask its slot, or parks it until a replica fits it.
+    /// Dispatches a request to a replica, or keeps it until a suitable one is available.
     fn dispatch(
         &mut self,
         index: &mut ReplicaIndex,
@@ -219,11 +220,11 @@
             predicted_cost: waiting.request.cost,
         };
         let Some(leader) = view.leader else {
-            // The gate admits no replica whose leader is unknown.
+            // A replica without a known leader is not dispatchable, so it is never selected.
             return;
         };
         let slot = SlotGuard::new(view.plan.clone(), leader, info, events.clone());
-        // When the caller left meanwhile the slot comes back and reports its own end.
+        // If the client has disconnected meanwhile, dropping the guard releases the slot.
         let _ = waiting.reply.send(Ok(slot));
     }
 }
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the dispatcher, and the slot that it gets.
+//! Requests to the dispatcher, and the slots that it grants.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,125 +13,129 @@
 
 use crate::generation::GenerationRequest;
 
-/// Bytes of a prompt that count as one token, for predictions only.
+/// Assumed number of prompt bytes per token; only used for predictions.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// What a request asks of the dispatcher.
+/// Request for a replica to run an attempt on.
 #[derive(Debug, Clone)]
 pub struct DispatchRequest {
-    /// Who asks.
+    /// Customer whose fair share the request counts towards.
     pub customer: CustomerId,
-    /// Weight of the customer.
+    /// Fair-queueing weight of the customer.
     pub share: u32,
-    /// The model.
+    /// Requested model.
     pub model: ModelName,
-    /// The version that the customer is pinned to.
+    /// Version that the customer is pinned to; none allows any.
     pub version: Option<VersionName>,
-    /// The adapter.
+    /// Requested adapter, if any.
     pub adapter: Option<AdapterName>,
-    /// Tokens of the prompt, roughly.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Hashes of the prompt's prefixes.
+    /// Hashes of the prompt's prefixes, to find a replica with a warm prefix cache.
     pub prefixes: Arc<[u64]>,
-    /// Predicted tokens of prompt and answer together.
+    /// Predicted cost in tokens: the prompt and the maximum length of the response.
     pub cost: u32,
-    /// Replicas that failed this request.
+    /// Replicas on which an attempt of this request failed.
     pub tried: FastSet<ReplicaId>,
-    /// Whether the request was admitted before and only needs another replica.
+    /// Whether an earlier attempt was admitted, so that the request skips admission.
     pub admitted: bool,
-    /// Moment after which the request is given up.
+    /// Time after which the request is rejected.
     pub deadline: Instant,
 }
 
 impl DispatchRequest {
-    /// The first ask of an order.
+    /// Creates the request for the first attempt.
     #[must_use]
-    pub fn new(order: &GenerationRequest) -> Self {
-        let prompt_tokens = order.prompt.len().div_ceil(BYTES_PER_TOKEN);
+    pub fn new(generation: &GenerationRequest) -> Self {
+        let prompt_tokens = generation.prompt.len().div_ceil(BYTES_PER_TOKEN);
         let prompt_tokens = u32::try_from(prompt_tokens).unwrap_or(u32::MAX);
-        let prefixes = prefix_hashes(&order.model, order.adapter.as_ref(), &order.prompt);
+        let prefixes = prefix_hashes(
+            &generation.model,
+            generation.adapter.as_ref(),
+            &generation.prompt,
+        );
         Self {
-            customer: order.customer.clone(),
-            share: order.share,
-            model: order.model.clone(),
-            version: order.version.clone(),
-            adapter: order.adapter.clone(),
+            customer: generation.customer.clone(),
+            share: generation.share,
+            model: generation.model.clone(),
+            version: generation.version.clone(),
+            adapter: generation.adapter.clone(),
             prompt_tokens,
             prefixes: Arc::from(prefixes),
-            cost: prompt_tokens.saturating_add(order.max_tokens),
+            cost: prompt_tokens.saturating_add(generation.max_tokens),
             tried: FastSet::default(),
             admitted: false,
-            deadline: order.deadline,
+            deadline: generation.deadline,
         }
     }
 }
 
-/// What the dispatcher has to know of a slot that it gave.
+/// Data that is needed to account for a slot when it is released.
 #[derive(Debug, Clone)]
 pub struct SlotInfo {
-    /// The model.
+    /// Model whose capacity the slot counts towards.
     pub model: ModelName,
-    /// The customer.
+    /// Customer whose fair share the slot counts towards.
     pub customer: CustomerKey,
-    /// The choice.
+    /// Selected replica and the predictions for it.
     pub choice: PlacementChoice,
-    /// Tokens that were predicted.
+    /// Predicted cost in tokens.
     pub predicted_cost: u32,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt, reported when its slot is released.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotOutcome {
-    /// How it ended for the target.
+    /// Outcome in terms of the target's health.
     pub outcome: AttemptOutcome,
-    /// Tokens of prompt and answer that it took.
+    /// Actual cost in tokens: the prompt and the delivered tokens.
     pub actual_cost: u32,
-    /// Prompt tokens that were cached, when the target told.
+    /// Number of cached prompt tokens, if the engine reported it.
     pub cached_tokens: Option<u32>,
 }
 
-/// What the dispatcher is told.
+/// Event reported to the dispatcher.
 #[derive(Debug)]
 pub enum DispatchEvent {
-    /// The first token of an attempt came.
+    /// An attempt received its first event.
     FirstToken {
-        /// The slot.
+        /// Slot of the attempt.
         info: SlotInfo,
-        /// Time since the slot was given.
+        /// Time since the slot was granted.
         elapsed: Duration,
     },
-    /// An attempt ended.
+    /// An attempt ended and its slot was released.
     Ended {
-        /// The slot.
+        /// Slot of the attempt.
         info: SlotInfo,
-        /// How.
+        /// Outcome of the attempt.
         outcome: SlotOutcome,
-        /// Time since the slot was given.
+        /// Time since the slot was granted.
         duration: Duration,
-        /// Time to the first token; none when none came.
+        /// Time from the grant to the first event; none if there was no event.
         first_token: Option<Duration>,
     },
-    /// The caller of a waiting request is gone.
+    /// The client of a waiting request disconnected.
     Abandoned {
-        /// The model.
+        /// Model whose queue the request is in.
         model: ModelName,
-        /// Number of the request.
+        /// Number that the request was queued under.
         number: u64,
     },
 }
 
-/// Sends events to the dispatcher.
+/// Channel for dispatcher events.
 pub type DispatchEventSender = mpsc::UnboundedSender<DispatchEvent>;
 
-/// A replica's slot for one attempt; it is given back when it is dropped.
+/// Slot of a replica for one attempt, released on drop.
 ///
-/// A slot that was never given back would lower this entry's part of the replica for good, so it
-/// doesn't depend on any path of the caller's code.
+/// A slot that is never released would permanently reduce this entry's share of the replica, so the
+/// release does not depend on the code paths of the holder.
 #[derive(Debug)]
 pub struct SlotGuard {
-    /// The replica.
+    /// Plan of the replica at the time of the grant.
     pub plan: ReplicaPlan,
-    /// Address of its leading host.
+    /// Engine address of the replica's rank 0 host.
     pub leader: SocketAddr,
     info: SlotInfo,
     events: DispatchEventSender,
@@ -141,7 +145,7 @@
 }
 
 impl SlotGuard {
-    /// A slot that is given now.
+    /// Creates a guard for a slot that is granted now.
     #[must_use]
     pub fn new(
         plan: ReplicaPlan,
@@ -164,7 +168,7 @@
         }
     }
 
-    /// The first event of the stream came.
+    /// Records the first event of the stream; later calls have no effect.
     pub fn record_first_token(&mut self) {
         if self.first_token.is_some() {
             return;
@@ -177,7 +181,7 @@
             .send(DispatchEvent::FirstToken { info, elapsed });
     }
 
-    /// Gives the slot back.
+    /// Releases the slot with the given outcome. A slot dropped without it counts as cancelled.
     pub fn end(mut self, outcome: SlotOutcome) {
         self.outcome = outcome;
     }
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's decisions over all models, without I/O: time comes in with each call.
+//! Decisions of the dispatcher for all models. Free of I/O; every call is given the current time.
 
 use std::time::{Duration, Instant};
 
@@ -19,18 +19,18 @@
 /// Settings of a dispatcher.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct DispatchSettings {
-    /// Oldest evidence of wholeness that allows dispatch.
+    /// Maximum age of health evidence for dispatching to a replica.
     pub max_evidence_age: Duration,
-    /// The entry's own error domain.
+    /// Failure domain of this node, preferred for dispatch; none treats all replicas as local.
     pub local_domain: Option<DomainId>,
-    /// Attempts of one request.
+    /// Maximum number of attempts per request.
     #[builder(default = 8)]
     pub max_attempts: u32,
-    /// Seed of everything that is left to chance; differs between entries.
+    /// Seed for random choices; must differ between entries, so that they don't choose alike.
     pub seed: u64,
 }
 
-/// Queues, shares and replicas of all models.
+/// Queues, capacity shares and replicas of all models.
 #[derive(Debug)]
 pub struct DispatchState {
     settings: DispatchSettings,
@@ -45,7 +45,7 @@
 }
 
 impl DispatchState {
-    /// A dispatcher without replicas; slots report to `events`.
+    /// Creates a dispatcher without replicas. Slots report to `events`.
     #[must_use]
     pub fn new(settings: DispatchSettings, started: Instant, events: DispatchEventSender) -> Self {
         let rng = SmallRng::seed_from_u64(settings.seed);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The moment now.
+    /// Returns the current time on both clocks.
     #[must_use]
     pub fn current_time(&self) -> DispatchTime {
         let instant = Instant::now();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Tells how many entries share the replicas.
+    /// Sets the number of entries that share the replicas.
     pub fn set_entries(&mut self, entries: u32) {
         if self.entries == entries {
             return;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes a new view of the replicas in and gives out what became free.
+    /// Updates the replicas and dispatches requests to newly available slots.
     pub fn update_targets(&mut self, at: DispatchTime, view: &TargetView) {
         let mut targets = self.index.update_targets(view, at.now, at.instant);
         for name in targets.keys() {
@@ -113,7 +113,7 @@
         ModelQueue::new(self.entries, self.settings.seed, at.now)
     }
 
-    /// Answers what expired and gives out what became free.
+    /// Rejects expired requests and dispatches requests to newly available slots.
     pub fn tick(&mut self, at: DispatchTime) {
         for model_queue in self.models.values_mut() {
             model_queue.refresh(&self.index, at);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes an ask; its reply comes now or when its turn comes.
+    /// Queues a request; `reply` receives its slot or an error.
     pub fn offer(
         &mut self,
         at: DispatchTime,
@@ -158,7 +158,7 @@
         key
     }
 
-    /// Takes a event in.
+    /// Handles an event of a slot or a waiting request.
     pub fn handle_event(&mut self, at: DispatchTime, event: DispatchEvent) {
         match event {
             DispatchEvent::FirstToken { info, elapsed } => {
@@ -213,7 +213,7 @@
         model_queue.dispatch_ready(&mut self.index, at, &self.events);
     }
 
-    /// Decides whether a request that failed without a token is tried again.
+    /// Decides whether a request that failed before its first token is retried.
     pub fn decide_retry(
         &mut self,
         at: DispatchTime,
@@ -229,7 +229,7 @@
         self.budget.decide(at.now, &failed, &mut self.index.rng)
     }
 
-    /// Requests that wait, over all models.
+    /// Returns the number of waiting requests of all models.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.models.values().map(ModelQueue::waiting).sum()
--- a/crates/entry/src/dispatch/time.rs
+++ b/crates/entry/src/dispatch/time.rs
@@ -1,4 +1,4 @@
-//! What a decision of the dispatcher comes with: its time, and where the answer goes.
+//! Time and reply types shared by the dispatcher's modules.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,14 @@
 use super::request::SlotGuard;
 use crate::error::RequestError;
 
-/// The answer to an request.
+/// Receives the slot for a request, or the error that ends it.
 pub type SlotReply = oneshot::Sender<Result<SlotGuard, RequestError>>;
 
-/// A moment, on the clock of the policies and on that of the evidence.
+/// A point in time, on both clocks that the dispatcher works with.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchTime {
-    /// Since the dispatcher's start.
+    /// Time since the dispatcher started, as used by the `policy` crate.
     pub now: Duration,
-    /// The same moment.
+    /// The same point in time, as used for the age of health evidence.
     pub instant: Instant,
 }
