--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -1,22 +1,24 @@
-//! Non-idempotent calls: claimed, then sent once.
+//! Non-idempotent calls, such as payments: claimed in the ledger, then sent at most once.
 //!
-//! A payment may leave the system once for each idempotency key. What could send it twice:
+//! A call must be executed at most once per idempotency key. Possible causes of a second execution
+//! and how each is prevented:
 //!
-//! * Two entries get the same key. Only the one whose claim was inserted sends; the other finds
-//!   the claim.
-//! * The claim's answer is lost. The ledger settles it before it gives leave, or gives none.
-//! * The claimant is frozen between its claim and its send, for however long. Its claim stays, so
-//!   nobody else sends for the key meanwhile, and nobody concludes from a look-up that shows no
-//!   execution that the call was not run: the frozen claimant could still send it. When it goes on,
-//!   it sends at most once, and not at all when the caller's deadline or the ticket's time has
-//!   passed meanwhile.
-//! * The connection breaks after the send. The call may have run, so it is never sent again; the
-//!   claim stays until the service's own books, or the claimant, settle it.
-//! * The client library sends a request again. Each call has a connection of its own and the
-//!   client's retries are off.
+//! * Two entries receive the same key. Only the one that inserted the claim sends the call; the
+//!   other finds the claim.
+//! * The response to the insertion is lost. The ledger resolves the outcome before it grants the
+//!   claim, or does not grant it.
+//! * The claimant is suspended between the claim and the send for any length of time. Its claim
+//!   remains, so no other entry sends the call. No entry concludes that the call was not executed
+//!   from a lookup without executions either, since the claimant may still send it. After it
+//!   resumes, the claimant sends at most once, and not at all if the client's deadline or the
+//!   validity of the ticket has expired meanwhile.
+//! * The connection breaks after the request was sent. The call may have been executed and is never
+//!   sent again. The claim remains until the claimant or the service's records settle it.
+//! * The HTTP client retries on its own. Each call uses a new connection, and client retries are
+//!   disabled.
 //!
-//! A connection that was never made proves that no byte left. The call is then tried at the next
-//! instance under the same claim, and after the last one the claim is withdrawn.
+//! If a connection could not be established, nothing was sent. The call is then tried at the next
+//! instance under the same claim; after the last instance, the claim is withdrawn.
 
 use std::time::{Duration, Instant};
 
@@ -39,15 +41,15 @@
 use crate::auth::sha256_hex;
 use crate::error::RequestError;
 
-/// Time that a claimant has to record an answer, besides the service's own.
+/// Time granted to a claimant for recording the response, in addition to the call timeout.
 const CLAIMANT_GRACE: Duration = Duration::from_secs(2);
 
-/// What became of the one send.
+/// Outcome of sending a claimed call.
 enum SendOutcome {
     Answered(ServiceResponse),
-    /// No byte left.
+    /// Nothing was sent, so the call was not executed.
     Unsent(String),
-    /// It may have run.
+    /// The response is missing; the call may have been executed.
     Lost(String),
 }
 
@@ -69,7 +71,7 @@
             .request_id
             .as_str()
             .parse()
-            .unwrap_or_else(|error| unreachable!("one id is as good as the other: {error}"));
+            .unwrap_or_else(|error| unreachable!("request ids are valid attempt ids: {error}"));
         let claimed = self
             .ledger
             .claim(claim_key.clone(), attempt, body_hash(call))
@@ -85,7 +87,7 @@
                     .await
             }
             ClaimOutcome::Reused => {
-                let message = "the idempotency key was used with another call or body";
+                let message = "the idempotency key was already used for another call or body";
                 let error = RequestError::not_run(ErrorCode::KeyReused, message);
                 Err(error.with_param("header idempotency-key"))
             }
@@ -98,46 +100,47 @@
         ticket: ClaimTicket,
     ) -> Result<WebResponse, RequestError> {
         match self.send_once(call, &ticket).await {
-            SendOutcome::Answered(answer) => {
+            SendOutcome::Answered(response) => {
                 self.record_settled(
                     call,
-                    self.ledger.settle(ticket, answered_state(&answer)).await,
+                    self.ledger.settle(ticket, answered_state(&response)).await,
                 );
-                Ok(response_from_service(&answer))
+                Ok(response_from_service(&response))
             }
-            SendOutcome::Unsent(problem) => {
-                let error = RequestError::not_run(ErrorCode::TargetFailed, problem);
+            SendOutcome::Unsent(last_error) => {
+                let error = RequestError::not_run(ErrorCode::TargetFailed, last_error);
                 let error = error.with_retry_after(CALL_RETRY_AFTER);
                 match self.ledger.settle(ticket, ClaimState::NotRun).await {
                     Ok(()) => self.record(EventCode::ClaimWithdrawn, call, ""),
-                    // The call was not run and never will be under this claim; only its key stays
-                    // taken until the ledger has written so.
+                    // The call was not executed and never will be under this claim. Only the key
+                    // remains claimed until the ledger has recorded the withdrawal.
                     Err(error) => self.record(EventCode::ClaimUnknown, call, &error.to_string()),
                 }
                 Err(error)
             }
-            SendOutcome::Lost(problem) => {
-                self.record(EventCode::ClaimUnknown, call, &problem);
-                let error = RequestError::unknown(ErrorCode::TargetFailed, problem);
+            SendOutcome::Lost(last_error) => {
+                self.record(EventCode::ClaimUnknown, call, &last_error);
+                let error = RequestError::unknown(ErrorCode::TargetFailed, last_error);
                 Err(error.with_retry_after(CALL_RETRY_AFTER))
             }
         }
     }
 
-    /// Sends a claimed call, to the first instance that can be connected to.
+    /// Sends a claimed call to the first instance that accepts a connection.
     async fn send_once(&self, call: &PendingCall, ticket: &ClaimTicket) -> SendOutcome {
         let addresses = &call.resolved.service.targets;
         let mut tried = FastSet::default();
-        let mut problem = "no instance can be reached".to_owned();
+        let mut last_error = "no instance is reachable".to_owned();
         while let Some(address) = self.pool.choose(addresses, &tried) {
             tried.insert(address);
             if call.remaining().is_zero() || !ticket.is_fresh() {
-                // Frozen or kept waiting for too long: the caller was told something else by now,
-                // and the ledger may clean up settled rows that are far older than a ticket.
+                // The entry was suspended or delayed for too long. The client has been told that
+                // the outcome is unknown, and the ledger may remove settled claims that are much
+                // older than a ticket.
                 self.pool
                     .record_ended(address, Duration::ZERO, CallOutcome::Answered);
                 return SendOutcome::Unsent(
-                    "the deadline passed before the call was sent".to_owned(),
+                    "the deadline expired before the call was sent".to_owned(),
                 );
             }
             let started = Instant::now();
@@ -150,18 +153,18 @@
             };
             self.pool.record_ended(address, started.elapsed(), ended);
             match outcome {
-                Ok(answer) => return SendOutcome::Answered(answer),
+                Ok(response) => return SendOutcome::Answered(response),
                 Err(ServiceError::ResponseLost(error)) => {
                     self.record(EventCode::CallFailed, call, &format!("{address}: {error}"));
                     return SendOutcome::Lost(error.to_string());
                 }
                 Err(ServiceError::Unsent(error)) => {
                     self.record(EventCode::CallFailed, call, &format!("{address}: {error}"));
-                    problem = error.to_string();
+                    last_error = error.to_string();
                 }
             }
         }
-        SendOutcome::Unsent(problem)
+        SendOutcome::Unsent(last_error)
     }
 
     async fn resolve_existing_claim(
@@ -183,38 +186,39 @@
                 body: Bytes::from(body.clone()),
             }));
         }
-        if let Some(answer) = self.look_up_execution(call, key).await {
+        if let Some(response) = self.look_up_execution(call, key).await {
             self.record(EventCode::ClaimFound, call, "");
-            self.settle_later(claim_key, claim, answered_state(&answer));
-            return Ok(response_from_service(&answer));
+            self.settle_later(claim_key, claim, answered_state(&response));
+            return Ok(response_from_service(&response));
         }
-        let message = "a call with this idempotency key may have run; it is not sent again. Ask \
-                       again with the same key and body to learn of its outcome";
+        let message = "a call with this idempotency key may have been executed and is not sent \
+                       again; repeat the request with the same key and body to query its outcome";
         let error = RequestError::unknown(ErrorCode::CallPending, message);
         Err(error.with_retry_after(CALL_RETRY_AFTER))
     }
 
-    /// Settles a claim by the look-up, once a claimant that lives would have settled it itself.
+    /// Settles a claim with the result of a lookup, after the time within which a live claimant
+    /// would have settled it.
     ///
-    /// The claimant may be reading the service's answer at this moment. Its own receipt is the one
-    /// to keep, or two requests with the same key would get different ones.
+    /// The claimant may be reading the service's response at this moment. Its response takes
+    /// precedence; otherwise two requests with the same key would get different responses.
     fn settle_later(&self, claim_key: &ClaimKey, claim: &CallClaim, state: ClaimState) {
         let ledger = self.ledger.clone();
         let (claim_key, claim) = (claim_key.clone(), claim.clone());
         let wait = self.settings.call_timeout() + CLAIMANT_GRACE;
         tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            // When the store is down the next request with this key looks it up again.
+            // If the store is unavailable, the next request with this key repeats the lookup.
             let settled = ledger.settle_from_lookup(&claim_key, &claim, state).await;
             log_skipped("settle claim", settled);
         });
     }
 
-    /// The answer of a call that the service says it ran.
+    /// Returns the response of a call that the service reports as executed.
     ///
-    /// A service that shows no execution proves nothing, since the call may still be on its way.
-    /// Where several customers may call a service, their keys could be the same, and one would be
-    /// told of the other's payment; the service's word counts then only when it names the customer.
+    /// A lookup without executions proves nothing, since the call may still be on its way. If
+    /// several customers may call the service, they may use the same key, and one would be told of
+    /// the other's payment. In that case the result only counts if the service names the customer.
     async fn look_up_execution(&self, call: &PendingCall, key: &str) -> Option<ServiceResponse> {
         let lookup = LookupRequest {
             path: call.resolved.call.lookup.clone()?,
@@ -226,15 +230,15 @@
             let Ok(found) = self.service.lookup(*address, &lookup, limit).await else {
                 continue;
             };
-            let own = found.customer.as_ref() == Some(&lookup.customer);
-            if found.executions == 0 || !own && !call.resolved.sole_customer {
+            let is_own = found.customer.as_ref() == Some(&lookup.customer);
+            if found.executions == 0 || !is_own && !call.resolved.sole_customer {
                 continue;
             }
-            let answer = found.answer.unwrap_or(serde_json::Value::Null);
+            let response = found.answer.unwrap_or(serde_json::Value::Null);
             return Some(ServiceResponse {
                 status: StatusCode::OK,
                 content_type: "application/json".to_owned(),
-                body: Bytes::from(answer.to_string()),
+                body: Bytes::from(response.to_string()),
             });
         }
         None
@@ -244,14 +248,14 @@
         match settled {
             Ok(()) => self.record(EventCode::ClaimSettled, call, ""),
             Err(error) => {
-                let detail = format!("answered, but not recorded: {error}");
+                let detail = format!("response received but not recorded: {error}");
                 self.record(EventCode::ClaimUnknown, call, &detail);
             }
         }
     }
 }
 
-/// Hash of the whole call, so that a key that was used for another call is noticed too.
+/// Returns a hash of path and body, to detect a key that is reused for another call.
 fn body_hash(call: &PendingCall) -> String {
     let mut bytes = call.request.path.clone().into_bytes();
     bytes.push(b'\n');
@@ -259,15 +263,16 @@
     sha256_hex(&bytes)
 }
 
-fn answered_state(answer: &ServiceResponse) -> ClaimState {
+fn answered_state(response: &ServiceResponse) -> ClaimState {
     ClaimState::Answered {
-        status: answer.status.as_u16(),
-        content_type: answer.content_type.clone(),
-        body: String::from_utf8_lossy(&answer.body).into_owned(),
+        status: response.status.as_u16(),
+        content_type: response.content_type.clone(),
+        body: String::from_utf8_lossy(&response.body).into_owned(),
     }
 }
 
-/// Nothing was sent without a claim, so the call was not run, whatever became of the claim.
+/// Nothing is sent without a claim, so the call was not executed regardless of whether the claim
+/// was inserted.
 fn store_error(error: &StoreError) -> RequestError {
     let after = match error {
         StoreError::Throttled { retry_after } => *retry_after,
--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -1,4 +1,4 @@
-//! Idempotent calls: made again on another instance, as far as the retry budget allows.
+//! Idempotent calls: retried on other instances within the retry budget.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 use super::{CALL_RETRY_AFTER, PendingCall, ServiceDispatcher, no_instance, response_from_service};
 use crate::error::RequestError;
 
-/// Answers of an instance that another one may do better than.
+/// Returns whether a response indicates a failure of the instance, so that another one may succeed.
 fn is_instance_failure(status: StatusCode) -> bool {
     matches!(
         status,
@@ -24,9 +24,10 @@
 }
 
 impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
-    /// A clerk's look-up must not fail because one of three instances is down, so it goes to
-    /// another one. The budget keeps a service that fails as a whole from getting a multiple of
-    /// its load.
+    /// Sends an idempotent call, retrying on other instances.
+    ///
+    /// A lookup must not fail because one of three instances is down. The retry budget keeps a
+    /// service that fails entirely from receiving a multiple of its load.
     pub(super) async fn call_idempotent(
         &self,
         call: &PendingCall,
@@ -50,12 +51,12 @@
             self.record(EventCode::CallSent, call, &address.to_string());
             let outcome = self.service.call(address, &call.request, limit).await;
             let ended = match &outcome {
-                Ok(answer) if !is_instance_failure(answer.status) => CallOutcome::Answered,
+                Ok(response) if !is_instance_failure(response.status) => CallOutcome::Answered,
                 Ok(_) | Err(_) => CallOutcome::Failed,
             };
             self.pool.record_ended(address, started.elapsed(), ended);
-            if let (Ok(answer), CallOutcome::Answered) = (&outcome, ended) {
-                return Ok(response_from_service(answer));
+            if let (Ok(response), CallOutcome::Answered) = (&outcome, ended) {
+                return Ok(response_from_service(response));
             }
             may_have_run |= !matches!(&outcome, Err(ServiceError::Unsent(_)));
             let detail = match &outcome {
@@ -65,18 +66,18 @@
             self.record(EventCode::CallFailed, call, &detail);
             match self.pool.decide(number, call.deadline) {
                 RetryDecision::Retry { wait } => tokio::time::sleep(wait).await,
-                RetryDecision::GiveUp(_) => return final_answer(outcome, may_have_run),
+                RetryDecision::GiveUp(_) => return final_response(outcome, may_have_run),
             }
         }
     }
 }
 
-fn final_answer(
+fn final_response(
     outcome: Result<ServiceResponse, ServiceError>,
     may_have_run: bool,
 ) -> Result<WebResponse, RequestError> {
     let error = match outcome {
-        Ok(answer) => return Ok(response_from_service(&answer)),
+        Ok(response) => return Ok(response_from_service(&response)),
         Err(error) => error,
     };
     let error = RequestError::not_run(ErrorCode::TargetFailed, error.to_string());
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of plain services: which to call, and whether to call again.
+//! Instance selection and retry decisions for plain services.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,7 +8,7 @@
 use policy::retry::{FailedAttempt, RetryBudget, RetryDecision, RetrySettings};
 use policy::service::{CallOutcome, InstanceStats, choose_instance};
 
-/// What this process knows of the instances that it calls.
+/// Statistics of the called instances and the retry budget of this process.
 #[derive(Debug)]
 pub(super) struct InstancePool {
     started: Instant,
@@ -42,7 +42,7 @@
         self.started.elapsed()
     }
 
-    /// Chooses an instance that was not tried and counts a call to it.
+    /// Selects an instance that has not been tried and counts a call to it as sent.
     pub fn choose(
         &self,
         addresses: &[SocketAddr],
@@ -61,7 +61,7 @@
         Some(address)
     }
 
-    /// A call ended.
+    /// Records the end of a call for instance selection and the retry budget.
     pub fn record_ended(&self, address: SocketAddr, elapsed: Duration, outcome: CallOutcome) {
         let now = self.now();
         let mut state = self.state();
@@ -72,7 +72,7 @@
         instance.record_ended(now, elapsed, outcome);
     }
 
-    /// Whether a failed idempotent call is made again, and after which wait.
+    /// Decides whether a failed idempotent call is retried, and after which delay.
     pub fn decide(&self, number: u32, deadline: Instant) -> RetryDecision {
         let now = self.now();
         let failed = FailedAttempt::builder()
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, idempotent and not.
+//! Calls of plain services, both idempotent and non-idempotent.
 
 mod claimed;
 mod idempotent;
@@ -25,30 +25,31 @@
 use crate::settings::EntrySettings;
 use instances::InstancePool;
 
-/// When to ask again for a call that failed or is not settled.
+/// Retry delay for a call that failed or whose outcome is not known yet.
 const CALL_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// When to come back while the store is down.
+/// Retry delay while the store is unavailable.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A call that a customer may make.
+/// A call that a customer has been granted.
 #[derive(Debug, Clone)]
 pub struct ResolvedCall {
-    /// Who calls.
+    /// Customer that makes the call.
     pub customer: CustomerRecord,
-    /// The service.
+    /// Service with the addresses of its instances.
     pub service: ServiceRecord,
-    /// The call.
+    /// Configuration of the call.
     pub call: ServiceCall,
-    /// Whether no other customer may call the service, so that a key names one call there.
+    /// Whether no other customer may call the service. Idempotency keys are then unambiguous there.
     pub sole_customer: bool,
 }
 
-/// Finds a call in the configuration.
+/// Resolves a call and checks the customer's grants.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::NotFound`] or [`ErrorCode::NotGranted`], each with its place.
+/// [`ErrorCode::NotFound`] if the service has no such call, [`ErrorCode::NotGranted`] if the
+/// customer may not call the service.
 pub fn resolve_call(
     view: &ConfigView,
     customer: &CustomerRecord,
@@ -56,7 +57,7 @@
     path: &str,
 ) -> Result<ResolvedCall, RequestError> {
     let unknown = || {
-        let message = format!("there is no call {path:?} of a service {name:?}");
+        let message = format!("call {path:?} of service {name:?} does not exist");
         RequestError::not_run(ErrorCode::NotFound, message).with_param("path")
     };
     let service = view
@@ -65,7 +66,7 @@
         .find(|service| service.name.as_str() == name)
         .ok_or_else(unknown)?;
     if !customer.services.contains(&service.name) {
-        let message = format!("the customer may not call {name:?}");
+        let message = format!("the customer has no grant for service {name:?}");
         return Err(RequestError::not_run(ErrorCode::NotGranted, message).with_param("path"));
     }
     let call = service
@@ -73,7 +74,7 @@
         .iter()
         .find(|call| call.path == path)
         .ok_or_else(unknown)?;
-    let callers = view
+    let customers = view
         .customers
         .values()
         .filter(|other| other.services.contains(&service.name));
@@ -81,7 +82,7 @@
         customer: customer.clone(),
         service: service.clone(),
         call: call.clone(),
-        sole_customer: callers.count() == 1,
+        sole_customer: customers.count() == 1,
     })
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl<T: TableStore, S: ServiceClient> ServiceDispatcher<T, S> {
-    /// A dispatcher.
+    /// Creates a dispatcher without statistics of any instance.
     #[must_use]
     pub fn new(
         ledger: CallLedger<T>,
@@ -113,11 +114,11 @@
         }
     }
 
-    /// Makes a call.
+    /// Executes a call within the client's timeout.
     ///
     /// # Errors
     ///
-    /// [`RequestError`].
+    /// [`RequestError`] that states whether the call was executed.
     pub async fn call(
         &self,
         resolved: ResolvedCall,
@@ -144,7 +145,7 @@
             self.call_idempotent(&call).await
         } else {
             let Some(key) = key else {
-                let message = "this call may not be repeated: send an Idempotency-Key header";
+                let message = "this call is not idempotent: send an Idempotency-Key header";
                 let error = RequestError::not_run(ErrorCode::KeyRequired, message);
                 return Err(error.with_param("header idempotency-key"));
             };
@@ -165,7 +166,7 @@
     }
 }
 
-/// One call on its way.
+/// A call in progress.
 #[derive(Debug)]
 struct PendingCall {
     request_id: domain::RequestId,
@@ -182,15 +183,17 @@
 }
 
 fn no_instance(call: &PendingCall) -> RequestError {
-    let message = format!("service {} has no instance", call.resolved.service.name);
+    let message = format!("service {} has no instances", call.resolved.service.name);
     RequestError::not_run(ErrorCode::NoReplica, message).with_retry_after(CALL_RETRY_AFTER)
 }
 
-fn response_from_service(answer: &ServiceResponse) -> WebResponse {
-    let mut out = http::Response::new(full_body(answer.body.clone()));
-    *out.status_mut() = answer.status;
-    if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
-        out.headers_mut().insert(header::CONTENT_TYPE, value);
+fn response_from_service(response: &ServiceResponse) -> WebResponse {
+    let mut web_response = http::Response::new(full_body(response.body.clone()));
+    *web_response.status_mut() = response.status;
+    if let Ok(value) = HeaderValue::from_str(&response.content_type) {
+        web_response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, value);
     }
-    out
+    web_response
 }
