--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a stream of one replica, followed until it ends or has to be left.
+//! A single attempt of a request: one stream of one replica, forwarded to the client until it ends
+//! or the attempt is abandoned.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,80 +22,87 @@
 use crate::sink::ResponseSink;
 use crate::token::TokenScope;
 
-/// Wait for the answer to a cancel; nothing depends on it but the engine's own room.
+/// Timeout for cancelling a stream. The request does not depend on the reply; a failed cancellation
+/// only keeps the engine's slot occupied for longer.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where an attempt runs.
+/// Replica that an attempt is sent to.
 #[derive(Debug, Clone)]
 pub struct AttemptTarget {
-    /// The attempt.
+    /// Id of the attempt, unique across entries and restarts.
     pub attempt: AttemptId,
-    /// The replica as it was planned when the attempt began.
+    /// Replica plan at the time the attempt started.
     pub plan: ReplicaPlan,
-    /// Address of its leading host.
+    /// Engine address of the replica's rank 0 host.
     pub leader: SocketAddr,
 }
 
-/// How an attempt begins.
+/// How an attempt obtains its stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// A new stream of the engine.
+    /// Starts a new stream.
     Start,
-    /// A stream that the engine kept when an earlier connection was lost.
+    /// Resumes a stream that the engine kept after an earlier connection was lost.
     Resume,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// The answer is whole.
+    /// The response is complete.
     Finished(GenerationSummary),
-    /// The caller is gone; the engine keeps the stream for a while, in case it comes back.
+    /// The client disconnected. The engine keeps the stream for a while in case the client
+    /// reconnects.
     ClientDisconnected,
-    /// This entry stops; the caller shall go on at another.
+    /// This entry is shutting down; the client should resume at another one.
     HandOver,
-    /// The replica was left.
+    /// The attempt failed and the request may be retried on another replica.
     Failed(AttemptError),
 }
 
-/// Why a replica was left.
+/// Why an attempt failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptError {
-    /// The engine proved that it ran nothing.
-    #[error("the engine refused: {}", if *replica_changed { "another replica or incarnation" } else { "full" })]
+    /// The engine refused the stream, which proves that nothing was executed.
+    #[error(
+        "refused by the engine: {}",
+        if *replica_changed { "it serves another replica or incarnation" } else { "it is full" }
+    )]
     Refused {
-        /// Whether the replica or incarnation is another; otherwise the engine is full.
+        /// Whether the engine now serves another replica or incarnation; if false, it is full.
         replica_changed: bool,
-        /// When to come back, where the engine said so.
+        /// Delay before the next attempt, if the engine sent `Retry-After`.
         retry_after: Option<Duration>,
     },
-    /// No byte reached the engine.
-    #[error("not reached: {0}")]
+    /// The request was not sent, so nothing was executed.
+    #[error("request not sent: {0}")]
     Unsent(String),
-    /// The connection broke or carried something else than events.
-    #[error("broken: {0}")]
+    /// The connection broke, or the body was not a valid event stream.
+    #[error("connection failed: {0}")]
     Broken(String),
-    /// No event came for too long.
-    #[error("silent for {0:?}")]
+    /// No event arrived within the given time.
+    #[error("no event for {0:?}")]
     Silent(Duration),
-    /// The evidence says that a host of the replica is missing.
+    /// Health evidence shows that a host of the replica is missing.
     #[error("a host of the replica is missing")]
     HostMissing,
-    /// The events don't fit.
+    /// The events are inconsistent with each other or with the text already delivered.
     #[error("{0}")]
     Mismatch(#[from] StreamError),
 }
 
 impl AttemptError {
-    /// Whether it is certain that the engine ran nothing.
+    /// Returns whether it is certain that the engine executed nothing.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::Unsent(_))
     }
 }
 
-/// Cancels the engine's stream when it is dropped armed, also when the request's future itself is
-/// dropped: an engine that went on for nobody would take the place of others in its batch.
+/// Cancels the engine's stream when dropped, unless disarmed.
+///
+/// This also covers the case that the future of the request is dropped. A stream that nobody reads
+/// would occupy a slot in the engine's batch.
 struct CancelGuard<E: EngineClient> {
     engine: E,
     leader: SocketAddr,
@@ -115,7 +123,7 @@
         let engine = self.engine.clone();
         let leader = self.leader;
         tokio::spawn(async move {
-            // The engine also ends an attempt whose caller reads nothing for long.
+            // If the cancellation fails, the engine still ends streams that are not read for long.
             log_skipped(
                 "cancel attempt",
                 engine.cancel(leader, &attempt, CANCEL_TIMEOUT).await,
@@ -124,23 +132,24 @@
     }
 }
 
-/// An attempt about to run.
+/// An attempt that is ready to run.
 #[derive(Debug)]
 pub struct AttemptRun<'a, E> {
-    /// What the request path works with.
+    /// Shared dependencies of the request path.
     pub context: &'a EntryContext<E>,
-    /// What is wanted.
+    /// Request to execute.
     pub request: &'a GenerationRequest,
-    /// Where.
+    /// Replica to send it to.
     pub target: &'a AttemptTarget,
-    /// How it begins.
+    /// Whether to start a new stream or to resume one.
     pub kind: AttemptKind,
-    /// The slot that it fills; none for a stream that fills one since an earlier connection.
+    /// Slot granted by the dispatcher; none when resuming a stream, since the slot is still counted
+    /// by the engine that kept it.
     pub slot: Option<&'a mut SlotGuard>,
 }
 
 impl<E: EngineClient> AttemptRun<'_, E> {
-    /// Runs it.
+    /// Opens the stream and forwards its events to `sink`.
     pub async fn run<A: ResponseSink>(
         self,
         progress: &mut ResponseProgress,
@@ -266,7 +275,7 @@
     slot: Option<&'a mut SlotGuard>,
 }
 
-/// What a forwarder waited for.
+/// What ended a wait of the forwarder.
 enum ForwardStep {
     Event(StreamEvent),
     Ended(AttemptResult),
@@ -310,7 +319,7 @@
                 ForwardStep::Event(event) => event,
             };
             match self.validator.accept(progress, event) {
-                // Events of another attempt are no sign that this one lives.
+                // Events of another attempt do not prove that this one is alive.
                 StreamAction::Ignore => continue,
                 StreamAction::AlreadyDelivered => {}
                 StreamAction::Deliver(text) => {
@@ -329,8 +338,10 @@
         }
     }
 
-    /// A stream may wait in the engine's queue and read a long prompt before its first token; the
-    /// request's own deadline bounds that better than the silence between two tokens.
+    /// Extends the silence limit until the first event.
+    ///
+    /// The stream may first wait in the engine's queue and for the prefill of a long prompt. The
+    /// deadline of the request is a better bound for that than the limit between two tokens.
     fn extend_before_first_token(&self, limit: Duration, first_event_seen: bool) -> Duration {
         if first_event_seen {
             return limit;
@@ -350,7 +361,7 @@
 fn classify_read(read: EventRead, limit: Duration) -> ForwardStep {
     let error = match read {
         Ok(Ok(Some(event))) => return ForwardStep::Event(event),
-        Ok(Ok(None)) => AttemptError::Broken("it ended without a final mark".to_owned()),
+        Ok(Ok(None)) => AttemptError::Broken("the stream ended without its final event".to_owned()),
         Ok(Err(web::ClientError::TimedOut(_))) | Err(_) => AttemptError::Silent(limit),
         Ok(Err(error)) => AttemptError::Broken(error.to_string()),
     };
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! Chats and completions: one answer over as many attempts as it takes.
+//! Execution of a chat or text completion: one response, produced by one or more attempts.
 
 use std::time::{Duration, Instant};
 
@@ -19,41 +19,41 @@
 use crate::sink::ResponseSink;
 use crate::token::ResumeToken;
 
-/// When to come back after every attempt failed.
+/// Retry delay after all attempts have failed.
 const FAILED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Shortest backoff before a replica is asked again after one was full.
+/// Minimum delay before the next attempt after a replica was full.
 const MIN_FULL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How a completion ended.
 #[derive(Debug)]
 pub enum CompletionResult {
-    /// The answer is whole.
+    /// The response is complete.
     Finished(GenerationSummary),
-    /// The caller is gone.
+    /// The client disconnected.
     ClientDisconnected,
-    /// The caller shall go on at another entry.
+    /// The client should resume at another entry.
     HandOver,
-    /// The final answer is an error.
+    /// The request failed; no further attempt is made.
     Failed(RequestError),
 }
 
-/// Runs one request.
+/// Executes one generation request.
 #[derive(Debug)]
 pub struct CompletionRun<'a, E: EngineClient> {
     context: &'a EntryContext<E>,
     request: &'a GenerationRequest,
     progress: ResponseProgress,
-    /// What the dispatcher is asked for the next attempt.
+    /// Request to the dispatcher for the next attempt.
     dispatch_request: DispatchRequest,
-    /// Attempts so far.
+    /// Number of attempts so far. Refusals of full engines before the first token don't count.
     attempts: u32,
-    /// Whether an engine may have run something.
+    /// Whether an engine may have executed anything for this request.
     may_have_run: bool,
 }
 
 impl<'a, E: EngineClient> CompletionRun<'a, E> {
-    /// A run of an request.
+    /// Creates a run without any attempt.
     #[must_use]
     pub fn new(context: &'a EntryContext<E>, request: &'a GenerationRequest) -> Self {
         Self {
@@ -66,14 +66,14 @@
         }
     }
 
-    /// Runs the request from its begin.
+    /// Executes the request from the start.
     pub async fn run<A: ResponseSink>(mut self, sink: &mut A) -> CompletionResult {
         let mut timed_sink = LatencySink::new(sink, &self.context.recorder, &self.request.model);
         self.run_attempts(&mut timed_sink).await
     }
 
-    /// Goes on with a stream that the caller has a part of: first with the one that the engine may
-    /// have kept, else by generating it again.
+    /// Resumes a stream that the client has partly received. First tries the stream that the engine
+    /// may have kept, then regenerates the response.
     pub async fn resume<A: ResponseSink>(
         mut self,
         token: &ResumeToken,
@@ -83,7 +83,7 @@
         self.may_have_run = true;
         self.dispatch_request.admitted = true;
         let subject = self.subject().with_replica(&token.scope.replica);
-        let detail = format!("behind token {}", token.offset.count);
+        let detail = format!("after token {}", token.offset.count);
         self.context
             .recorder
             .record(EventCode::RequestResumed, subject, detail);
@@ -113,11 +113,11 @@
 
     async fn run_attempts<A: ResponseSink>(&mut self, sink: &mut A) -> CompletionResult {
         while self.attempts < self.context.settings.max_attempts {
-            let placement = tokio::select! {
-                placement = self.context.dispatcher.place(self.dispatch_request.clone()) => placement,
+            let grant = tokio::select! {
+                grant = self.context.dispatcher.place(self.dispatch_request.clone()) => grant,
                 () = sink.disconnected() => return CompletionResult::ClientDisconnected,
             };
-            let mut slot = match placement {
+            let mut slot = match grant {
                 Ok(slot) => slot,
                 Err(error) => return CompletionResult::Failed(self.with_execution(error)),
             };
@@ -139,7 +139,10 @@
                 return CompletionResult::Failed(self.with_execution(error));
             }
         }
-        let message = format!("{} attempts failed to finish the answer", self.attempts);
+        let message = format!(
+            "all {} attempts failed to complete the response",
+            self.attempts
+        );
         let error = RequestError::not_run(ErrorCode::TargetFailed, message)
             .with_retry_after(FAILED_RETRY_AFTER);
         CompletionResult::Failed(self.with_execution(error))
@@ -168,12 +171,12 @@
         }
     }
 
-    /// Waits as long as the next attempt has to, or gives up.
+    /// Waits until the next attempt may start, or returns the final error.
     ///
-    /// The retry budget is for requests that failed before their first token: they add load. A
-    /// caller that has a part of its answer is never given up for the budget's sake, since the
-    /// work that goes on elsewhere has left the lost replica; and neither a refusal nor a missing
-    /// host has cost any target anything.
+    /// The retry budget applies to requests that failed before their first token, because retrying
+    /// them adds load. It does not apply to a client that has received part of its response, since
+    /// that work has moved away from the lost replica. It does not apply to refusals and missing
+    /// hosts either, which cost the targets nothing.
     async fn prepare_next_attempt(&mut self, error: &AttemptError) -> Result<(), RequestError> {
         if self.progress.offset().count > 0 {
             self.dispatch_request.deadline = Instant::now() + self.context.settings.recovery();
@@ -190,7 +193,7 @@
                 replica_changed: false,
                 retry_after,
             } => {
-                // An engine that is full took nothing; waiting for it counts as no attempt.
+                // A full engine did no work, so waiting for it is not counted as an attempt.
                 self.attempts -= 1;
                 let remaining = self
                     .dispatch_request
@@ -200,7 +203,7 @@
                     .unwrap_or(MIN_FULL_BACKOFF)
                     .clamp(MIN_FULL_BACKOFF, MIN_FULL_BACKOFF * 10);
                 if remaining <= backoff {
-                    let message = format!("every replica of {} is full", self.request.model);
+                    let message = format!("all replicas of {} are full", self.request.model);
                     let error = RequestError::not_run(ErrorCode::Overloaded, message);
                     return Err(error.with_retry_after(FAILED_RETRY_AFTER));
                 }
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Runs one attempt; a error means that the request shall go on elsewhere.
+    /// Runs one attempt. An error means that the request may continue on another replica.
     async fn attempt<A: ResponseSink>(
         &mut self,
         target: &AttemptTarget,
@@ -265,7 +268,7 @@
         Err(error)
     }
 
-    /// A error with the truth about whether the request was run.
+    /// Marks the error as possibly executed if any attempt may have executed something.
     fn with_execution(&self, error: RequestError) -> RequestError {
         if self.may_have_run {
             return error.with_unknown_execution();
@@ -284,7 +287,7 @@
 }
 
 fn content_mismatch() -> RequestError {
-    let message = "the answer can't be continued: generated again, it differs from what you have; \
-                   send the request without Last-Event-ID";
+    let message = "the response can't be resumed: the regenerated text differs from the \
+                   text already delivered; send the request without Last-Event-ID";
     RequestError::unknown(ErrorCode::InvalidResume, message).with_param("header last-event-id")
 }
--- a/crates/entry/src/completion_handler.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -1,4 +1,4 @@
-//! Answers to completions: whole, or as a stream of events.
+//! HTTP handling of completions, as complete responses or event streams.
 
 use control::ConfigView;
 use domain::RequestId;
@@ -21,30 +21,31 @@
 use crate::sink::{EventSink, TextSink};
 use crate::token::ResumeToken;
 
-/// Events that wait for a slow reader; its engine's stream is then held back.
+/// Number of events buffered for a slow client. When the buffer is full, the engine's stream is
+/// throttled.
 const EVENT_BUFFER_CAPACITY: usize = 64;
 
-/// A completion that a caller asked for.
+/// A completion request with its authenticated customer.
 #[derive(Debug)]
 pub struct IncomingCompletion<'a> {
-    /// The configuration in force.
+    /// Configuration to validate the request against.
     pub view: &'a ConfigView,
-    /// Who calls.
+    /// Customer that the API key belongs to.
     pub customer: &'a CustomerRecord,
-    /// Headers of the request.
+    /// Headers with the timeout and the resume token.
     pub headers: &'a HeaderMap,
-    /// Name of the request.
+    /// Id for the request, unless it resumes an earlier one.
     pub request_id: RequestId,
-    /// What is asked for.
+    /// Parsed body.
     pub params: CompletionParams,
 }
 
-/// Answers a completion.
+/// Handles a completion request.
 ///
 /// # Errors
 ///
-/// [`RequestError`] when it fails before the first event of a stream, or at all when it is not
-/// streamed.
+/// [`RequestError`] if the request fails before the first event of a stream or, if it is not
+/// streamed, at any time.
 pub async fn handle_completion<E: EngineClient>(
     context: &EntryContext<E>,
     incoming: IncomingCompletion<'_>,
@@ -68,7 +69,7 @@
     if let Some(token) = &resume_token
         && token.scope.content != request.content()
     {
-        let message = "the request differs from the one that the stream answers";
+        let message = "the request differs from the one that started the stream";
         return Err(invalid_resume(message));
     }
     let subject = request_subject(&request);
@@ -78,7 +79,7 @@
     if stream {
         return respond_streaming(context, request, resume_token, include_usage).await;
     }
-    respond_whole(context, &request).await
+    respond_complete(context, &request).await
 }
 
 fn request_subject(request: &GenerationRequest) -> EventSubject {
@@ -98,34 +99,34 @@
         return Ok(None);
     };
     if !incoming.params.stream {
-        return Err(invalid_resume("only a streamed answer can be gone on with"));
+        return Err(invalid_resume("only streamed responses can be resumed"));
     }
     let token = context
         .signer
         .verify(text)
         .map_err(|error| invalid_resume(error.to_string()))?;
     if token.scope.customer != incoming.customer.name {
-        // The same words as for a forged one: a stranger learns nothing of whose it is.
+        // Same message as for an invalid signature, so that nothing is revealed about the owner.
         let message = crate::token::TokenError::InvalidSignature.to_string();
         return Err(invalid_resume(message));
     }
     Ok(Some(token))
 }
 
-async fn respond_whole<E: EngineClient>(
+async fn respond_complete<E: EngineClient>(
     context: &EntryContext<E>,
     request: &GenerationRequest,
 ) -> Result<WebResponse, RequestError> {
     let mut sink = TextSink::default();
     match CompletionRun::new(context, request).run(&mut sink).await {
         CompletionResult::Finished(summary) => {
-            record_answered(context, request, &summary);
+            record_completed(context, request, &summary);
             let body = ResponseFormatter::new(request).complete(sink.text, &summary);
             Ok(json_response(StatusCode::OK, &body))
         }
         CompletionResult::Failed(error) => Err(error),
         CompletionResult::ClientDisconnected | CompletionResult::HandOver => {
-            let message = "the answer was left before its end";
+            let message = "the response was abandoned before it was complete";
             Err(RequestError::unknown(ErrorCode::Internal, message))
         }
     }
@@ -152,7 +153,7 @@
         Ok(Ok(())) => {}
         Ok(Err(error)) => return Err(error),
         Err(_) => {
-            let message = "the stream ended before it began";
+            let message = "the stream ended before its first event";
             return Err(RequestError::unknown(ErrorCode::Internal, message));
         }
     }
@@ -181,17 +182,17 @@
     match result {
         CompletionResult::Finished(summary) => {
             if sink.finish(&summary).await.is_ok() {
-                record_answered(&context, &request, &summary);
+                record_completed(&context, &request, &summary);
                 return;
             }
             context
                 .recorder
-                .record(EventCode::CallerLeft, subject, "at the end of the answer");
+                .record(EventCode::CallerLeft, subject, "at the end of the response");
         }
         CompletionResult::ClientDisconnected => {
             context
                 .recorder
-                .record(EventCode::CallerLeft, subject, "within the answer");
+                .record(EventCode::CallerLeft, subject, "during the response");
         }
         CompletionResult::HandOver => {
             context
@@ -201,7 +202,7 @@
         }
         CompletionResult::Failed(error) => {
             let body = error.body(&request.id);
-            if sink.has_begun() {
+            if sink.head_sent() {
                 context
                     .recorder
                     .record(EventCode::RequestFailed, subject, error.to_string());
@@ -211,7 +212,7 @@
     }
 }
 
-fn record_answered<E: EngineClient>(
+fn record_completed<E: EngineClient>(
     context: &EntryContext<E>,
     request: &GenerationRequest,
     summary: &GenerationSummary,
--- a/crates/entry/src/formatter.rs
+++ b/crates/entry/src/formatter.rs
@@ -1,4 +1,4 @@
-//! Answers in the shape that `OpenAI` clients expect: whole, or as events of a stream.
+//! Formatting of responses for the OpenAI-compatible API, as complete bodies or stream chunks.
 
 use std::time::SystemTime;
 
@@ -10,7 +10,7 @@
 use crate::generation::{GenerationRequest, ResponseFormat};
 use crate::progress::GenerationSummary;
 
-/// What all pieces of one answer have in common.
+/// Fields that all chunks of a response have in common.
 #[derive(Debug, Clone)]
 pub struct ResponseFormatter {
     request_id: RequestId,
@@ -20,7 +20,7 @@
 }
 
 impl ResponseFormatter {
-    /// The frame of an request's answer.
+    /// Creates a formatter for the response to a request.
     #[must_use]
     pub fn new(request: &GenerationRequest) -> Self {
         let since_epoch = SystemTime::now()
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A whole answer.
+    /// Formats a complete response.
     #[must_use]
     pub fn complete(&self, text: String, summary: &GenerationSummary) -> CompletionResponse {
         let mut choice = CompletionChoice {
@@ -70,7 +70,8 @@
         body
     }
 
-    /// The chunk that opens a streamed chat; a plain completion has none.
+    /// Formats the first chunk of a streamed chat, which contains only the role; none for text
+    /// completions.
     #[must_use]
     pub fn opening_chunk(&self) -> Option<CompletionResponse> {
         match self.format {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A chunk with one token.
+    /// Formats a chunk with one token.
     #[must_use]
     pub fn token_chunk(&self, text: &str) -> CompletionResponse {
         let delta = ChoiceMessage {
@@ -95,7 +96,7 @@
         self.chunk(delta, None)
     }
 
-    /// The chunk that says why the answer ended.
+    /// Formats the chunk with the finish reason.
     #[must_use]
     pub fn finish_chunk(&self, summary: &GenerationSummary) -> CompletionResponse {
         self.chunk(
@@ -104,7 +105,7 @@
         )
     }
 
-    /// The chunk with the counts, for callers that asked for it.
+    /// Formats the chunk with the token usage, which has no choices.
     #[must_use]
     pub fn usage_chunk(&self, summary: &GenerationSummary) -> CompletionResponse {
         let mut body = self.body(self.chunk_object(), Vec::new());
@@ -140,14 +141,14 @@
     }
 }
 
-/// One server-sent event with a JSON value.
+/// Formats a server-sent event with JSON data.
 #[must_use]
 pub fn json_event<T: Serialize>(name: Option<&str>, id: Option<&str>, value: &T) -> Bytes {
     let data = serde_json::to_string(value).unwrap_or_default();
     text_event(name, id, &data)
 }
 
-/// One server-sent event; `data` has no line breaks.
+/// Formats a server-sent event; `data` must not contain line breaks.
 #[must_use]
 pub fn text_event(name: Option<&str>, id: Option<&str>, data: &str) -> Bytes {
     let mut event = String::with_capacity(data.len() + id.map_or(0, str::len) + 32);
--- a/crates/entry/src/latency.rs
+++ b/crates/entry/src/latency.rs
@@ -1,4 +1,4 @@
-//! Measures what callers feel: the time to the first token, and between two tokens.
+//! Latency metrics: time to first token and time between tokens.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use crate::sink::{ClientDisconnected, ResponseSink};
 use crate::token::{ScopeSigner, StreamOffset};
 
-/// A sink that notes when tokens reach the one behind it.
+/// Sink that records the latency of tokens before passing them on.
 pub struct LatencySink<'a, A> {
     sink: &'a mut A,
     metrics: Option<NodeMetrics>,
@@ -18,7 +18,7 @@
 }
 
 impl<'a, A: ResponseSink> LatencySink<'a, A> {
-    /// A sink before `sink`; the time to the first token counts from now.
+    /// Wraps `sink`; the time to first token is measured from this call.
     pub fn new(sink: &'a mut A, recorder: &EventRecorder, model: &'a ModelName) -> Self {
         Self {
             sink,
--- a/crates/entry/src/progress.rs
+++ b/crates/entry/src/progress.rs
@@ -1,6 +1,6 @@
-//! How much of an answer was delivered, and matching the events of attempts against it.
+//! Delivery progress of a response, and validation of an attempt's events against it.
 //!
-//! No I/O: the same state machine runs under the property tests.
+//! Free of I/O, so that the property tests run the same state machine.
 
 use domain::{AttemptId, IncarnationNumber};
 use wire::engine::StreamEvent;
@@ -8,11 +8,12 @@
 use crate::digest::TextDigest;
 use crate::token::StreamOffset;
 
-/// What a caller has of an answer, over all attempts and entries.
+/// Part of a response that the client has received, over all attempts and entries.
 #[derive(Debug, Clone)]
 pub struct ResponseProgress {
     offset: StreamOffset,
-    /// The tokens; none when an earlier entry delivered some, of which only the digest is known.
+    /// Text of the received tokens; none if another entry delivered some, since the resume token
+    /// contains only their digest.
     tokens: Option<Vec<String>>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl ResponseProgress {
-    /// The progress of a caller that has so much from an earlier connection.
+    /// Creates the progress of a client that resumes a stream.
     #[must_use]
     pub fn resumed(offset: StreamOffset) -> Self {
         if offset.count == 0 {
@@ -38,14 +39,14 @@
         }
     }
 
-    /// What the caller has.
+    /// Returns the count and digest of the received tokens.
     #[must_use]
     pub fn offset(&self) -> StreamOffset {
         self.offset
     }
 
-    /// The tokens that a new attempt goes on behind; none when it has to begin again, because an
-    /// earlier entry delivered some.
+    /// Returns the tokens that a new attempt continues from. None if the attempt must regenerate
+    /// the response from the start, because another entry delivered some of the tokens.
     #[must_use]
     pub fn delivered_tokens(&self) -> Option<&[String]> {
         self.tokens.as_deref()
@@ -60,73 +61,75 @@
     }
 }
 
-/// How an answer ended.
+/// Result of a completed generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GenerationSummary {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Prompt tokens that the prefix cache held.
+    /// Number of prompt tokens that the engine's prefix cache held.
     pub cached_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of generated tokens, over all attempts.
     pub count: u32,
-    /// Why it ended: `stop` or `length`.
+    /// Why the generation ended: `stop` or `length`.
     pub finish_reason: String,
 }
 
-/// Why an attempt can't be followed any longer.
+/// Why an attempt can't be continued.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// A token before this one is lost.
-    #[error("token {received} came where {expected} was due")]
+    /// A token is missing.
+    #[error("expected token {expected}, received token {received}")]
     MissingToken {
-        /// The index that was due.
+        /// Index that was expected.
         expected: u32,
-        /// The index that came.
+        /// Index that was received.
         received: u32,
     },
-    /// The final mark counts other tokens than came.
-    #[error("the final mark counts {counted} tokens where {received} came")]
+    /// The final event reports another number of tokens than were received.
+    #[error("the final event reports {counted} tokens, but {received} were received")]
     CountMismatch {
-        /// The mark's count.
+        /// Count in the final event.
         counted: u32,
-        /// Tokens that came.
+        /// Number of tokens received.
         received: u32,
     },
-    /// An answer that was begun again is another than the caller has.
-    #[error("the answer, generated again, differs from what was delivered")]
+    /// The regenerated response differs from the text that the client has received.
+    #[error("the regenerated response differs from the text already delivered")]
     ContentMismatch,
-    /// The engine gives up.
-    #[error("the engine gave up: {0}")]
+    /// The engine reported a failure.
+    #[error("the engine reported a failure: {0}")]
     EngineFailed(String),
 }
 
-/// What to do with an event.
+/// Action to take for an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamAction {
-    /// Deliver this token; the progress counts it already.
+    /// Deliver the token, which the progress already includes.
     Deliver(String),
-    /// Drop it: of another attempt, or a duplicate.
+    /// Ignore the event: it belongs to another attempt or is a duplicate.
     Ignore,
-    /// A token of this attempt that the caller has already.
+    /// Nothing to deliver, since the client has this token; the event proves that the attempt is
+    /// alive.
     AlreadyDelivered,
-    /// The answer is whole.
+    /// The response is complete.
     Finished(GenerationSummary),
-    /// Leave the attempt.
+    /// Abandon the attempt.
     Fail(StreamError),
 }
 
-/// Matches the events of one attempt.
+/// Validates the events of one attempt.
 ///
-/// Connections are pooled and engines resume and repeat, so events of an abandoned attempt can
-/// come late or crossed. A caller would notice by words that are doubled, missing or somebody
-/// else's. So an event counts only with its attempt, incarnation and index.
+/// Connections are pooled, and engines resume and repeat streams, so events of an abandoned attempt
+/// can arrive late or on another attempt's connection. Clients would then see text that is
+/// duplicated, missing or part of another response. An event is therefore only accepted with the
+/// expected attempt, incarnation and index.
 #[derive(Debug)]
 pub struct StreamValidator {
     attempt: AttemptId,
     incarnation: IncarnationNumber,
-    /// Index of the next token that this attempt shall give.
+    /// Index of the next token expected from this attempt.
     next: u32,
-    /// Tokens and their digest so far, while an answer is generated again.
+    /// Tokens regenerated so far, while the attempt catches up with the progress.
     regeneration: Option<Regeneration>,
 }
 
@@ -137,7 +140,7 @@
 }
 
 impl StreamValidator {
-    /// A matcher for an attempt that goes on behind what was delivered.
+    /// Creates a validator for an attempt that continues after the delivered tokens.
     #[must_use]
     pub fn continuing(
         attempt: AttemptId,
@@ -152,7 +155,7 @@
         }
     }
 
-    /// A matcher for an attempt that generates the answer again from its first token.
+    /// Creates a validator for an attempt that regenerates the response from its first token.
     #[must_use]
     pub fn regenerating(attempt: AttemptId, incarnation: IncarnationNumber) -> Self {
         Self {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Takes an event and counts what is to be delivered into `progress`.
+    /// Validates an event, and adds the token to `progress` if it has to be delivered.
     pub fn accept(&mut self, progress: &mut ResponseProgress, event: StreamEvent) -> StreamAction {
         match event {
             StreamEvent::Token {
--- a/crates/entry/src/replica_health.rs
+++ b/crates/entry/src/replica_health.rs
@@ -1,4 +1,4 @@
-//! Whether a replica that runs a stream can still be trusted to finish it.
+//! Health of a replica while it runs a stream.
 
 use std::time::{Duration, Instant};
 
@@ -7,25 +7,25 @@
 
 use crate::settings::EntrySettings;
 
-/// How a replica stands while it runs a stream.
+/// Health of a replica while it runs a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// Fresh evidence says that all its hosts are there.
+    /// Fresh evidence shows that all hosts are present.
     Healthy,
     /// There is no fresh evidence.
     Unconfirmed,
-    /// Evidence says that a host is missing, or that the hosts run something else by now.
+    /// Evidence shows that a host is missing or that the replica runs another incarnation.
     Lost,
 }
 
 impl ReplicaHealth {
-    /// Judges a replica by the newest view.
+    /// Assesses a replica according to the latest view.
     ///
-    /// A replica that lost a host takes seconds to notice, and its streams stand still meanwhile;
-    /// evidence of the loss is acted on at once. Missing evidence alone is no loss: when watchers
-    /// are cut off, streams that still flow are the better evidence, and leaving them all would
-    /// put every stream of the node onto other replicas at the same moment. A drain is no loss
-    /// either: a leaving replica finishes its streams.
+    /// A replica that has lost a host takes seconds to detect this, and its streams stall
+    /// meanwhile, so evidence of a loss takes effect immediately. Missing evidence alone does not
+    /// count as a loss: if probing is cut off, streams that still produce tokens are the better
+    /// evidence, and abandoning them would move all streams of the node to other replicas at the
+    /// same time. A drain is not a loss either, since a draining replica finishes its streams.
     #[must_use]
     pub fn assess(view: &TargetView, plan: &ReplicaPlan, now: Instant, limit: Duration) -> Self {
         let found = view
@@ -51,7 +51,7 @@
         Self::Lost
     }
 
-    /// How long a stream may be silent; none when it is to be left now.
+    /// Returns how long a stream may be silent; none if it must be abandoned immediately.
     #[must_use]
     pub fn silence_limit(self, settings: &EntrySettings) -> Option<Duration> {
         match self {
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where an answer's tokens go: into one text, or as events to the caller.
+//! Destinations of a response's tokens: a buffer for a complete response, or server-sent events.
 
 use std::future::Future;
 
@@ -11,37 +11,37 @@
 use crate::progress::GenerationSummary;
 use crate::token::{ScopeSigner, StreamOffset};
 
-/// The caller closed its connection.
+/// The client closed its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientDisconnected;
 
-/// Takes the tokens of an answer.
+/// Receives the tokens of a response.
 pub trait ResponseSink: Send + Sync {
-    /// A new attempt feeds the answer from here on.
+    /// Starts an attempt: later tokens belong to it, and `signer` signs its resume tokens.
     fn begin_attempt(&mut self, signer: ScopeSigner, offset: StreamOffset);
 
-    /// Takes a token; waits while the caller reads slowly.
+    /// Delivers a token, waiting while the client reads slowly.
     ///
     /// # Errors
     ///
-    /// [`ClientDisconnected`].
+    /// [`ClientDisconnected`] if the client has closed the connection.
     fn send_token(
         &mut self,
         text: String,
         offset: StreamOffset,
     ) -> impl Future<Output = Result<(), ClientDisconnected>> + Send;
 
-    /// Completes when the caller is gone.
+    /// Completes when the client has disconnected.
     fn disconnected(&self) -> impl Future<Output = ()> + Send;
 
-    /// Whether the caller can go on with the answer at another entry.
+    /// Returns whether the client can resume the response at another entry.
     fn can_hand_over(&self) -> bool;
 }
 
-/// Collects the text of a whole answer.
+/// Collects the text of a response that is not streamed.
 #[derive(Debug, Default)]
 pub struct TextSink {
-    /// The text so far.
+    /// Text received so far.
     pub text: String,
 }
 
@@ -58,7 +58,7 @@
     }
 
     async fn disconnected(&self) {
-        // The server drops the whole request when its caller goes.
+        // The server drops the whole request when its client disconnects.
         std::future::pending::<()>().await;
     }
 
@@ -67,13 +67,13 @@
     }
 }
 
-/// Whether a stream can be answered with a head and events, or with an error.
+/// Sends the decision whether a stream starts with a 200 head or is answered with an error.
 pub type HeadSender = oneshot::Sender<Result<(), RequestError>>;
 
-/// Sends the events of a stream.
+/// Sends a stream as server-sent events.
 ///
-/// The answer's head is held back until the first event, so that a request that can't begin gets
-/// an error with its status, which clients and balancers understand better than an event.
+/// The response head is withheld until the first event, so that a request that can't start receives
+/// an error status. Clients and load balancers handle a status better than an error event.
 #[derive(Debug)]
 pub struct EventSink {
     formatter: ResponseFormatter,
@@ -86,7 +86,7 @@
 }
 
 impl EventSink {
-    /// A sink for a stream; a caller that goes on with an earlier one got its opening already.
+    /// Creates a sink. A client that resumes a stream has already received its opening chunk.
     #[must_use]
     pub fn new(
         formatter: ResponseFormatter,
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Whether the caller has the answer's head.
+    /// Returns whether the response head has been sent.
     #[must_use]
-    pub fn has_begun(&self) -> bool {
+    pub fn head_sent(&self) -> bool {
         self.head.is_none()
     }
 
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Ends the stream as whole.
+    /// Completes the stream with the finish reason and the usage, if requested.
     ///
     /// # Errors
     ///
-    /// [`ClientDisconnected`].
+    /// [`ClientDisconnected`] if the client has closed the connection.
     pub async fn finish(&mut self, summary: &GenerationSummary) -> Result<(), ClientDisconnected> {
         let id = self.event_id();
         self.send_opening(id.as_deref()).await?;
@@ -155,8 +155,8 @@
         self.send(text_event(None, id.as_deref(), "[DONE]")).await
     }
 
-    /// Ends the stream in an error: as the answer itself before the first event, else as an event
-    /// whose id still allows to go on.
+    /// Ends the stream with an error: as the response itself if no event has been sent, otherwise
+    /// as an event with an id that the client can resume from.
     pub async fn fail(&mut self, error: RequestError, body: &ErrorBody) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Err(error));
@@ -167,10 +167,10 @@
         let _ = self.send(event).await;
     }
 
-    /// Ends the stream with the request to go on at another entry.
+    /// Ends the stream with an event that asks the client to resume at another entry.
     pub async fn hand_over(&mut self) {
         let Some(id) = self.event_id() else { return };
-        // Event sources of browsers wait as long as `retry` says before they connect again.
+        // `EventSource` in browsers waits for `retry` milliseconds before it reconnects.
         let data = r#"{"resume":true}"#;
         let event = format!("event: {RESUME_EVENT}\nretry: 100\nid: {id}\ndata: {data}\n\n");
         let _ = self.send(Bytes::from(event)).await;
