--- a/crates/entry/benches/event_cost.rs
+++ b/crates/entry/benches/event_cost.rs
@@ -1,4 +1,4 @@
-//! Cost of one streamed token at an entry, from its text to the bytes of its event.
+//! Cost of formatting one streamed token as a server-sent event with its resume token.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Feeds a stream of tokens and reads its events at once.
+/// Sends a stream of tokens through a sink and drains its events without waiting.
 async fn feed(request: &GenerationRequest, signer: &TokenSigner) {
     let (events, mut read) = mpsc::channel(4);
     let (head, _begun) = oneshot::channel();
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: the customer of a bearer key.
+//! Authentication of clients by API key.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
 
 const KEY_PARAM: &str = "header Authorization";
 
-/// SHA-256 as 64 hexadecimal digits in lower case.
+/// Returns the SHA-256 hash as 64 lower-case hexadecimal digits.
 #[must_use]
 pub fn sha256_hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(64);
@@ -23,15 +23,15 @@
     text
 }
 
-/// Finds the customer of a request's bearer key.
+/// Returns the customer that the request's bearer key belongs to.
 ///
-/// Only hashes are kept and compared. The map finds a candidate by the hash of the given key,
-/// which a caller can't steer towards a kept one; the candidate's own hashes are then compared
-/// in constant time, so that the time of an answer tells nothing about a kept hash.
+/// Only hashes of keys are stored and compared. The map lookup uses the hash of the received key,
+/// which a client can't steer towards a stored hash. The hashes of the customer that was found are
+/// then compared in constant time, so that response times reveal nothing about stored hashes.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::InvalidKey`].
+/// [`ErrorCode::InvalidKey`] if the key is missing or unknown.
 pub fn authenticate<'view>(
     view: &'view ConfigView,
     headers: &HeaderMap,
@@ -39,8 +39,7 @@
     let key = bearer_key(headers)?;
     let hash = sha256_hex(key);
     let unknown = || {
-        RequestError::not_run(ErrorCode::InvalidKey, "the key belongs to no customer")
-            .with_param(KEY_PARAM)
+        RequestError::not_run(ErrorCode::InvalidKey, "the API key is unknown").with_param(KEY_PARAM)
     };
     let customer = view
         .key_owners
@@ -58,13 +57,13 @@
         Err(RequestError::not_run(ErrorCode::InvalidKey, message).with_param(KEY_PARAM))
     };
     let Some(value) = headers.get(header::AUTHORIZATION) else {
-        return missing("no key: send 'Authorization: Bearer <key>'");
+        return missing("missing API key: send 'Authorization: Bearer <key>'");
     };
     let Some((scheme, key)) = value.as_bytes().split_at_checked(7) else {
-        return missing("no bearer key: send 'Authorization: Bearer <key>'");
+        return missing("not a bearer key: send 'Authorization: Bearer <key>'");
     };
     if !scheme.eq_ignore_ascii_case(b"bearer ") {
-        return missing("no bearer key: send 'Authorization: Bearer <key>'");
+        return missing("not a bearer key: send 'Authorization: Bearer <key>'");
     }
     Ok(key.trim_ascii())
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What the request path works with.
+//! Shared dependencies of the request path.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,39 +14,40 @@
 use crate::shutdown::ShutdownHandle;
 use crate::token::TokenSigner;
 
-/// Bytes of a node's name in its requests' ids, which must stay short enough for attempts.
+/// Maximum number of bytes of the node id in a request id, so that attempt ids, which contain the
+/// request id, stay within the length limit of ids.
 const MAX_NODE_ID_BYTES: usize = 40;
 
-/// What the request path works with. Cheap to clone.
+/// Shared dependencies of the request path. Cheap to clone.
 #[derive(Debug, Clone, Builder)]
 pub struct EntryContext<E> {
-    /// The configuration in force.
+    /// Latest configuration known to this node.
     pub config: watch::Receiver<Arc<ConfigView>>,
-    /// The targets.
+    /// Latest known replicas with their health and load.
     pub targets: watch::Receiver<Arc<TargetView>>,
-    /// Engines.
+    /// Client for the engines' API.
     pub engine: E,
-    /// Events.
+    /// Records events and metrics.
     pub recorder: EventRecorder,
-    /// Settings.
+    /// Settings of this entry.
     pub settings: Arc<EntrySettings>,
-    /// Seals resume tokens.
+    /// Signs and verifies resume tokens.
     pub signer: TokenSigner,
-    /// Finds replicas.
+    /// Queues requests and selects replicas.
     pub dispatcher: RequestDispatcher,
-    /// Names requests and attempts.
+    /// Generates request and attempt ids.
     pub ids: IdGenerator,
-    /// How far a stop is.
+    /// Shutdown phase of this entry; shared with the task that drives the shutdown.
     #[builder(default)]
     pub shutdown: ShutdownHandle,
 }
 
-/// Names requests and attempts, never one twice.
+/// Generates ids of requests and attempts that are unique across restarts.
 ///
-/// A node's name stays the same over restarts and its counters begin again, so each process puts
-/// a random number of its own into every name. Without it a restarted entry would use the names
-/// of its predecessor: an engine would take a new attempt for an old stream, and a claim on a
-/// payment could be taken for one's own.
+/// A node keeps its id across restarts while its counters start again at 0, so each process adds a
+/// random number to its ids. Otherwise a restarted entry would reuse the ids of its predecessor: an
+/// engine could take a new attempt for an old stream, and a claim on a payment could be taken for
+/// the entry's own.
 #[derive(Debug, Clone)]
 pub struct IdGenerator {
     inner: Arc<IdCounters>,
@@ -61,11 +62,11 @@
 }
 
 impl IdGenerator {
-    /// A source for this process.
+    /// Creates a generator with a new random number for this process.
     #[must_use]
     pub fn new(node: &NodeId) -> Self {
         let process = rand::random::<u64>();
-        // Identifiers are ASCII, so that any byte is a character's end.
+        // Ids are ASCII, so every byte offset is a character boundary.
         let name = &node.as_str()[..node.as_str().len().min(MAX_NODE_ID_BYTES)];
         let counter = IdCounters {
             prefix: format!("{name}.{process:016x}"),
@@ -78,22 +79,22 @@
         }
     }
 
-    /// Names a request.
+    /// Returns a new request id.
     #[must_use]
     pub fn request_id(&self) -> RequestId {
         let number = self.inner.requests.fetch_add(1, Ordering::Relaxed);
         let text = format!("{}.{number}", self.inner.prefix);
         text.parse()
-            .unwrap_or_else(|error| unreachable!("{text} is an id: {error}"))
+            .unwrap_or_else(|error| unreachable!("{text} is a valid id: {error}"))
     }
 
-    /// Names an attempt of a request, which may be one of another entry.
+    /// Returns a new attempt id. The request may have been started at another entry.
     #[must_use]
     pub fn attempt_id(&self, request: &RequestId) -> AttemptId {
         let number = self.inner.attempts.fetch_add(1, Ordering::Relaxed);
         let process = self.inner.process >> 32;
         let text = format!("{request}.{process:08x}.{number}");
         text.parse()
-            .unwrap_or_else(|error| unreachable!("{text} is an id: {error}"))
+            .unwrap_or_else(|error| unreachable!("{text} is a valid id: {error}"))
     }
 }
--- a/crates/entry/src/digest.rs
+++ b/crates/entry/src/digest.rs
@@ -1,48 +1,49 @@
-//! Digests of a request's content and of the text that was delivered.
+//! Digests of request contents and of delivered text.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest: half of SHA-256, enough against chance and against a forger, who would also
-/// need the key of the signature.
+/// Length of a digest in bytes. Half of SHA-256 is enough against accidental collisions; a forger
+/// would also need the signing key.
 pub const DIGEST_BYTES: usize = 16;
 
-/// A rolling digest of an answer's tokens, in order.
+/// Rolling digest of the tokens of a response, in order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextDigest(pub [u8; DIGEST_BYTES]);
 
 impl TextDigest {
-    /// The digest with one more token.
+    /// Returns the digest extended by one token.
     #[must_use]
     pub fn extended(self, token: &str) -> Self {
-        let mut hash = Sha256::new();
-        hash.update(self.0);
-        hash.update(token.as_bytes());
-        Self(truncate(hash))
+        let mut hasher = Sha256::new();
+        hasher.update(self.0);
+        hasher.update(token.as_bytes());
+        Self(truncate(hasher))
     }
 }
 
-/// A digest of everything that decides an answer's text.
+/// Digest of everything that determines the generated text.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentDigest(pub [u8; DIGEST_BYTES]);
 
 impl ContentDigest {
-    /// The digest of some parts; each goes in with its length, so that parts can't run together.
+    /// Computes the digest of several parts. Each part is prefixed with its length, so that
+    /// different splits of the same bytes have different digests.
     #[must_use]
     pub fn of_parts(parts: &[&[u8]]) -> Self {
-        let mut hash = Sha256::new();
+        let mut hasher = Sha256::new();
         for part in parts {
             let length = u64::try_from(part.len()).unwrap_or(u64::MAX);
-            hash.update(length.to_be_bytes());
-            hash.update(part);
+            hasher.update(length.to_be_bytes());
+            hasher.update(part);
         }
-        Self(truncate(hash))
+        Self(truncate(hasher))
     }
 }
 
-fn truncate(hash: Sha256) -> [u8; DIGEST_BYTES] {
-    let whole = hash.finalize();
+fn truncate(hasher: Sha256) -> [u8; DIGEST_BYTES] {
+    let hash = hasher.finalize();
     let mut half = [0; DIGEST_BYTES];
-    half.copy_from_slice(&whole[..DIGEST_BYTES]);
+    half.copy_from_slice(&hash[..DIGEST_BYTES]);
     half
 }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with a caller's request, and the answer it gets.
+//! Errors of client requests and the HTTP responses for them.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use web::{WebResponse, json_response};
 use wire::caller::{ErrorBody, ErrorCode, ErrorDetail, ExecutionState};
 
-/// A request's failure.
+/// Error that ends a client request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct RequestError {
-    /// Stable code.
+    /// Stable code that clients can match on.
     pub code: ErrorCode,
-    /// What happened and what to do.
+    /// What happened and what the client can do about it.
     pub message: String,
-    /// Place in the request.
+    /// Parameter, header or body field that caused the error, if it was one.
     pub param: Option<String>,
-    /// Whether the request was run.
+    /// Whether the request was executed.
     pub execution: ExecutionState,
-    /// When to come back.
+    /// Delay before a retry, sent as `Retry-After`; none if a retry would not help.
     pub retry_after: Option<Duration>,
-    /// The method that the path takes.
+    /// Method that the path accepts, sent as `Allow`.
     pub allowed_method: Option<Method>,
 }
 
 impl RequestError {
-    /// A failure of a request that was not run.
+    /// Creates an error for a request that was not executed.
     #[must_use]
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A failure of a request that may have been run.
+    /// Creates an error for a request that may have been executed.
     #[must_use]
     pub fn unknown(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
@@ -48,35 +48,35 @@
         }
     }
 
-    /// The same failure of a request that may have been run.
+    /// Marks the request as possibly executed.
     #[must_use]
     pub fn with_unknown_execution(mut self) -> Self {
         self.execution = ExecutionState::Unknown;
         self
     }
 
-    /// The same failure with its param in the request.
+    /// Sets the parameter, header or body field that caused the error.
     #[must_use]
     pub fn with_param(mut self, param: impl Into<String>) -> Self {
         self.param = Some(param.into());
         self
     }
 
-    /// The same failure with the time after which to come back.
+    /// Sets the delay before a retry.
     #[must_use]
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The same failure with the method that the path takes.
+    /// Sets the method that the path accepts.
     #[must_use]
     pub fn with_allowed_method(mut self, method: Method) -> Self {
         self.allowed_method = Some(method);
         self
     }
 
-    /// HTTP status of the answer.
+    /// Returns the HTTP status for the code.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         match self.code {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Body of the answer.
+    /// Returns the response body in the error format of `OpenAI` clients.
     #[must_use]
     pub fn body(&self, request_id: &RequestId) -> ErrorBody {
         let error_type = if self.status().is_client_error() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The answer.
+    /// Returns the complete response with its headers.
     #[must_use]
     pub fn response(&self, request_id: &RequestId) -> WebResponse {
         let mut response = json_response(self.status(), &self.body(request_id));
@@ -138,7 +138,8 @@
     }
 }
 
-/// Whole seconds, rounded up, since `Retry-After` knows no fractions and 0 invites a stampede.
+/// Rounds up to whole seconds and at least 1. `Retry-After` has no fractions, and 0 would make all
+/// clients retry at once.
 fn round_up_to_seconds(time: Duration) -> u64 {
     let seconds = time.as_secs() + u64::from(time.subsec_nanos() > 0);
     seconds.max(1)
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -1,4 +1,5 @@
-//! What a caller wants generated, checked against its grants and the limits.
+//! Generation requests: parsing of both completion APIs and validation against the customer's
+//! grants and the limits.
 
 use std::time::Instant;
 
@@ -12,12 +13,12 @@
 use crate::error::RequestError;
 use crate::settings::EntrySettings;
 
-/// Shape of an answer.
+/// Response format, determined by the API that was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseFormat {
-    /// Of `/v1/chat/completions`.
+    /// Chat completion of `/v1/chat/completions`.
     Chat,
-    /// Of `/v1/completions`.
+    /// Text completion of `/v1/completions`.
     Text,
 }
 
@@ -30,54 +31,55 @@
     }
 }
 
-/// What a request's body asks for, whichever of the two calls it came by.
+/// Parameters of a request body, common to both completion APIs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CompletionParams {
-    /// The model, or `model:adapter`.
+    /// Model name, optionally with an adapter as `model:adapter`.
     pub model: String,
-    /// The prompt.
+    /// Prompt text; the messages of a chat are joined as `role: text` lines.
     pub prompt: String,
-    /// Most tokens, with the name of the field that says so.
+    /// Requested maximum number of tokens and the name of the field that set it; none for the
+    /// default.
     pub max_tokens: Option<(u32, &'static str)>,
-    /// Seed, when the caller names one.
+    /// Sampling seed; none to derive one from the request id.
     pub seed: Option<u64>,
-    /// Shape of the answer.
+    /// Format of the response.
     pub format: ResponseFormat,
-    /// Whether to stream.
+    /// Whether to respond with server-sent events.
     pub stream: bool,
-    /// Whether a stream closes with the usage.
+    /// Whether a stream ends with a chunk that reports the token usage.
     pub include_usage: bool,
 }
 
-/// A checked order.
+/// A validated generation request.
 #[derive(Debug, Clone)]
 pub struct GenerationRequest {
-    /// The request.
+    /// Request id; a resumed request keeps the id of the original one.
     pub id: RequestId,
-    /// Who asks.
+    /// Customer that the API key belongs to.
     pub customer: CustomerId,
-    /// Weight of the customer against others.
+    /// Fair-queueing weight of the customer.
     pub share: u32,
-    /// The model.
+    /// Granted model.
     pub model: ModelName,
-    /// The version that the customer is pinned to.
+    /// Version that the grant is pinned to; none allows any.
     pub version: Option<VersionName>,
-    /// The adapter.
+    /// Granted adapter, if one was requested.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens to generate, over all attempts.
     pub max_tokens: u32,
-    /// Seed, fixed for all attempts.
+    /// Sampling seed, identical in all attempts so that they generate the same text.
     pub seed: u64,
-    /// Moment by which the answer shall have begun.
+    /// Deadline by which the response must have started.
     pub deadline: Instant,
-    /// Shape of the answer.
+    /// Format of the response.
     pub format: ResponseFormat,
 }
 
 impl GenerationRequest {
-    /// Digest of everything that decides the answer's text.
+    /// Returns a digest of everything that determines the generated text.
     #[must_use]
     pub fn content(&self) -> ContentDigest {
         let adapter = self.adapter.as_ref().map_or("", AdapterName::as_str);
@@ -101,7 +103,7 @@
         return Ok(());
     }
     Err(invalid_request(
-        "one choice is generated: leave 'n' out or send 1",
+        "only one choice is supported: omit 'n' or set it to 1",
         "n",
     ))
 }
@@ -112,7 +114,10 @@
     fn try_from(body: ChatRequest) -> Result<Self, RequestError> {
         check_choices(body.n)?;
         if body.messages.is_empty() {
-            return Err(invalid_request("send at least one message", "messages"));
+            return Err(invalid_request(
+                "at least one message is required",
+                "messages",
+            ));
         }
         let mut lines = Vec::with_capacity(body.messages.len());
         for message in &body.messages {
@@ -146,7 +151,7 @@
             PromptText::One(text) => text,
             PromptText::Many(texts) => match <[String; 1]>::try_from(texts) {
                 Ok([text]) => text,
-                Err(_) => return Err(invalid_request("send exactly one prompt", "prompt")),
+                Err(_) => return Err(invalid_request("exactly one prompt is required", "prompt")),
             },
         };
         Ok(Self {
@@ -161,11 +166,11 @@
     }
 }
 
-/// Checks an params against the customer's grants and the limits.
+/// Validates request parameters against the customer's grants and the limits.
 ///
 /// # Errors
 ///
-/// [`RequestError`] with its place; nothing was sent anywhere.
+/// [`RequestError`] that names the invalid parameter. Nothing has been sent to a target.
 pub fn build_request(
     view: &ConfigView,
     customer: &CustomerRecord,
@@ -210,10 +215,11 @@
     }
     let known = view.models.keys().any(|name| name.as_str() == model);
     let error = if known {
-        let message = format!("the customer may not use {model:?}");
+        let message = format!("the customer has no grant for model {model:?}");
         RequestError::not_run(ErrorCode::NotGranted, message)
     } else {
-        let message = format!("there is no model {model:?}; GET /v1/models lists yours");
+        let message =
+            format!("model {model:?} does not exist; GET /v1/models lists the granted models");
         RequestError::not_run(ErrorCode::NotFound, message)
     };
     Err(error.with_param("model"))
@@ -226,7 +232,7 @@
         }
     }
     let message = format!(
-        "the customer may not use adapter {adapter:?} of {}, or there is none",
+        "adapter {adapter:?} of {} does not exist or is not granted",
         grant.model
     );
     Err(RequestError::not_run(ErrorCode::NotGranted, message).with_param("model"))
@@ -242,12 +248,12 @@
     if (1..=settings.max_tokens).contains(&limit) {
         return Ok(limit);
     }
-    let message = format!("{param} must be from 1 to {}", settings.max_tokens);
+    let message = format!("{param} must be between 1 and {}", settings.max_tokens);
     Err(invalid_request(message, param))
 }
 
-/// The seed of a request that names none: the same at every entry, since the resume token carries
-/// the request's id.
+/// Derives the seed of a request that has none. Every entry derives the same seed for a resumed
+/// request, because the resume token carries the request id.
 fn derive_seed(request_id: &RequestId) -> u64 {
     let ContentDigest(bytes) = ContentDigest::of_parts(&[request_id.as_str().as_bytes()]);
     let mut seed = [0; 8];
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a request that steer it.
+//! Request headers that control how a request is processed.
 
 use std::time::{Duration, Instant};
 
@@ -9,12 +9,13 @@
 use crate::error::RequestError;
 use crate::settings::EntrySettings;
 
-/// The moment by which a request shall have begun to be answered.
+/// Returns the deadline by which the response must have started, from `X-Request-Timeout` or the
+/// default timeout.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::InvalidRequest`] when the header is no number of seconds above 0 and at most the
-/// limit of the settings.
+/// [`ErrorCode::InvalidRequest`] if the header is not a number of seconds greater than 0 and at
+/// most the configured maximum.
 pub fn request_deadline(
     headers: &HeaderMap,
     settings: &EntrySettings,
@@ -30,7 +31,7 @@
         Some(wait) if !wait.is_zero() && wait <= limit => Ok(now + wait),
         _ => {
             let message = format!(
-                "send seconds above 0 and at most {}",
+                "must be a number of seconds greater than 0 and at most {}",
                 limit.as_secs().max(1)
             );
             Err(invalid_header(REQUEST_TIMEOUT_HEADER, message))
@@ -38,22 +39,24 @@
     }
 }
 
-/// The resume token that a caller goes on with.
+/// Returns the resume token in `Last-Event-ID`, if any.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::InvalidRequest`] when it is no text.
+/// [`ErrorCode::InvalidRequest`] if the header is not text or is sent more than once.
 pub fn last_event_id(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
     let text = header_text(headers, LAST_EVENT_ID_HEADER)?;
-    // Browsers send an empty id when the stream they lost had not begun.
+    // Browsers send an empty id if the connection was lost before the first event.
     Ok(text.filter(|text| !text.is_empty()))
 }
 
-/// The idempotency key: visible ASCII, so that it can stand in a service's header and path.
+/// Returns the idempotency key. It must be visible ASCII because it is copied to a header and a
+/// path of the service.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::InvalidRequest`].
+/// [`ErrorCode::InvalidRequest`] if the key is empty, too long, has other characters, or is sent
+/// more than once.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, RequestError> {
     let Some(key) = header_text(headers, IDEMPOTENCY_KEY_HEADER)? else {
         return Ok(None);
@@ -62,7 +65,8 @@
     if fits && key.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(Some(key));
     }
-    let message = format!("send 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible ASCII characters");
+    let message =
+        format!("must consist of 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible ASCII characters");
     Err(invalid_header(IDEMPOTENCY_KEY_HEADER, message))
 }
 
@@ -75,11 +79,11 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(invalid_header(name, "send it once"));
+        return Err(invalid_header(name, "must not be sent more than once"));
     }
     let text = value
         .to_str()
-        .map_err(|_| invalid_header(name, "send ASCII text"))?;
+        .map_err(|_| invalid_header(name, "must be ASCII text"))?;
     Ok(Some(text))
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The request path from a caller to a target and back.
+//! Request path of an entry: from a client's HTTP request to a target and back.
 
 pub mod attempt;
 pub mod auth;
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -1,4 +1,4 @@
-//! The models that a customer may use, as callers list them.
+//! Model listing for the OpenAI-compatible API.
 
 use domain::record::CustomerRecord;
 use http::StatusCode;
@@ -28,7 +28,7 @@
     }
 }
 
-/// All of them.
+/// Lists the models and adapters granted to a customer.
 #[must_use]
 pub fn list_models(customer: &CustomerRecord) -> WebResponse {
     let list = ModelList {
@@ -38,17 +38,17 @@
     json_response(StatusCode::OK, &list)
 }
 
-/// One of them.
+/// Returns one of the models or adapters granted to a customer.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::NotFound`].
+/// [`ErrorCode::NotFound`] if the customer has no grant for it; it may exist nevertheless.
 pub fn show_model(customer: &CustomerRecord, name: &str) -> Result<WebResponse, RequestError> {
     for entry in entries(customer) {
         if entry.id == name {
             return Ok(json_response(StatusCode::OK, &entry));
         }
     }
-    let message = format!("the customer has no model {name:?}");
+    let message = format!("model {name:?} does not exist or is not granted");
     Err(RequestError::not_run(ErrorCode::NotFound, message).with_param("path"))
 }
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,30 +1,30 @@
-//! Paths of the callers' listener.
+//! Routes of the client API.
 
 use http::Method;
 use wire::caller::ErrorCode;
 
 use crate::error::RequestError;
 
-/// What a request's path and method ask for.
+/// Route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'path> {
-    /// Whether the process lives.
+    /// Liveness check.
     Health,
-    /// Whether it shall be sent requests.
+    /// Readiness check for load balancers.
     Ready,
-    /// The models that the customer may use.
+    /// List of the models granted to the customer.
     Models,
-    /// One of these models.
+    /// One of these models, by name.
     Model(&'path str),
-    /// A chat.
+    /// Chat completion.
     Chat,
-    /// A plain completion.
+    /// Text completion.
     Completion,
-    /// A call of a plain service.
+    /// Call of a plain service.
     Service {
-        /// The service.
+        /// Service name; not yet checked against the configuration.
         name: &'path str,
-        /// The call.
+        /// Path of the call within the service; may contain slashes.
         call: &'path str,
     },
 }
@@ -32,14 +32,15 @@
 const SERVICES_PREFIX: &str = "/v1/services/";
 const MODELS_PREFIX: &str = "/v1/models/";
 
-/// Finds the route of a request.
+/// Returns the route for a method and path.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::NotFound`] or [`ErrorCode::MethodNotAllowed`].
+/// [`ErrorCode::NotFound`] for an unknown path, [`ErrorCode::MethodNotAllowed`] for a known path
+/// with another method.
 pub fn find_route<'path>(method: &Method, path: &'path str) -> Result<Route<'path>, RequestError> {
     let route = match_path(path).ok_or_else(|| {
-        let message = format!("there is no path {path:?}");
+        let message = format!("path {path:?} does not exist");
         RequestError::not_run(ErrorCode::NotFound, message).with_param("path")
     })?;
     let allowed = match route {
@@ -49,7 +50,7 @@
     if *method == allowed {
         return Ok(route);
     }
-    let message = format!("{path} takes {allowed} only");
+    let message = format!("{path} only accepts {allowed}");
     let error = RequestError::not_run(ErrorCode::MethodNotAllowed, message);
     Err(error.with_param("method").with_allowed_method(allowed))
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: from a request to the part that answers it.
+//! HTTP handler of the client listener.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,10 +27,10 @@
 use crate::services::{ServiceDispatcher, resolve_call};
 use crate::shutdown::ShutdownHandle;
 
-/// When to come back to a node that does not know its configuration yet, or that stops.
+/// Retry delay while the node is shutting down or its configuration is not up to date.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The callers' listener.
+/// Serves the client API.
 #[derive(Debug)]
 pub struct EntryServer<E, T: TableStore, S> {
     context: EntryContext<E>,
@@ -38,7 +38,7 @@
 }
 
 impl<E: EngineClient, T: TableStore, S: ServiceClient> EntryServer<E, T, S> {
-    /// A listener.
+    /// Creates a server; `ledger` and `service` are used for calls of plain services.
     #[must_use]
     pub fn new(context: EntryContext<E>, ledger: CallLedger<T>, service: S) -> Self {
         let settings = Arc::clone(&context.settings);
@@ -46,7 +46,7 @@
         Self { context, services }
     }
 
-    /// The switch that stops it.
+    /// Returns the handle that controls the shutdown of this server.
     #[must_use]
     pub fn shutdown_handle(&self) -> ShutdownHandle {
         self.context.shutdown.clone()
@@ -107,7 +107,7 @@
 
     fn readiness(&self, view: &ConfigView) -> Result<WebResponse, RequestError> {
         if self.context.shutdown.is_stopping() {
-            let message = "this node stops";
+            let message = "this node is shutting down";
             let error = RequestError::not_run(ErrorCode::NotReady, message);
             return Err(error.with_retry_after(NOT_READY_RETRY_AFTER));
         }
@@ -129,7 +129,7 @@
         parse_json(&bytes).map_err(body_error)
     }
 
-    /// Answers one request, whatever its body is read from.
+    /// Handles one request with any body type. Errors become responses.
     pub async fn handle_request<B: RequestBody>(&self, request: http::Request<B>) -> WebResponse {
         let (request_parts, body) = request.into_parts();
         let head = RequestHead {
@@ -143,7 +143,7 @@
             Err(error) => self.error_response(&head.id, &error),
         };
         if self.context.shutdown.is_stopping() && request_parts.version < Version::HTTP_2 {
-            // The client must not send its next request on a connection that is about to close.
+            // The client must not send another request on a connection that is about to be closed.
             let value = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, value);
         }
@@ -163,7 +163,7 @@
     }
 }
 
-/// Bodies that requests come with.
+/// Request bodies that the server accepts.
 pub trait RequestBody:
     Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + Send
 {
@@ -178,16 +178,16 @@
     if view.revision.0 > 0 && view.gate.is_open(Instant::now()) {
         return Ok(());
     }
-    let message = "this node does not know the configuration in force";
+    let message = "the configuration of this node is not up to date";
     Err(RequestError::not_run(ErrorCode::NotReady, message).with_retry_after(NOT_READY_RETRY_AFTER))
 }
 
-/// Place of a parse error as a caller writes it: a body that breaks off inside a field is given
-/// with that field, one that can't be read at all as a whole.
+/// Converts the location of a JSON error for `param`: the field if the error is inside one,
+/// otherwise `body`.
 fn body_param(path: &str) -> &str {
     match path.trim_end_matches(['.', '?']) {
         "" => "body",
-        place => place,
+        param => param,
     }
 }
 
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -6,58 +6,61 @@
 use bon::Builder;
 use serde::Deserialize;
 
-/// Settings of the request path, under `entry` in the node's settings file.
+/// Settings of the request path, in the section `entry` of the node's settings file.
 ///
-/// Times are in milliseconds.
+/// Fields with the suffix `_ms` are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Builder, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Secret that seals resume tokens; the same on every entry host. Without it each process
-    /// makes its own, and a token works only at the process that gave it.
+    /// Secret that signs resume tokens, identical on all entry hosts. Without it each process
+    /// generates its own, and a token is valid only at the process that issued it.
     pub resume_key: Option<SecretText>,
-    /// Largest body of a request, in bytes: a long conversation with room to spare.
+    /// Maximum size of a request body in bytes; 4 MiB leaves headroom for long conversations.
     #[builder(default = 4 << 20)]
     pub max_body_bytes: usize,
-    /// Tokens of an answer when the caller names no limit.
+    /// Maximum number of tokens of a response if the request sets no limit.
     #[builder(default = 256)]
     pub default_max_tokens: u32,
-    /// Most tokens that a caller may ask for.
+    /// Largest token limit that a request may set.
     #[builder(default = 32_768)]
     pub max_tokens: u32,
-    /// Wait for the answer's begin when the caller names none in `X-Request-Timeout`.
+    /// Timeout until the response starts, for requests without `X-Request-Timeout`.
     #[builder(default = 30_000)]
     pub request_timeout_ms: u64,
-    /// Longest wait that a caller may name.
+    /// Largest timeout that a request may set.
     #[builder(default = 600_000)]
     pub max_request_timeout_ms: u64,
-    /// Wait for an engine to take a stream.
+    /// Timeout for an engine to accept a stream.
     #[builder(default = 10_000)]
     pub start_timeout_ms: u64,
-    /// Silence within a stream, with fresh evidence that the replica is whole.
+    /// Maximum time between two events of a stream while fresh evidence shows that the replica is
+    /// complete.
     #[builder(default = 8_000)]
     pub silence_ms: u64,
-    /// Silence within a stream without such evidence.
+    /// The same limit without such evidence; only effective if it is lower.
     #[builder(default = 1_500)]
     pub doubt_silence_ms: u64,
-    /// Oldest evidence of wholeness that allows dispatch.
+    /// Maximum age of health evidence for dispatching to a replica.
     #[builder(default = 3_000)]
     pub evidence_ms: u64,
-    /// Wait for another replica after one was lost within a stream.
+    /// Timeout for finding another replica after one was lost in mid-stream.
     #[builder(default = 15_000)]
     pub recovery_ms: u64,
-    /// Attempts of one request before it is given up.
+    /// Maximum number of attempts per request.
     #[builder(default = 8)]
     pub max_attempts: u32,
-    /// Wait for an answer of a plain service.
+    /// Timeout of a call to a plain service.
     #[builder(default = 10_000)]
     pub call_timeout_ms: u64,
-    /// Time between `/readyz` turning 503 and the listener's close, so that the balancer notices.
+    /// Delay between `/readyz` returning 503 and closing the listener, so that the load balancer
+    /// notices.
     #[builder(default = 3_000)]
     pub drain_grace_ms: u64,
-    /// Time after the listener's close in which streams may finish before they are handed over.
+    /// Time that running requests have after the listener has closed, before streams are handed
+    /// over.
     #[builder(default = 20_000)]
     pub finish_ms: u64,
-    /// Time after the hand-over after which what still runs is cut off.
+    /// Time after the handover at which the remaining connections are closed.
     #[builder(default = 60_000)]
     pub stop_limit_ms: u64,
 }
@@ -81,37 +84,37 @@
 }
 
 durations! {
-    /// [`EntrySettings::request_timeout_ms`].
+    /// Returns [`EntrySettings::request_timeout_ms`] as a duration.
     request_timeout = request_timeout_ms;
-    /// [`EntrySettings::max_request_timeout_ms`].
+    /// Returns [`EntrySettings::max_request_timeout_ms`] as a duration.
     max_request_timeout = max_request_timeout_ms;
-    /// [`EntrySettings::start_timeout_ms`].
+    /// Returns [`EntrySettings::start_timeout_ms`] as a duration.
     start_timeout = start_timeout_ms;
-    /// [`EntrySettings::silence_ms`].
+    /// Returns [`EntrySettings::silence_ms`] as a duration.
     silence = silence_ms;
-    /// [`EntrySettings::doubt_silence_ms`].
+    /// Returns [`EntrySettings::doubt_silence_ms`] as a duration.
     doubt_silence = doubt_silence_ms;
-    /// [`EntrySettings::evidence_ms`].
+    /// Returns [`EntrySettings::evidence_ms`] as a duration.
     max_evidence_age = evidence_ms;
-    /// [`EntrySettings::recovery_ms`].
+    /// Returns [`EntrySettings::recovery_ms`] as a duration.
     recovery = recovery_ms;
-    /// [`EntrySettings::call_timeout_ms`].
+    /// Returns [`EntrySettings::call_timeout_ms`] as a duration.
     call_timeout = call_timeout_ms;
-    /// [`EntrySettings::drain_grace_ms`].
+    /// Returns [`EntrySettings::drain_grace_ms`] as a duration.
     drain_grace = drain_grace_ms;
-    /// [`EntrySettings::finish_ms`].
+    /// Returns [`EntrySettings::finish_ms`] as a duration.
     finish = finish_ms;
-    /// [`EntrySettings::stop_limit_ms`].
+    /// Returns [`EntrySettings::stop_limit_ms`] as a duration.
     stop_limit = stop_limit_ms;
 }
 
-/// A secret that is never printed.
+/// A secret whose `Debug` output hides its value.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct SecretText(String);
 
 impl SecretText {
-    /// Its bytes.
+    /// Returns the secret in plain text.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -1,31 +1,33 @@
-//! Stopping an entry without cutting off a request.
+//! Graceful shutdown of an entry.
 //!
-//! First `/readyz` turns 503 while requests are still taken, because the balancer goes on sending
-//! until its next check. Then the listener closes and what runs may finish. Streams that run
-//! longer are handed over: their callers get their resume token and go on at another entry.
+//! First `/readyz` returns 503 while requests are still accepted, because the load balancer keeps
+//! sending until its next health check. Then the listener closes and running requests may finish.
+//! Streams that take longer are handed over: their clients receive a resume token and continue at
+//! another entry.
 
 use tokio::sync::watch;
 
-/// How far a stop is.
+/// Phase of a shutdown.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// No stop.
+    /// No shutdown in progress.
     #[default]
     Serving,
-    /// Not ready for the balancer; requests are still taken and connections are not kept.
+    /// Not ready for the load balancer. Requests are still accepted, but HTTP/1 connections are
+    /// closed after their response.
     Draining,
-    /// Streams end with their resume token; other requests finish.
+    /// Streams end with a resume event; other requests may finish.
     HandingOver,
 }
 
-/// Moves the phase on; it never goes back.
+/// Controls the shutdown phase, which only ever advances.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownHandle {
     sender: watch::Sender<ShutdownPhase>,
 }
 
 impl ShutdownHandle {
-    /// Moves on to a later phase.
+    /// Advances to `phase`; has no effect if that phase has been reached already.
     pub fn advance(&self, phase: ShutdownPhase) {
         self.sender.send_if_modified(|current| {
             let later = phase > *current;
@@ -36,13 +38,13 @@
         });
     }
 
-    /// Whether a stop has begun.
+    /// Returns whether a shutdown has started.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         *self.sender.borrow() > ShutdownPhase::Serving
     }
 
-    /// A view of the phase.
+    /// Returns a watcher of the phase.
     #[must_use]
     pub fn watch(&self) -> ShutdownWatcher {
         ShutdownWatcher {
@@ -51,19 +53,19 @@
     }
 }
 
-/// A view of the phase.
+/// Waits for shutdown phases.
 #[derive(Debug, Clone)]
 pub struct ShutdownWatcher {
     receiver: watch::Receiver<ShutdownPhase>,
 }
 
 impl ShutdownWatcher {
-    /// Completes when a stop has begun.
+    /// Completes when a shutdown has started.
     pub async fn stopping(&mut self) {
         self.reach(ShutdownPhase::Draining).await;
     }
 
-    /// Completes when streams shall be handed over.
+    /// Completes when streams must be handed over.
     pub async fn handing_over(&mut self) {
         self.reach(ShutdownPhase::HandingOver).await;
     }
@@ -75,7 +77,7 @@
             .await
             .is_ok();
         if !reached {
-            // The switch is gone, so that no hand-over will ever be asked for.
+            // The handle was dropped, so this phase will never be reached.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/entry/src/token.rs
+++ b/crates/entry/src/token.rs
@@ -1,8 +1,8 @@
-//! Resume tokens: the `id:` of every event of a stream.
+//! Resume tokens, sent as the `id:` of every event of a stream.
 //!
-//! A token says which stream it is of and how much of it the caller has. It is sealed with a key
-//! that all entries share, so that a caller can go on at any of them after the first one died, and
-//! can't make up a token or use another customer's.
+//! A token identifies a stream and how much of it the client has received. It is signed with a key
+//! shared by all entries, so that clients can resume at any entry after the first one has failed,
+//! but can't forge tokens or use those of another customer.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -14,60 +14,60 @@
 use crate::digest::{ContentDigest, DIGEST_BYTES, TextDigest};
 use crate::settings::SecretText;
 
-/// Longest token that is looked at, in bytes; a longer one is not ours.
+/// Maximum accepted length of a token in bytes; no issued token is longer.
 const MAX_TOKEN_BYTES: usize = 2_048;
 
 const SIGNATURE_BYTES: usize = 16;
 const COUNT_BYTES: usize = 4;
 const TAIL_BYTES: usize = COUNT_BYTES + DIGEST_BYTES + SIGNATURE_BYTES;
 
-/// What a stream's tokens have in common as long as one attempt feeds it.
+/// Fields that all tokens of one attempt share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenScope {
-    /// The request, the same over all its attempts and entries.
+    /// Request id, the same for all attempts and entries.
     pub request: RequestId,
-    /// Who may go on with it.
+    /// Customer that may resume the stream.
     pub customer: CustomerId,
-    /// The attempt whose stream the engine may have kept.
+    /// Attempt whose stream the engine may have kept.
     pub attempt: AttemptId,
-    /// Where the attempt runs.
+    /// Replica that the attempt runs on.
     pub replica: ReplicaId,
-    /// The replica's incarnation.
+    /// Incarnation of the replica; a later one has not kept the stream.
     pub incarnation: IncarnationNumber,
-    /// What was asked for.
+    /// Digest of the request, to reject a token that is sent with another request.
     pub content: ContentDigest,
 }
 
-/// How much of an answer a caller has.
+/// How much of a response a client has received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamOffset {
-    /// Tokens.
+    /// Number of tokens.
     pub count: u32,
-    /// Their rolling digest.
+    /// Rolling digest of these tokens, to verify a regenerated response.
     pub digest: TextDigest,
 }
 
-/// An opened token.
+/// A verified token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumeToken {
-    /// The stream.
+    /// Stream that the token belongs to.
     pub scope: TokenScope,
-    /// How much of it the caller has.
+    /// How much of it the client has received.
     pub offset: StreamOffset,
 }
 
-/// Why a token can't be used.
+/// Why a token was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// It is no token of this system.
-    #[error("this is no resume token; send the id of the last event as it came")]
+    /// It can't be decoded.
+    #[error("not a resume token; send the id of the last event unchanged")]
     Malformed,
-    /// Its seal is not by the entries' key.
-    #[error("the resume token is not from these entries, or was changed")]
+    /// Its signature does not match the entries' key.
+    #[error("the signature of the resume token is invalid")]
     InvalidSignature,
 }
 
-/// Seals and opens tokens.
+/// Signs and verifies tokens.
 #[derive(Clone)]
 pub struct TokenSigner {
     mac: Hmac<Sha256>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Seals the tokens of one attempt; the part that stays the same is encoded and hashed once.
+/// Signs the tokens of one attempt; their common prefix is encoded and hashed only once.
 #[derive(Clone)]
 pub struct ScopeSigner {
     prefix: Vec<u8>,
@@ -93,7 +93,8 @@
 }
 
 impl TokenSigner {
-    /// A signer with the entries' key, or with a key of this process's own.
+    /// Creates a signer with the entries' shared key, or with a random key valid for this process
+    /// only.
     #[must_use]
     pub fn new(key: Option<&SecretText>) -> Self {
         let mut hash = Sha256::new();
@@ -102,25 +103,25 @@
             None => hash.update(rand::random::<[u8; 32]>()),
         }
         let mac = Hmac::<Sha256>::new_from_slice(&hash.finalize())
-            .unwrap_or_else(|error| unreachable!("a key of any length is taken: {error}"));
+            .unwrap_or_else(|error| unreachable!("HMAC accepts keys of any length: {error}"));
         Self { mac }
     }
 
-    /// The signer of one attempt.
+    /// Returns a signer for the tokens of one attempt.
     #[must_use]
     pub fn scope(&self, scope: &TokenScope) -> ScopeSigner {
         let prefix = bincode::serde::encode_to_vec(scope, bincode::config::standard())
-            .unwrap_or_else(|error| unreachable!("plain fields encode into memory: {error}"));
+            .unwrap_or_else(|error| unreachable!("encoding into a vector does not fail: {error}"));
         let mut mac = self.mac.clone();
         mac.update(&prefix);
         ScopeSigner { prefix, mac }
     }
 
-    /// Opens a token.
+    /// Verifies and decodes a token.
     ///
     /// # Errors
     ///
-    /// [`TokenError`].
+    /// [`TokenError`] if the token is malformed or its signature is invalid.
     pub fn verify(&self, text: &str) -> Result<ResumeToken, TokenError> {
         if text.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::Malformed);
@@ -135,7 +136,7 @@
         let (signed, signature) = bytes.split_at(bytes.len() - SIGNATURE_BYTES);
         let mut mac = self.mac.clone();
         mac.update(signed);
-        // Compared in constant time, so that a forger learns nothing from how long it takes.
+        // The comparison is constant-time, so that its duration reveals nothing to a forger.
         mac.verify_truncated_left(signature)
             .map_err(|_| TokenError::InvalidSignature)?;
         let (prefix, tail) = signed.split_at(split);
@@ -159,7 +160,7 @@
 }
 
 impl ScopeSigner {
-    /// The token for a caller that has so much of the answer.
+    /// Returns the token for a client that has received the response up to `offset`.
     #[must_use]
     pub fn sign(&self, offset: StreamOffset) -> String {
         let mut bytes = Vec::with_capacity(self.prefix.len() + TAIL_BYTES);
