--- a/crates/spec/src/formation.rs
+++ b/crates/spec/src/formation.rs
@@ -1,13 +1,13 @@
 //! Formation of replicas without a lease: two nodes form replicas from the same three hosts. Each
 //! order names the number of orders that the host must have accepted before it.
 //!
-//! Hosts 0 and 1 form the first replica, host 2 is spare. Each node acts on a snapshot of the hosts,
-//! which may be outdated, and forms a replica of its own: one from hosts 1 and 2, the other from
-//! hosts 0 and 2. Each may open the first replica or its own. Responses may be lost, a copy of an
-//! order may take effect at any later time, a node may abort and start with a new snapshot, and a
-//! host may restart and lose its state. Invariants: no host joins a replica while the head of its
-//! old one is still in that and serves; and no head serves while a member has never joined its
-//! replica.
+//! Hosts 0 and 1 form the first replica, host 2 is spare. Each node acts on a snapshot of the
+//! hosts, which may be outdated, and forms a replica of its own: one from hosts 1 and 2, the other
+//! from hosts 0 and 2. Each may open the first replica or its own. Responses may be lost, a copy of
+//! an order may take effect at any later time, a node may abort and start with a new snapshot, and
+//! a host may restart and lose its state. Invariants: no host joins a replica while the head of its
+//! old replica has not left that and serves; and no head serves while a member has never joined
+//! its replica.
 
 use crate::search::{ProtocolModel, SpecGuard};
 
