--- a/tests/system/claim_batches.rs
+++ b/tests/system/claim_batching.rs
@@ -1,4 +1,4 @@
-//! The ledger under a rush of payments, against a table with its limits.
+//! Throughput of the ledger with a rate-limited table.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,17 +10,19 @@
 use standin::faults::FaultPlan;
 use standin::stack::{StackPlan, TestStack};
 
-use crate::PRODUCT;
+use crate::BINARY;
 
-/// Payments that wait for their claim at any time.
-const CALLERS: u64 = 128;
+/// Number of concurrent claims.
+const CLAIMANTS: u64 = 128;
 
-/// Transactions a second that the table takes: several hundred.
-const TABLE_WRITES: u32 = 400;
+/// Transactions a second that the table accepts.
+const MAX_TRANSACTIONS: u32 = 400;
 
-const RUSH: Duration = Duration::from_secs(4);
+/// Duration of one measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(4);
 
-async fn claims_a_second(stack: &TestStack, run: &str, settings: LedgerSettings) -> f64 {
+/// Measures granted claims a second.
+async fn claim_rate(stack: &TestStack, run: &str, settings: LedgerSettings) -> f64 {
     let endpoint = ServiceEndpoint::new(
         stack.client.clone(),
         stack.table.address,
@@ -31,56 +33,57 @@
     let ledger = CallLedger::with_settings(table, node, settings);
     let granted = Arc::new(AtomicU64::new(0));
     let started = Instant::now();
-    let mut callers = Vec::new();
-    for caller in 0..CALLERS {
+    let mut claimants = Vec::new();
+    for claimant in 0..CLAIMANTS {
         let ledger = ledger.clone();
         let granted = Arc::clone(&granted);
         let run = run.to_owned();
-        callers.push(tokio::spawn(async move {
+        claimants.push(tokio::spawn(async move {
             let mut number = 0;
-            while started.elapsed() < RUSH {
+            while started.elapsed() < MEASURE_TIME {
                 number += 1;
                 let key = ClaimKey {
                     service: "licences".parse().expect("an id"),
                     customer: "sandaga-traders".parse().expect("an id"),
-                    key_hash: format!("{run}-{caller}-{number}"),
+                    key_hash: format!("{run}-{claimant}-{number}"),
                 };
-                let attempt = format!("a.{caller}.{number}").parse().expect("an id");
+                let attempt = format!("a.{claimant}.{number}").parse().expect("an id");
                 match ledger.claim(key, attempt, "body".to_owned()).await {
                     Ok(ClaimOutcome::Granted(_)) => {
                         granted.fetch_add(1, Ordering::Relaxed);
                     }
-                    Ok(other) => panic!("a new key: {other:?}"),
-                    // Over the table's limit: the trader is told to come back.
+                    Ok(other) => panic!("a new key is not granted: {other:?}"),
+                    // The table is over its limit.
                     Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
                 }
             }
         }));
     }
-    for caller in callers {
-        caller.await.expect("no caller panics");
+    for claimant in claimants {
+        claimant.await.expect("no panic");
     }
-    let claims = u32::try_from(granted.load(Ordering::Relaxed)).expect("few enough");
+    let claims = u32::try_from(granted.load(Ordering::Relaxed)).expect("fits u32");
     f64::from(claims) / started.elapsed().as_secs_f64()
 }
 
-// The municipal deadline brings every trader to the payment page in the same minute. With one
-// transaction a payment the table refuses most of them; with many in one it takes them all.
+/// Payments arrive faster than the table accepts transactions. With one claim per transaction, the
+/// table refuses most of them. Batches of claims in one transaction must reach more than three
+/// times that throughput.
 #[tokio::test(flavor = "multi_thread")]
-async fn rush_of_payments() {
-    let stack = StackPlan::new("claim-batches", PRODUCT)
+async fn batching_raises_throughput() {
+    let stack = StackPlan::new("claim-batching", BINARY)
         .engines(1)
         .entries(0)
         .start_bare()
         .await;
     let limited = FaultPlan::builder()
-        .max_writes(TABLE_WRITES)
+        .max_writes(MAX_TRANSACTIONS)
         .latency_ms(2)
         .build();
     stack.table_faults(&limited).await;
-    let single = LedgerSettings::builder().batch_rows(1).flights(128).build();
-    let alone = claims_a_second(&stack, "single", single).await;
-    let together = claims_a_second(&stack, "batched", LedgerSettings::default()).await;
-    println!("measured: claims a second: {alone:.0} alone, {together:.0} together");
-    assert!(together > alone * 3.0, "{together:.0} against {alone:.0}");
+    let unbatched = LedgerSettings::builder().batch_rows(1).flights(128).build();
+    let single = claim_rate(&stack, "single", unbatched).await;
+    let batched = claim_rate(&stack, "batched", LedgerSettings::default()).await;
+    println!("measured: claims a second: {single:.0} single, {batched:.0} batched");
+    assert!(batched > single * 3.0, "{batched:.0} against {single:.0}");
 }
--- a/tests/system/config_faults.rs
+++ b/tests/system/config_faults.rs
@@ -1,4 +1,4 @@
-//! The configuration while the store is down, entries are frozen, or both.
+//! Configuration while the store is down, entry nodes are suspended or cut off, or both.
 
 use std::time::{Duration, Instant};
 
@@ -6,22 +6,31 @@
 use standin::faults::{FaultPlan, OutageMode};
 use standin::stack::TestStack;
 
-use crate::config_follow::{EntryView, amend_and_wait, look, quick_plan, wait_granted};
+use crate::config_propagation::{
+    EntryView, amend_and_wait, short_timeout_plan, view_config, wait_granted,
+};
 
-const SHORT: Duration = Duration::from_secs(2);
+/// Timeout of a request that shows the active configuration.
+const VIEW_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn take_table_down(stack: &TestStack) {
     let plan = FaultPlan::builder().outage(OutageMode::Refuse);
     stack.table_faults(&plan.build()).await;
 }
 
-/// Watches an entry for a while; it may say that it is not ready, but never shows another adapter.
-async fn never_shows_other(stack: &TestStack, entry: usize, adapter: &str, time: Duration) -> u32 {
+/// Polls an entry node for some time. It may be not ready but must not serve another adapter;
+/// returns how often it served.
+async fn expect_only_adapter(
+    stack: &TestStack,
+    entry: usize,
+    adapter: &str,
+    duration: Duration,
+) -> u32 {
     let started = Instant::now();
     let mut served = 0;
-    while started.elapsed() < time {
-        if let EntryView::Serves(newest) = look(stack, entry, SHORT).await {
-            assert_eq!(newest, adapter, "entry {entry} went back");
+    while started.elapsed() < duration {
+        if let EntryView::Serves(newest) = view_config(stack, entry, VIEW_TIMEOUT).await {
+            assert_eq!(newest, adapter, "entry {entry} serves an old configuration");
             served += 1;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -29,28 +38,28 @@
     served
 }
 
-// The table is down for longer than a node may go without a confirmation. All entries miss it
-// alike and hear each other, so callers are served on with what is in force; when the table
-// returns, changes are taken again.
+/// The table is down for longer than a confirmation is valid. The entry nodes reach each other, so
+/// they keep serving with the active configuration. When the table is back, amendments are accepted
+/// again.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_down_served() {
-    let stack = quick_plan("config-store-down").start().await;
+async fn serves_during_store_outage() {
+    let stack = short_timeout_plan("config-store-down").start().await;
     amend_and_wait(&stack, "before").await;
     take_table_down(&stack).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     for entry in 0..3 {
-        let served = never_shows_other(&stack, entry, "before", Duration::from_secs(2)).await;
-        assert!(served > 0, "entry {entry} stepped out");
+        let served = expect_only_adapter(&stack, entry, "before", Duration::from_secs(2)).await;
+        assert!(served > 0, "entry {entry} stopped serving");
     }
     stack.table_faults(&FaultPlan::default()).await;
     amend_and_wait(&stack, "after").await;
 }
 
-// While the table is down an entry is killed and a new one takes its place. It has no disk and no
-// table; it takes the configuration from its peers and serves it after it settled.
+/// While the table is down, an entry node is killed and replaced. The new node has no local state;
+/// it fetches the configuration from its peers and serves it after the settling time.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_replaced_meanwhile() {
-    let mut stack = quick_plan("config-replaced").start().await;
+async fn new_node_starts_during_store_outage() {
+    let mut stack = short_timeout_plan("config-replaced").start().await;
     amend_and_wait(&stack, "before").await;
     take_table_down(&stack).await;
     stack.entries[2].kill();
@@ -61,82 +70,92 @@
     amend_and_wait(&stack, "after").await;
 }
 
-// One of three entries loses the table and its peers. It can't know what is in force and steps out
-// of service within seconds, so that the balancer takes it away before a caller sees old grants.
+/// One of three entry nodes is cut off from the table and its peers. It can't confirm its
+/// configuration and must stop serving within seconds, before a client is served with old grants.
 #[tokio::test(flavor = "multi_thread")]
-async fn lonely_entry_stops() {
-    let mut stack = quick_plan("config-lonely").entries(2).start().await;
-    let cut = crate::table_cut::TableCut::start(stack.table.address).await;
-    // Under another key than the others' it has no links.
+async fn isolated_node_stops_serving() {
+    let mut stack = short_timeout_plan("config-isolated")
+        .entries(2)
+        .start()
+        .await;
+    let proxy = crate::table_proxy::TableProxy::start(stack.table.address).await;
+    // With another key than the other nodes it can't connect to them.
     stack.add_entry_with(
-        "lonely",
+        "isolated",
         &json!({
-            "platform": { "table": cut.address },
+            "platform": { "table": proxy.address },
             "peers": { "key_env": "STACK_OPERATOR_KEY", "seeds": [] },
         }),
     );
     wait_granted(&stack, 2, "wolof").await;
-    cut.set_cut(true);
+    proxy.set_cut(true);
     let started = Instant::now();
-    while !matches!(look(&stack, 2, SHORT).await, EntryView::NotReady) {
-        assert!(started.elapsed() < Duration::from_secs(16), "it serves on");
+    while !matches!(
+        view_config(&stack, 2, VIEW_TIMEOUT).await,
+        EntryView::NotReady
+    ) {
+        assert!(
+            started.elapsed() < Duration::from_secs(16),
+            "the isolated node keeps serving"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     amend_and_wait_for(&stack, "meanwhile", 2).await;
-    let served = never_shows_other(&stack, 2, "meanwhile", Duration::from_secs(1)).await;
+    let served = expect_only_adapter(&stack, 2, "meanwhile", Duration::from_secs(1)).await;
     assert_eq!(served, 0);
-    cut.set_cut(false);
+    proxy.set_cut(false);
     wait_granted(&stack, 2, "meanwhile").await;
 }
 
+/// Amends the customer and waits until the first `entries` entry nodes serve the change.
 async fn amend_and_wait_for(stack: &TestStack, adapter: &str, entries: usize) {
-    stack.apply(&json!([crate::config_follow::customer(adapter)]));
+    stack.apply(&json!([crate::config_propagation::customer(adapter)]));
     for entry in 0..entries {
         wait_granted(stack, entry, adapter).await;
     }
 }
 
-// An entry is frozen, a change comes into force on the others, and the entry runs on. Its first
-// answers after that must be refusals or show the change; its tasks have not run yet when it takes
-// the first request.
+/// An entry node is suspended, an amendment becomes active on the others, and the node resumes. Its
+/// first responses must be refusals or show the amendment, although its background tasks have not
+/// run yet when it accepts the first request.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_entry_returns() {
-    let stack = quick_plan("config-frozen").start().await;
+async fn resumed_node_serves_no_old_config() {
+    let stack = short_timeout_plan("config-suspended").start().await;
     amend_and_wait(&stack, "before").await;
     stack.entries[1].signal("STOP");
-    stack.apply(&json!([crate::config_follow::customer("meanwhile")]));
+    stack.apply(&json!([crate::config_propagation::customer("meanwhile")]));
     for entry in [0, 2] {
         wait_granted(&stack, entry, "meanwhile").await;
     }
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let early = look(&stack, 1, SHORT * 5);
-    tokio::pin!(early);
-    let queued = tokio::time::timeout(Duration::from_millis(300), &mut early).await;
-    assert!(queued.is_err(), "a frozen entry answers");
+    let first_view = view_config(&stack, 1, VIEW_TIMEOUT * 5);
+    tokio::pin!(first_view);
+    let result = tokio::time::timeout(Duration::from_millis(300), &mut first_view).await;
+    assert!(result.is_err(), "a suspended node responded");
     stack.entries[1].signal("CONT");
-    if let EntryView::Serves(newest) = early.await {
-        assert_eq!(newest, "meanwhile", "the first answer is old");
+    if let EntryView::Serves(newest) = first_view.await {
+        assert_eq!(newest, "meanwhile", "the first response is outdated");
     }
-    never_shows_other(&stack, 1, "meanwhile", Duration::from_secs(2)).await;
+    expect_only_adapter(&stack, 1, "meanwhile", Duration::from_secs(2)).await;
     wait_granted(&stack, 1, "meanwhile").await;
 }
 
-// An entry is frozen, a change comes into force on the others, then the table goes down, and the
-// entry runs on. It hears the majority, which alone would let it serve; but they tell it of a
-// newer revision, so it must take that first and never show the old one.
+/// An entry node is suspended, an amendment becomes active on the others, the table goes down, and
+/// the node resumes. It reaches a majority, which alone would let it serve, but its peers report a
+/// newer revision. It must apply that first and never serve the old one.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_while_down() {
-    let stack = quick_plan("config-frozen-down").start().await;
+async fn resumed_node_catches_up_from_peers() {
+    let stack = short_timeout_plan("config-suspended-down").start().await;
     amend_and_wait(&stack, "before").await;
     stack.entries[1].signal("STOP");
-    stack.apply(&json!([crate::config_follow::customer("meanwhile")]));
+    stack.apply(&json!([crate::config_propagation::customer("meanwhile")]));
     for entry in [0, 2] {
         wait_granted(&stack, entry, "meanwhile").await;
     }
     take_table_down(&stack).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     stack.entries[1].signal("CONT");
-    never_shows_other(&stack, 1, "meanwhile", Duration::from_secs(3)).await;
+    expect_only_adapter(&stack, 1, "meanwhile", Duration::from_secs(3)).await;
     wait_granted(&stack, 1, "meanwhile").await;
     for entry in [0, 2] {
         wait_granted(&stack, entry, "meanwhile").await;
--- a/tests/system/config_follow.rs
+++ b/tests/system/config_propagation.rs
@@ -1,4 +1,4 @@
-//! Amendments come into force on every entry, with the store up and for an entry without it.
+//! Amendments become active on every entry node, also on one that is cut off from the table.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,14 @@
 use web::body::full_body;
 use web::read_body;
 
-use crate::PRODUCT;
-use crate::table_cut::TableCut;
+use crate::BINARY;
+use crate::table_proxy::TableProxy;
 
 const POLL: Duration = Duration::from_millis(20);
 
-/// Settings under which knowledge grows old within seconds.
-pub fn quick_plan(name: &str) -> StackPlan {
-    StackPlan::new(name, PRODUCT)
+/// A stack whose configuration and membership timeouts are a few seconds.
+pub fn short_timeout_plan(name: &str) -> StackPlan {
+    StackPlan::new(name, BINARY)
         .engines(2)
         .replicas(1)
         .hosts_per_replica(1)
@@ -34,10 +34,10 @@
         )
 }
 
-/// The example customer with an adapter that names a change.
+/// The record of the example customer, granted `adapter` to identify an amendment.
 pub fn customer(adapter: &str) -> Value {
     let text = include_str!("../../examples/ndiaye/records.json");
-    let records: Value = serde_json::from_str(text).expect("JSON");
+    let records: Value = serde_json::from_str(text).expect("valid JSON");
     let mut record = records
         .as_array()
         .and_then(|records| records.iter().find(|record| record["kind"] == "customer"))
@@ -47,18 +47,18 @@
     record
 }
 
-/// What an entry shows its caller of the configuration in force.
+/// What an entry node shows a client of its active configuration.
 pub enum EntryView {
     /// The newest adapter that the customer is granted.
     Serves(String),
-    /// It says that it is not ready.
+    /// It responds that it is not ready.
     NotReady,
-    /// No answer came.
-    Silent,
+    /// It did not respond.
+    NoResponse,
 }
 
-/// Asks an entry which models and adapters the customer has.
-pub async fn look(stack: &TestStack, entry: usize, timeout: Duration) -> EntryView {
+/// Lists the customer's models and adapters at an entry node.
+pub async fn view_config(stack: &TestStack, entry: usize, timeout: Duration) -> EntryView {
     let address = stack.entries[entry].address;
     let request = Request::builder()
         .method(Method::GET)
@@ -66,27 +66,27 @@
         .header("authorization", format!("Bearer {CUSTOMER_KEY}"))
         .body(full_body(""))
         .expect("a request");
-    let Ok(answer) = stack.client.send(address, request, timeout).await else {
-        return EntryView::Silent;
+    let Ok(response) = stack.client.send(address, request, timeout).await else {
+        return EntryView::NoResponse;
     };
-    if answer.status() == StatusCode::SERVICE_UNAVAILABLE {
+    if response.status() == StatusCode::SERVICE_UNAVAILABLE {
         return EntryView::NotReady;
     }
-    assert_eq!(answer.status(), StatusCode::OK);
-    let Ok(bytes) = read_body(answer.into_body(), 1 << 20).await else {
-        return EntryView::Silent;
+    assert_eq!(response.status(), StatusCode::OK);
+    let Ok(bytes) = read_body(response.into_body(), 1 << 20).await else {
+        return EntryView::NoResponse;
     };
-    let body: Value = serde_json::from_slice(&bytes).expect("JSON");
+    let body: Value = serde_json::from_slice(&bytes).expect("valid JSON");
     let last = body["data"].as_array().and_then(|models| models.last());
     let name = last.and_then(|model| model["id"].as_str()).unwrap_or("");
     EntryView::Serves(name.rsplit(':').next().unwrap_or("").to_owned())
 }
 
-/// Waits until an entry serves with the adapter granted.
+/// Waits until the adapter is granted at an entry node; returns the time that it took.
 pub async fn wait_granted(stack: &TestStack, entry: usize, adapter: &str) -> Duration {
     let started = Instant::now();
     loop {
-        if let EntryView::Serves(newest) = look(stack, entry, PATIENCE).await
+        if let EntryView::Serves(newest) = view_config(stack, entry, PATIENCE).await
             && newest == adapter
         {
             return started.elapsed();
@@ -96,7 +96,7 @@
     }
 }
 
-/// Applies a change and returns the longest time until an entry had it in force.
+/// Amends the customer and returns the time until the change was active on all entry nodes.
 pub async fn amend_and_wait(stack: &TestStack, adapter: &str) -> Duration {
     stack.apply(&json!([customer(adapter)]));
     let mut longest = Duration::ZERO;
@@ -109,8 +109,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn change_in_force() {
-    let plan = StackPlan::new("change-in-force", PRODUCT).entries(6);
+async fn amendment_activated() {
+    let plan = StackPlan::new("amendment-activated", BINARY).entries(6);
     let stack = plan
         .engines(2)
         .replicas(1)
@@ -123,28 +123,28 @@
     }
     times.sort();
     println!(
-        "in force on 6 entries: median {:?}, longest {:?}",
+        "active on 6 entry nodes: median {:?}, longest {:?}",
         times[10], times[19]
     );
     assert!(times[19] < Duration::from_secs(16));
 }
 
-// One entry loses the table and keeps its peers. The change comes to it over the links, and it
-// stays in service, because its peers confirm what is in force.
+/// One entry node is cut off from the table but not from its peers. It receives amendments from
+/// them and keeps serving, because they confirm the head.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_entry_follows() {
-    let plan = StackPlan::new("cut-entry", PRODUCT).entries(5);
+async fn cut_off_node_follows_peers() {
+    let plan = StackPlan::new("cut-off-node", BINARY).entries(5);
     let mut stack = plan
         .engines(2)
         .replicas(1)
         .hosts_per_replica(1)
         .start()
         .await;
-    let cut = TableCut::start(stack.table.address).await;
-    stack.add_entry_with("cut", &json!({ "platform": { "table": cut.address } }));
+    let proxy = TableProxy::start(stack.table.address).await;
+    stack.add_entry_with("cut", &json!({ "platform": { "table": proxy.address } }));
     wait_granted(&stack, 5, "wolof").await;
-    cut.set_cut(true);
-    // Longer than the entry may go without a confirmation.
+    proxy.set_cut(true);
+    // Longer than a confirmation is valid.
     tokio::time::sleep(Duration::from_secs(10)).await;
     let mut times = Vec::new();
     for round in 0..20 {
@@ -152,41 +152,41 @@
     }
     times.sort();
     println!(
-        "in force on 6 entries, one cut off: median {:?}, longest {:?}",
+        "active on 6 entry nodes, one cut off: median {:?}, longest {:?}",
         times[10], times[19]
     );
     assert!(times[19] < Duration::from_secs(16));
 }
 
-// Eight operators amend the same record at once. Whoever is told that his record is accepted finds
-// it in the history; the last of them is in force on every entry, and nobody is told so wrongly.
+/// Eight operators amend the same record at once. The history must contain each accepted amendment
+/// and no other, and the last one must become active on every entry node.
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_race() {
-    let stack = quick_plan("operators-race").start().await;
-    let folder = std::env::temp_dir().join(format!("race-{}", std::process::id()));
+async fn concurrent_amendments_recorded() {
+    let stack = short_timeout_plan("concurrent-amendments").start().await;
+    let folder = std::env::temp_dir().join(format!("amendments-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut racers = Vec::new();
+    let mut commands = Vec::new();
     for number in 0..8 {
         let path = folder.join(format!("{number}.json"));
         let records = json!([customer(&format!("r{number}"))]);
         std::fs::write(&path, records.to_string()).expect("writable");
         let mut command = stack.operator();
         command.args(["apply", &path.display().to_string()]);
-        racers.push(command.spawn().expect("the client runs"));
+        commands.push(command.spawn().expect("the client runs"));
     }
     let mut accepted = 0;
-    for mut racer in racers {
-        let status = racer.wait().expect("it ends");
+    for mut client in commands {
+        let status = client.wait().expect("the client exits");
         accepted += usize::from(status.success());
     }
     let _ = std::fs::remove_dir_all(&folder);
-    assert!(accepted >= 1, "nobody was accepted");
+    assert!(accepted >= 1, "no amendment was accepted");
     let output = stack
         .operator()
         .args(["history", "customer", "sandaga-traders", "--format", "json"])
         .output()
         .expect("the client runs");
-    let history: Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let history: Value = serde_json::from_slice(&output.stdout).expect("valid JSON");
     let changes = history.as_array().expect("a list");
     assert_eq!(changes.len(), accepted + 1, "{history}");
     let newest = changes
@@ -194,20 +194,20 @@
         .max_by_key(|change| change["revision"].as_u64())
         .expect("a change");
     let text = newest.to_string();
-    let winner = (0..8)
+    let last_adapter = (0..8)
         .map(|number| format!("r{number}"))
         .find(|name| text.contains(&format!("\"{name}\"")))
-        .expect("one of the racers");
+        .expect("one of the amendments");
     for entry in 0..3 {
-        wait_granted(&stack, entry, &winner).await;
+        wait_granted(&stack, entry, &last_adapter).await;
     }
 }
 
-// The table takes the amendment and its answer is lost. The operator must not be told that it
-// failed, nor is it accepted twice.
+/// The table applies an amendment and the response is lost. The operator must not be told that it
+/// failed, and it must not be recorded twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answer_settled() {
-    let stack = quick_plan("config-answer-lost").start().await;
+async fn lost_response_settled() {
+    let stack = short_timeout_plan("config-response-lost").start().await;
     let plan = FaultPlan::builder().lose_next(2).match_body("config/head");
     stack.table_faults(&plan.build()).await;
     amend_and_wait(&stack, "after-loss").await;
@@ -216,6 +216,6 @@
         .args(["history", "customer", "sandaga-traders", "--format", "json"])
         .output()
         .expect("the client runs");
-    let history: Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let history: Value = serde_json::from_slice(&output.stdout).expect("valid JSON");
     assert_eq!(history.as_array().expect("a list").len(), 2, "{history}");
 }
--- a/tests/system/direct.rs
+++ b/tests/system/direct_engine.rs
@@ -1,4 +1,4 @@
-//! Orders and streams to engines without an entry between.
+//! Helpers that send orders and stream requests to engines directly, without an entry node.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use target::{EngineClient, HttpEngineClient, StreamStart, TokenStream};
 use wire::engine::{EngineAddress, EngineAssignment, EngineOrder, StreamEvent, StreamRequest};
 
-/// Longest silence that a test takes for a stream that goes on.
-pub const SILENCE: Duration = Duration::from_secs(20);
+/// Timeout of a single event or response of an engine.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Makes the stack's engines one replica `r1` of `trader-help`.
+/// Forms one replica `r1` of `trader-help` from all engines of the stack.
 pub async fn form_replica(stack: &TestStack) -> EngineAssignment {
     let hosts: Vec<EngineAddress> = stack
         .engines
@@ -32,13 +32,13 @@
         role: domain::replica::ReplicaRole::Both,
     };
     for rank in 0..assignment.hosts.len() {
-        order_rank(stack, &assignment, rank).await;
+        assign_rank(stack, &assignment, rank).await;
     }
     assignment
 }
 
-/// Gives one engine its rank of an assignment.
-pub async fn order_rank(stack: &TestStack, assignment: &EngineAssignment, rank: usize) {
+/// Assigns its rank to one engine of an assignment.
+pub async fn assign_rank(stack: &TestStack, assignment: &EngineAssignment, rank: usize) {
     let order = EngineOrder {
         epoch: assignment.epoch,
         assignment: Some(EngineAssignment {
@@ -53,8 +53,8 @@
         .unwrap_or_else(|error| panic!("{}: {error}", stack.engines[rank].name));
 }
 
-/// An order to generate.
-pub fn stream_order(
+/// A request for a stream of at most `max_tokens` tokens with a fixed prompt.
+pub fn stream_request(
     assignment: &EngineAssignment,
     attempt: &str,
     max_tokens: u32,
@@ -74,26 +74,29 @@
     }
 }
 
-/// Starts a stream; none when it is refused.
-pub async fn start(assignment: &EngineAssignment, order: &StreamRequest) -> Option<HttpStream> {
+/// Starts a stream at the leader; none when it is refused.
+pub async fn start_stream(
+    assignment: &EngineAssignment,
+    request: &StreamRequest,
+) -> Option<HttpStream> {
     let address = assignment.hosts[0].address;
     let started = HttpEngineClient::default()
-        .start(address, order, PATIENCE)
+        .start(address, request, PATIENCE)
         .await;
-    match started.expect("an answer") {
+    match started.expect("a response") {
         StreamStart::Running(stream) => Some(stream),
         StreamStart::Refused { .. } => None,
     }
 }
 
-/// Reads tokens until the stream ends or `count` of them came; the end event, if any, comes too.
+/// Reads up to `count` tokens; if the stream ends before, also returns its last event, if any.
 pub async fn read_tokens(
     stream: &mut HttpStream,
     count: usize,
 ) -> (Vec<String>, Option<StreamEvent>) {
     let mut tokens = Vec::new();
     while tokens.len() < count {
-        match stream.next_event(SILENCE).await.expect("an event") {
+        match stream.next_event(EVENT_TIMEOUT).await.expect("an event") {
             Some(StreamEvent::Token { text, .. }) => tokens.push(text),
             end => return (tokens, end),
         }
--- a/tests/system/fault_switches.rs
+++ b/tests/system/fault_injection.rs
@@ -1,4 +1,4 @@
-//! The switches of the stand-ins do what tests of failures rely on.
+//! Fault injection of the simulated platform, which the other tests rely on.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,13 @@
 use web::{ClientError, read_body};
 use wire::service::IDEMPOTENCY_KEY_HEADER;
 
-use crate::PRODUCT;
+use crate::BINARY;
 
-const SHORT: Duration = Duration::from_millis(300);
+/// Timeout after which a write is given up.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 async fn bare_stack(name: &str) -> TestStack {
-    StackPlan::new(name, PRODUCT)
+    StackPlan::new(name, BINARY)
         .engines(1)
         .entries(0)
         .services(2)
@@ -33,79 +34,90 @@
     let batch = json!({ "token": "t", "writes": [write] });
     let address = stack.table.address;
     let request = json_request(Method::POST, address, "/batch", Some(&batch))?;
-    let answer = stack.client.send(address, request, timeout).await?;
-    Ok(answer.status())
+    let response = stack.client.send(address, request, timeout).await?;
+    Ok(response.status())
 }
 
 async fn row_status(stack: &TestStack, key: &str) -> StatusCode {
     let address = stack.table.address;
     let path = format!("/rows/{key}");
     let request = json_request(Method::GET, address, &path, None::<&()>).expect("a request");
-    let answer = stack.client.send(address, request, SHORT * 10).await;
-    answer.expect("an answer").status()
+    let response = stack
+        .client
+        .send(address, request, SHORT_TIMEOUT * 10)
+        .await;
+    response.expect("a response").status()
 }
 
-// The table applies a write and the answer is lost on the way. The writer sees a broken
-// connection and can't tell whether the row stands; it does.
+/// `lose_next`: the table applies a write and drops the response. The writer sees a broken
+/// connection and the row exists.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_lost() {
-    let stack = bare_stack("answer-lost").await;
-    let plan = FaultPlan::builder().lose_next(1).match_body("rows-of-mine");
+async fn response_lost_after_write() {
+    let stack = bare_stack("response-lost").await;
+    let plan = FaultPlan::builder().lose_next(1).match_body("affected-row");
     stack.table_faults(&plan.build()).await;
-    let other = put_row(&stack, "other", SHORT * 10).await;
-    assert_eq!(other.expect("untouched"), StatusCode::OK);
-    let lost = put_row(&stack, "rows-of-mine", SHORT * 10).await;
+    let other = put_row(&stack, "other", SHORT_TIMEOUT * 10).await;
+    assert_eq!(other.expect("not affected"), StatusCode::OK);
+    let lost = put_row(&stack, "affected-row", SHORT_TIMEOUT * 10).await;
     assert!(matches!(lost, Err(ClientError::Broken(..))), "{lost:?}");
-    assert_eq!(row_status(&stack, "rows-of-mine").await, StatusCode::OK);
-    let next = put_row(&stack, "rows-of-mine", SHORT * 10).await;
-    assert_eq!(next.expect("one loss only"), StatusCode::OK);
+    assert_eq!(row_status(&stack, "affected-row").await, StatusCode::OK);
+    let next = put_row(&stack, "affected-row", SHORT_TIMEOUT * 10).await;
+    assert_eq!(next.expect("only one response is lost"), StatusCode::OK);
     let counts = stack.fault_report(stack.table.address).await.counts;
     assert_eq!((counts.writes, counts.lost), (3, 1));
 }
 
-// The table is slow and the writer gives up. The write is on its way all the same and takes
-// effect after the writer stopped waiting.
+/// `latency_ms`: a write takes effect after its writer has timed out.
 #[tokio::test(flavor = "multi_thread")]
-async fn write_late() {
+async fn write_applied_after_timeout() {
     let stack = bare_stack("write-late").await;
     let slow = FaultPlan::builder().latency_ms(1_500).build();
     stack.table_faults(&slow).await;
-    let given_up = put_row(&stack, "late", SHORT).await;
-    assert!(matches!(given_up, Err(ClientError::TimedOut(_))));
+    let timed_out = put_row(&stack, "late", SHORT_TIMEOUT).await;
+    assert!(matches!(timed_out, Err(ClientError::TimedOut(_))));
     stack.table_faults(&FaultPlan::default()).await;
     assert_eq!(row_status(&stack, "late").await, StatusCode::NOT_FOUND);
     let started = Instant::now();
     while row_status(&stack, "late").await != StatusCode::OK {
-        assert!(started.elapsed() < SHORT * 100, "the write never came");
-        tokio::time::sleep(SHORT).await;
+        assert!(
+            started.elapsed() < SHORT_TIMEOUT * 100,
+            "the write never took effect"
+        );
+        tokio::time::sleep(SHORT_TIMEOUT).await;
     }
 }
 
-// The store is down in one of three ways: it refuses, it is over its limit, or it takes
-// connections and never answers. Nothing takes effect in any of them.
+/// `outage` and `max_writes`: the table refuses requests, is over its limit, or accepts connections
+/// and never responds. No write takes effect in any of these cases.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_down() {
+async fn outage_applies_no_write() {
     let stack = bare_stack("store-down").await;
     let refuse = FaultPlan::builder().outage(OutageMode::Refuse).build();
     stack.table_faults(&refuse).await;
-    let refused = put_row(&stack, "down", SHORT).await;
-    assert_eq!(refused.expect("said"), StatusCode::SERVICE_UNAVAILABLE);
+    let refused = put_row(&stack, "down", SHORT_TIMEOUT).await;
+    assert_eq!(
+        refused.expect("a response"),
+        StatusCode::SERVICE_UNAVAILABLE
+    );
     let throttle = FaultPlan::builder().max_writes(0).build();
     stack.table_faults(&throttle).await;
-    let throttled = put_row(&stack, "down", SHORT).await;
-    assert_eq!(throttled.expect("said"), StatusCode::TOO_MANY_REQUESTS);
+    let throttled = put_row(&stack, "down", SHORT_TIMEOUT).await;
+    assert_eq!(
+        throttled.expect("a response"),
+        StatusCode::TOO_MANY_REQUESTS
+    );
     let hang = FaultPlan::builder().outage(OutageMode::Hang).build();
     stack.table_faults(&hang).await;
-    let unanswered = put_row(&stack, "down", SHORT).await;
-    assert!(matches!(unanswered, Err(ClientError::TimedOut(_))));
+    let timed_out = put_row(&stack, "down", SHORT_TIMEOUT).await;
+    assert!(matches!(timed_out, Err(ClientError::TimedOut(_))));
     stack.table_faults(&FaultPlan::default()).await;
     assert_eq!(row_status(&stack, "down").await, StatusCode::NOT_FOUND);
 }
 
-// A flaky network loses the answers of some writes, chosen by a seed, so that a test that failed
-// once fails again.
+/// `lose_share` loses a share of the responses. A seed selects them, so that failures of tests can
+/// be reproduced.
 #[tokio::test(flavor = "multi_thread")]
-async fn share_lost() {
+async fn lost_share_reproducible() {
     let stack = bare_stack("share-lost").await;
     let flaky = FaultPlan::builder().lose_share(0.5).seed(5).build();
     let mut runs = Vec::new();
@@ -113,7 +125,7 @@
         stack.table_faults(&flaky).await;
         let mut lost = Vec::new();
         for _ in 0..40 {
-            lost.push(put_row(&stack, "flaky", SHORT * 10).await.is_err());
+            lost.push(put_row(&stack, "flaky", SHORT_TIMEOUT * 10).await.is_err());
         }
         runs.push(lost);
     }
@@ -122,10 +134,10 @@
     assert!((10..=30).contains(&count), "{count} of 40");
 }
 
-// A payment runs and its answer is lost. Any instance of the service tells that it ran once,
-// because they share their book.
+/// A payment is sent twice to one instance of the service, and the first response is lost. The
+/// executions of all instances are counted together.
 #[tokio::test(flavor = "multi_thread")]
-async fn execution_counted() {
+async fn executions_counted() {
     let stack = bare_stack("execution-counted").await;
     let lossy = FaultPlan::builder().lose_next(1).build();
     stack.service_faults(&lossy).await;
@@ -136,16 +148,23 @@
             json_request(Method::POST, address, "/fees/pay", Some(&call)).expect("a request");
         let key = http::HeaderValue::from_static("k1");
         request.headers_mut().insert(IDEMPOTENCY_KEY_HEADER, key);
-        if let Ok(answer) = stack.client.send(address, request, SHORT * 10).await {
-            read_body(answer.into_body(), 1 << 16).await.expect("whole");
+        if let Ok(response) = stack
+            .client
+            .send(address, request, SHORT_TIMEOUT * 10)
+            .await
+        {
+            read_body(response.into_body(), 1 << 16)
+                .await
+                .expect("a complete body");
         }
     }
     assert_eq!(stack.executions().await["k1"], 2);
 }
 
-// An engine is restarted: the same host and address, but a new boot number.
+/// A restarted engine has the same host and address but a new boot number, and its faults are
+/// cleared.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_restarted() {
+async fn restart_clears_faults() {
     let mut stack = bare_stack("engine-restarted").await;
     let leaving = FaultPlan::builder().leaving(true).build();
     stack.engine_faults(0, &leaving).await;
--- a/tests/system/host_list.rs
+++ b/tests/system/host_list_delay.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the host list lags.
+//! The simulated host list shows changes with a delay.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use web::client::JsonResponse;
 use wire::hostlist::HostListBody;
 
-use crate::PRODUCT;
+use crate::BINARY;
 
 async fn is_leaving(stack: &TestStack) -> bool {
     let address = stack.hostlist.address;
@@ -19,10 +19,10 @@
     list.value.hosts.iter().any(|host| host.leaving)
 }
 
-// A host is marked as leaving, and the list goes on for a while without the mark.
+/// A host is marked as leaving, and the list shows it without the mark until the delay has passed.
 #[tokio::test(flavor = "multi_thread")]
-async fn list_lags() {
-    let stack = StackPlan::new("list-lags", PRODUCT)
+async fn mark_shown_after_delay() {
+    let stack = StackPlan::new("list-delayed", BINARY)
         .engines(2)
         .entries(0)
         .hostlist_options(&["--lag-ms", "1500"])
@@ -31,8 +31,11 @@
     let marked = Instant::now();
     stack.set_leaving(&["h01"]);
     while !is_leaving(&stack).await {
-        assert!(marked.elapsed() < PATIENCE, "the mark never shows");
+        assert!(marked.elapsed() < PATIENCE, "the mark is never shown");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(marked.elapsed() >= Duration::from_millis(1500), "no lag");
+    assert!(
+        marked.elapsed() >= Duration::from_millis(1500),
+        "the mark is shown without delay"
+    );
 }
--- a/tests/system/host_loss.rs
+++ b/tests/system/loss_under_load.rs
@@ -1,4 +1,4 @@
-//! Losing one host of a replica cuts off no caller.
+//! Hosts that die under load: responses are complete or refused, never cut off.
 
 use std::time::Duration;
 
@@ -7,24 +7,28 @@
 use standin::load::run_load;
 use standin::stack::{StackPlan, TestStack};
 
-use crate::PRODUCT;
+use crate::BINARY;
 
 const LOAD_TIME: Duration = Duration::from_secs(6);
 const LOSS_AFTER: Duration = Duration::from_secs(2);
 
 fn plan(name: &str) -> StackPlan {
-    StackPlan::new(name, PRODUCT).engine_options(&["--report-lag-ms", "0"])
+    StackPlan::new(name, BINARY).engine_options(&["--report-lag-ms", "0"])
 }
 
-/// Waits until streams run on a replica, so that its loss hits some.
+/// Waits until the replica runs streams, so that its loss affects some.
 async fn wait_running(stack: &TestStack, leader: usize) {
     while stack.engine_state(leader).await.load.running < 2 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Sends a load and kills, in the midst of it, the host of a rank in so many replicas.
-async fn load_while(stack: &mut TestStack, rank: usize, replicas_hit: usize) -> LoadReport {
+/// Runs a load test and kills the host with this rank in `replica_count` replicas during it.
+async fn run_load_with_loss(
+    stack: &mut TestStack,
+    rank: usize,
+    replica_count: usize,
+) -> LoadReport {
     let plan = LoadPlan::builder()
         .entries(stack.entries.iter().map(|entry| entry.address).collect())
         .service(stack.services[0].address)
@@ -35,14 +39,14 @@
     tokio::time::sleep(LOSS_AFTER).await;
     let replicas = stack.replica_engines().await;
     assert_eq!(replicas.len(), 2);
-    for members in replicas.values().take(replicas_hit) {
+    for members in replicas.values().take(replica_count) {
         wait_running(stack, members[0]).await;
         stack.engines[members[rank]].kill();
     }
     load.await.expect("no panic").expect("a report")
 }
 
-fn assert_all_whole(report: &LoadReport) {
+fn assert_all_complete(report: &LoadReport) {
     let chats = report.chats;
     assert!(chats.offered > 60, "{report}");
     assert_eq!(chats.whole, chats.offered, "{report}");
@@ -51,31 +55,30 @@
     assert_eq!((payments.lost, payments.doubled), (0, 0), "{report}");
 }
 
-// A host dies that computes a part of every token and answers nobody itself. The engine that
-// answers stalls and says nothing for long. Callers see a pause at worst; every answer comes
-// whole, from the other replica.
+/// A host other than the leader dies. The leader stalls and reports nothing for a long time.
+/// Clients may see a pause; every response must be completed by the other replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn member_killed() {
     let mut stack = plan("member-killed").start().await;
-    let report = load_while(&mut stack, 2, 1).await;
-    assert_all_whole(&report);
+    let report = run_load_with_loss(&mut stack, 2, 1).await;
+    assert_all_complete(&report);
 }
 
-// The host dies that answers for its replica, and with it every connection on which tokens came.
+/// The leader of a replica dies, and with it all connections that carry its streams.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_killed() {
     let mut stack = plan("leader-killed").start().await;
-    let report = load_while(&mut stack, 0, 1).await;
-    assert_all_whole(&report);
+    let report = run_load_with_loss(&mut stack, 0, 1).await;
+    assert_all_complete(&report);
 }
 
-// Both replicas lose a host at once, and for a while nobody serves. Callers get a whole answer or
-// are told at once that there is none; no stream ends silently. The hosts that are left form a
-// new replica, and the next question is answered.
+/// Both replicas lose a host at once and no replica serves for a while. Clients must get a complete
+/// response or an error at once; no stream may be cut off. The remaining hosts form a new replica,
+/// and requests are served again.
 #[tokio::test(flavor = "multi_thread")]
-async fn both_hit() {
-    let mut stack = plan("both-hit").start().await;
-    let report = load_while(&mut stack, 1, 2).await;
+async fn both_replicas_lose_host() {
+    let mut stack = plan("both-replicas").start().await;
+    let report = run_load_with_loss(&mut stack, 1, 2).await;
     assert_eq!(report.chats.cut, 0, "{report}");
     let payments = report.payments;
     assert_eq!(payments.ran, payments.offered, "{report}");
--- a/tests/system/main.rs
+++ b/tests/system/main.rs
@@ -1,31 +1,32 @@
-//! End-to-end tests: the built binaries as separate processes on loopback, one module a feature.
+//! End-to-end tests: the built binaries run as separate processes on loopback, one module per
+//! feature.
 
-mod claim_batches;
+mod availability;
+mod claim_batching;
 mod config_faults;
-mod config_follow;
-mod direct;
-mod engine_load;
-mod engine_roles;
-mod event_stream;
-mod fault_switches;
-mod graceful_stop;
-mod host_leaving;
-mod host_list;
-mod host_loss;
-mod host_missing;
-mod lease_pause;
-mod operator_client;
-mod outage;
-mod payment_storm;
-mod quickstart_keep;
+mod config_propagation;
+mod direct_engine;
+mod engine_queue_and_cache;
+mod engine_roles_and_faults;
+mod engine_streams;
+mod event_stream_client;
+mod fault_injection;
+mod graceful_shutdown;
+mod host_draining;
+mod host_list_delay;
+mod lease_takeover;
+mod loss_under_load;
+mod normal_operation;
+mod operator_commands;
+mod payment_stress;
+mod probe_sharing;
+mod quickstart;
+mod replica_recovery;
+mod rolling_update;
 mod service_calls;
 mod stream_failover;
-mod stream_linger;
 mod stream_resume;
-mod table_cut;
-mod version_change;
-mod watch_share;
-mod whole_path;
+mod table_proxy;
 
-/// The built product.
-const PRODUCT: &str = env!("CARGO_BIN_EXE_bramleyspring");
+/// Path of the built binary.
+const BINARY: &str = env!("CARGO_BIN_EXE_bramleyspring");
--- a/tests/system/operator_client.rs
+++ b/tests/system/operator_commands.rs
@@ -1,18 +1,18 @@
-//! The operators' client: what it prints, how it ends, and what it refuses.
+//! Operator commands: output, exit codes and errors.
 
 use std::process::{Command, Output};
 
 use serde_json::{Value, json};
 use standin::stack::{OPERATOR_KEY, PATIENCE, StackPlan, TestStack};
 
-use crate::PRODUCT;
+use crate::BINARY;
 
-const DONE: Option<i32> = Some(0);
-const FAILED: Option<i32> = Some(1);
-const BAD_COMMAND_LINE: Option<i32> = Some(2);
+const SUCCESS: Option<i32> = Some(0);
+const FAILURE: Option<i32> = Some(1);
+const USAGE_ERROR: Option<i32> = Some(2);
 
 async fn small_stack(name: &str) -> TestStack {
-    let plan = StackPlan::new(name, PRODUCT)
+    let plan = StackPlan::new(name, BINARY)
         .engines(2)
         .replicas(1)
         .hosts_per_replica(2);
@@ -27,51 +27,56 @@
         .expect("the client runs")
 }
 
-fn text(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn problem(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn file(name: &str, content: &Value) -> String {
+/// Writes a temporary file and returns its path.
+fn write_file(name: &str, content: &Value) -> String {
     let path = std::env::temp_dir().join(format!("bramleyspring-{}-{name}", std::process::id()));
     std::fs::write(&path, content.to_string()).expect("writable");
     path.display().to_string()
 }
 
-fn drain_of(hosts: &[&str]) -> Value {
+fn drain_record(hosts: &[&str]) -> Value {
     json!({ "schema": 1, "kind": "drain", "name": "rack-7", "spec": { "hosts": hosts } })
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn record_round() {
-    let stack = small_stack("record-round").await;
-    let path = file("round.json", &drain_of(&["h99"]));
+async fn record_applied_and_deleted() {
+    let stack = small_stack("record-commands").await;
+    let path = write_file("record.json", &drain_record(&["h99"]));
 
     let new = run(&stack, &["diff", &path]);
-    assert_eq!(new.status.code(), FAILED, "a new record differs");
-    assert!(text(&new).contains("drain rack-7: new"), "{}", text(&new));
+    assert_eq!(new.status.code(), FAILURE, "a new record is a difference");
+    assert!(
+        stdout(&new).contains("drain rack-7: new"),
+        "{}",
+        stdout(&new)
+    );
 
     let applied = run(&stack, &["apply", "--wait", "--operator", "awa", &path]);
-    assert_eq!(applied.status.code(), DONE, "{}", problem(&applied));
+    assert_eq!(applied.status.code(), SUCCESS, "{}", stderr(&applied));
     assert!(
-        text(&applied).contains("is in force on"),
+        stdout(&applied).contains("is in force on"),
         "{}",
-        text(&applied)
+        stdout(&applied)
     );
 
     let same = run(&stack, &["diff", &path]);
-    assert_eq!(same.status.code(), DONE, "{}", text(&same));
+    assert_eq!(same.status.code(), SUCCESS, "{}", stdout(&same));
 
     let shown = run(&stack, &["get", "drain", "rack-7"]);
-    let record: Value = serde_json::from_slice(&shown.stdout).expect("JSON");
+    let record: Value = serde_json::from_slice(&shown.stdout).expect("valid JSON");
     assert_eq!(record["record"]["spec"]["hosts"], json!(["h99"]));
 
     let deleted = run(&stack, &["delete", "drain", "rack-7", "--operator", "ion"]);
-    assert_eq!(deleted.status.code(), DONE, "{}", problem(&deleted));
-    let history = text(&run(&stack, &["history", "drain", "rack-7"]));
+    assert_eq!(deleted.status.code(), SUCCESS, "{}", stderr(&deleted));
+    let history = stdout(&run(&stack, &["history", "drain", "rack-7"]));
     let lines: Vec<&str> = history.lines().collect();
     assert!(
         lines[1].contains("deleted") && lines[1].contains("ion"),
@@ -83,34 +88,34 @@
     );
 }
 
-/// Two operators read the same record and both amend it. The later one must be told who was
-/// faster, or the first one's change would vanish without a word.
+/// Two operators read the same record and both amend it. The later one must be told who amended it
+/// first, or the first amendment would be lost unnoticed.
 #[tokio::test(flavor = "multi_thread")]
-async fn later_operator_told() {
-    let stack = small_stack("later-operator").await;
-    let first = file("first.json", &drain_of(&["h98"]));
-    let second = file("second.json", &drain_of(&["h99"]));
+async fn conflicting_amendment_refused() {
+    let stack = small_stack("conflicting-amendment").await;
+    let first = write_file("first.json", &drain_record(&["h98"]));
+    let second = write_file("second.json", &drain_record(&["h99"]));
     let written = run(
         &stack,
         &["apply", "--expect", "0", "--operator", "awa", &first],
     );
-    assert_eq!(written.status.code(), DONE, "{}", problem(&written));
+    assert_eq!(written.status.code(), SUCCESS, "{}", stderr(&written));
     let late = run(
         &stack,
         &["apply", "--expect", "0", "--operator", "ion", &second],
     );
-    assert_eq!(late.status.code(), FAILED);
+    assert_eq!(late.status.code(), FAILURE);
     assert!(
-        problem(&late).contains("written by awa"),
+        stderr(&late).contains("written by awa"),
         "{}",
-        problem(&late)
+        stderr(&late)
     );
-    let shown = text(&run(&stack, &["get", "drain", "rack-7"]));
+    let shown = stdout(&run(&stack, &["get", "drain", "rack-7"]));
     assert!(shown.contains("h98"), "{shown}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn findings_together() {
+async fn all_findings_reported() {
     let stack = small_stack("findings").await;
     let records = json!([
         { "schema": 2, "kind": "customer", "name": "a b", "spec": {} },
@@ -118,24 +123,24 @@
           "spec": { "key_hashes": ["xyz"], "grants": [], "share": 0 } },
         { "schema": 9, "kind": "model", "name": "m", "spec": {} },
     ]);
-    let path = file("findings.json", &records);
+    let path = write_file("findings.json", &records);
     for arguments in [["check", &path], ["apply", &path]] {
         let output = run(&stack, &arguments);
-        assert_eq!(output.status.code(), FAILED);
-        let problem = problem(&output);
+        assert_eq!(output.status.code(), FAILURE);
+        let errors = stderr(&output);
         for place in [
             "[0] (a b): name",
             "spec.share",
             "spec.key_hashes[0]",
             "schema version 9",
         ] {
-            assert!(problem.contains(place), "{place} is missing in {problem}");
+            assert!(errors.contains(place), "{place} is missing in {errors}");
         }
     }
-    let records = text(&run(&stack, &["get", "customer"]));
+    let records = stdout(&run(&stack, &["get", "customer"]));
     assert!(
         !records.contains(" c "),
-        "nothing of a bad file is written: {records}"
+        "a record of an invalid file was written: {records}"
     );
 }
 
@@ -147,25 +152,25 @@
         .env("BRAMLEYSPRING_KEY", "not-the-operators-key")
         .arg("status");
     let output = command.output().expect("the client runs");
-    assert_eq!(output.status.code(), FAILED);
+    assert_eq!(output.status.code(), FAILURE);
     assert!(
-        problem(&output).contains("operators' key"),
+        stderr(&output).contains("operators' key"),
         "{}",
-        problem(&output)
+        stderr(&output)
     );
-    assert!(!problem(&output).contains(OPERATOR_KEY));
+    assert!(!stderr(&output).contains(OPERATOR_KEY));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn way_on_timeline() {
+async fn timeline_shows_request() {
     let stack = small_stack("timeline").await;
-    let answer = stack
+    let response = stack
         .complete(1, "Which form renews a stall licence?", 4)
         .await;
-    let request = answer.json()["id"].as_str().expect("an id").to_owned();
+    let request = response.json()["id"].as_str().expect("an id").to_owned();
     let shown = run(&stack, &["timeline", "--request", &request]);
-    assert_eq!(shown.status.code(), DONE, "{}", problem(&shown));
-    let shown = text(&shown);
+    assert_eq!(shown.status.code(), SUCCESS, "{}", stderr(&shown));
+    let shown = stdout(&shown);
     for step in ["request_admitted", "attempt_started"] {
         assert!(shown.contains(step), "{step} is missing in {shown}");
     }
@@ -178,15 +183,15 @@
         metrics.lines().any(|line| line.starts_with(gaps)),
         "{metrics}"
     );
-    let page = text(&run(&stack, &["timeline", "--format", "html"]));
+    let page = stdout(&run(&stack, &["timeline", "--format", "html"]));
     assert!(page.starts_with("<!doctype html>") && page.contains("node_started"));
 }
 
-/// One entry host is gone while an operator looks. The others' status and events must still be
-/// shown, with the missing one named.
+/// An entry node is down. The status and events of the other nodes must still be shown, and the
+/// missing node must be named.
 #[tokio::test(flavor = "multi_thread")]
-async fn node_gone() {
-    let mut stack = small_stack("node-gone").await;
+async fn missing_node_named() {
+    let mut stack = small_stack("missing-node").await;
     let gone = stack.entries[1].admin_now();
     let mut command = stack.operator();
     stack.entries[1].signal("KILL");
@@ -195,13 +200,13 @@
         .args(["timeline"])
         .output()
         .expect("the client runs");
-    assert_eq!(output.status.code(), DONE, "{}", problem(&output));
+    assert_eq!(output.status.code(), SUCCESS, "{}", stderr(&output));
     assert!(
-        text(&output).contains(&format!("missing: {gone}")),
+        stdout(&output).contains(&format!("missing: {gone}")),
         "{}",
-        text(&output)
+        stdout(&output)
     );
-    let status = text(&run(&stack, &["status"]));
+    let status = stdout(&run(&stack, &["status"]));
     assert!(
         status.contains("e0") && status.contains("no answer"),
         "{status}"
@@ -209,67 +214,68 @@
 }
 
 #[test]
-fn bad_command_line() {
+fn invalid_command_line() {
     for arguments in [
         &["serve"][..],
         &["apply"],
         &["frobnicate"],
         &["get", "--format", "xml"],
     ] {
-        let output = Command::new(PRODUCT)
+        let output = Command::new(BINARY)
             .args(arguments)
             .output()
             .expect("the client runs");
-        assert_eq!(output.status.code(), BAD_COMMAND_LINE, "{arguments:?}");
-        assert!(problem(&output).contains("--help"), "{}", problem(&output));
+        assert_eq!(output.status.code(), USAGE_ERROR, "{arguments:?}");
+        assert!(stderr(&output).contains("--help"), "{}", stderr(&output));
     }
-    let help = Command::new(PRODUCT)
+    let help = Command::new(BINARY)
         .arg("--help")
         .output()
         .expect("the client runs");
-    assert!(text(&help).contains("Examples:"), "{}", text(&help));
+    assert!(stdout(&help).contains("Examples:"), "{}", stdout(&help));
 }
 
-/// Two of three entry hosts are frozen, which to the third looks like a partition with itself on
-/// the small side. An amendment over it would be told to be in force within seconds while most
-/// callers still get the old configuration. The operator must be told to go elsewhere, and when
-/// the others are back the same amendment must be accepted.
+/// Two of three entry nodes are suspended, which the third can't tell from a partition with itself
+/// in the minority. If it accepted an amendment, the operator would be told that it is active while
+/// most clients still get the old configuration. It must refuse the amendment and accept it once
+/// the others are back.
 #[tokio::test(flavor = "multi_thread")]
-async fn small_side_refused() {
+async fn minority_refuses_amendments() {
     let members = json!({ "beat": "200ms", "write": "1s", "dead": "2s", "unheard": "1s" });
-    let plan = StackPlan::new("small-side", PRODUCT)
+    let plan = StackPlan::new("minority", BINARY)
         .engines(2)
         .replicas(1)
         .hosts_per_replica(2);
     let stack = plan.settings("members", members).start().await;
-    let path = file("small-side.json", &drain_of(&["h99"]));
+    let path = write_file("minority.json", &drain_record(&["h99"]));
     for entry in &stack.entries[1..] {
         entry.signal("STOP");
     }
-    let refused = apply_until(&stack, &path, FAILED).await;
+    let refused = apply_until(&stack, &path, FAILURE).await;
     assert!(
-        problem(&refused).contains("less than half"),
+        stderr(&refused).contains("less than half"),
         "{}",
-        problem(&refused)
+        stderr(&refused)
     );
     for entry in &stack.entries[1..] {
         entry.signal("CONT");
     }
-    apply_until(&stack, &path, DONE).await;
+    apply_until(&stack, &path, SUCCESS).await;
 }
 
-async fn apply_until(stack: &TestStack, path: &str, wanted: Option<i32>) -> Output {
+/// Applies a file until the command exits with the expected code.
+async fn apply_until(stack: &TestStack, path: &str, expected: Option<i32>) -> Output {
     let started = std::time::Instant::now();
     loop {
         let output = run(stack, &["apply", path]);
-        if output.status.code() == wanted {
+        if output.status.code() == expected {
             return output;
         }
         assert!(
             started.elapsed() < PATIENCE,
             "{}{}",
-            text(&output),
-            problem(&output)
+            stdout(&output),
+            stderr(&output)
         );
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     }
--- a/tests/system/quickstart_keep.rs
+++ b/tests/system/quickstart.rs
@@ -1,4 +1,4 @@
-//! The quickstart stays up, says where everything is, and leaves nothing behind.
+//! `standin quickstart --keep` lists its processes in files and stops them all when interrupted.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use standin::stack::PATIENCE;
 
-use crate::PRODUCT;
+use crate::BINARY;
 
 struct RunningQuickstart {
     child: Child,
@@ -17,29 +17,29 @@
 impl RunningQuickstart {
     fn start() -> Self {
         let folder = std::env::temp_dir().join(format!("quickstart-{}", std::process::id()));
-        let child = Command::new(Path::new(PRODUCT).with_file_name("standin"))
+        let child = Command::new(Path::new(BINARY).with_file_name("standin"))
             .args(["quickstart", "--keep", "--folder"])
             .arg(&folder)
             .stdout(Stdio::null())
             .spawn()
-            .expect("it starts");
+            .expect("the quickstart starts");
         Self { child, folder }
     }
 
-    fn sheet(&self, name: &str) -> Value {
+    fn read_json(&self, name: &str) -> Value {
         let started = Instant::now();
         loop {
             if let Ok(bytes) = std::fs::read(self.folder.join(name)) {
-                return serde_json::from_slice(&bytes).expect("whole JSON");
+                return serde_json::from_slice(&bytes).expect("valid JSON");
             }
-            assert!(started.elapsed() < PATIENCE, "no {name}");
+            assert!(started.elapsed() < PATIENCE, "{name} was not written");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
     fn interrupt(&mut self) {
         signal("INT", &self.child.id().to_string());
-        self.child.wait().expect("it ends");
+        self.child.wait().expect("the quickstart exits");
     }
 }
 
@@ -60,25 +60,33 @@
 }
 
 #[test]
-fn sheets_written() {
+fn files_written_and_processes_stopped() {
     let mut quickstart = RunningQuickstart::start();
-    let processes = quickstart.sheet("processes.json");
-    let callers = quickstart.sheet("callers.json");
+    let processes = quickstart.read_json("processes.json");
+    let callers = quickstart.read_json("callers.json");
     let processes = processes.as_array().expect("an array");
-    let count = |role: &str| processes.iter().filter(|one| one["role"] == role).count();
+    let count = |role: &str| {
+        processes
+            .iter()
+            .filter(|process| process["role"] == role)
+            .count()
+    };
     let counts = ["entry", "engine", "service"].map(count);
     assert_eq!(counts, [3, 8, 3]);
     let singles = ["table", "objects", "hostlist", "weights"].map(count);
     assert_eq!(singles, [1, 1, 1, 1]);
     assert_eq!(callers["entries"].as_array().map(Vec::len), Some(3));
     assert_eq!(callers["model"], "trader-help");
-    let pids: Vec<String> = processes.iter().map(|one| one["pid"].to_string()).collect();
+    let pids: Vec<String> = processes
+        .iter()
+        .map(|process| process["pid"].to_string())
+        .collect();
     for pid in &pids {
-        assert!(signal("0", pid), "process {pid} is not there");
+        assert!(signal("0", pid), "process {pid} is not running");
     }
     quickstart.interrupt();
     for pid in &pids {
-        assert!(!signal("0", pid), "process {pid} is left behind");
+        assert!(!signal("0", pid), "process {pid} is still running");
     }
     assert!(!quickstart.folder.join("processes.json").exists());
 }
--- a/tests/system/service_calls.rs
+++ b/tests/system/service_calls.rs
@@ -1,4 +1,4 @@
-//! Payments and look-ups while the service, the store or an entry fails.
+//! Payments and look-ups while the service or the store fails.
 
 use std::net::TcpListener;
 
@@ -7,10 +7,10 @@
 use standin::faults::{FaultPlan, OutageMode};
 use standin::stack::{CallerAnswer, StackPlan, TestStack};
 
-use crate::PRODUCT;
+use crate::BINARY;
 
-const PAY: &str = "/v1/services/licences/fees/pay";
-const FIND: &str = "/v1/services/licences/licences/find";
+const PAY_PATH: &str = "/v1/services/licences/fees/pay";
+const FIND_PATH: &str = "/v1/services/licences/licences/find";
 
 fn payment() -> Value {
     json!({ "stall": "B-14", "trader": "A. Sow", "fee_xof": 15_000, "month": "2026-11" })
@@ -18,11 +18,11 @@
 
 async fn pay(stack: &TestStack, entry: usize, key: &str) -> CallerAnswer {
     let headers = [("idempotency-key", key)];
-    stack.call(entry, PAY, &headers, &payment()).await
+    stack.call(entry, PAY_PATH, &headers, &payment()).await
 }
 
-fn execution(answer: &CallerAnswer) -> String {
-    let error = &answer.json()["error"];
+fn execution(response: &CallerAnswer) -> String {
+    let error = &response.json()["error"];
     error["execution"].as_str().unwrap_or("none").to_owned()
 }
 
@@ -30,13 +30,13 @@
     stack.executions().await.get(key).copied().unwrap_or(0)
 }
 
-/// The payments service is not running. The trader is told that nothing was run, and the same key
-/// pays once the service is back.
+/// The service is not running. The caller learns that the payment was not run, and a retry with the
+/// same key runs it once the service is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn service_gone() {
-    let mut stack = StackPlan::new("service-gone", PRODUCT).start().await;
+async fn stopped_service_not_run() {
+    let mut stack = StackPlan::new("service-stopped", BINARY).start().await;
     stack.services[0].kill();
-    let refused = pay(&stack, 0, "gone-1").await;
+    let refused = pay(&stack, 0, "stopped-1").await;
     assert_eq!(
         refused.status,
         StatusCode::BAD_GATEWAY,
@@ -46,15 +46,15 @@
     assert_eq!(execution(&refused), "not_run");
     assert!(refused.retry_after.is_some());
     stack.services[0].restart();
-    let paid = pay(&stack, 1, "gone-1").await;
+    let paid = pay(&stack, 1, "stopped-1").await;
     assert_eq!(paid.status, StatusCode::OK, "{}", paid.text());
-    assert_eq!(executions(&stack, "gone-1").await, 1);
+    assert_eq!(executions(&stack, "stopped-1").await, 1);
 }
 
-/// One of two instances is not running. Traders must not notice.
+/// One of two instances is not running. No call may fail because of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn instance_gone() {
-    let plan = StackPlan::new("instance-gone", PRODUCT).services(2);
+async fn stopped_instance_skipped() {
+    let plan = StackPlan::new("instance-stopped", BINARY).services(2);
     let mut stack = plan.start().await;
     stack.services[1].kill();
     for number in 0..10 {
@@ -63,17 +63,18 @@
         assert_eq!(paid.status, StatusCode::OK, "{}", paid.text());
         assert_eq!(executions(&stack, &key).await, 1);
         let found = stack
-            .call(number % 3, FIND, &[], &json!({ "stall": "B-14" }))
+            .call(number % 3, FIND_PATH, &[], &json!({ "stall": "B-14" }))
             .await;
         assert_eq!(found.status, StatusCode::OK, "{}", found.text());
     }
 }
 
-/// The service takes a payment and its answer is lost. The entry can't know and must not send
-/// again; asked again with the same key it finds the payment in the service's books.
+/// The service runs a payment and its response is lost. The entry node can't know the outcome and
+/// must not send the payment again; on a retry with the same key it finds the payment by a look-up
+/// at the service.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_lost() {
-    let stack = StackPlan::new("answer-lost", PRODUCT).start().await;
+async fn lost_response_found() {
+    let stack = StackPlan::new("response-lost", BINARY).start().await;
     let fault = FaultPlan::builder().lose_next(1).build();
     stack.service_faults(&fault).await;
     let lost = pay(&stack, 0, "lost-1").await;
@@ -87,11 +88,11 @@
     assert_eq!(executions(&stack, "lost-1").await, 1);
 }
 
-/// A payment's connection breaks and the service's books show nothing of it. That proves nothing,
-/// since the payment may still be under way, so the key stays taken.
+/// The connection of a payment breaks and a look-up at the service finds no execution. That proves
+/// nothing, since the payment may still be in transit, so the key stays claimed.
 #[tokio::test(flavor = "multi_thread")]
-async fn never_arrived() {
-    let stack = StackPlan::new("never-arrived", PRODUCT).start().await;
+async fn missing_execution_stays_unknown() {
+    let stack = StackPlan::new("missing-execution", BINARY).start().await;
     let fault = FaultPlan::builder().drop_next(1).build();
     stack.service_faults(&fault).await;
     let lost = pay(&stack, 0, "dropped-1").await;
@@ -100,29 +101,35 @@
     assert_eq!(again.status, StatusCode::CONFLICT, "{}", again.text());
     assert_eq!(execution(&again), "unknown");
     assert!(again.retry_after.is_some());
-    assert_eq!(executions(&stack, "dropped-1").await, 0, "never sent again");
+    assert_eq!(
+        executions(&stack, "dropped-1").await,
+        0,
+        "the payment was sent again"
+    );
 }
 
-/// A clerk's look-up loses its connection. It may be repeated, so the clerk gets the answer.
+/// A look-up loses its connection. It is idempotent and retried, so the caller gets the response.
 #[tokio::test(flavor = "multi_thread")]
-async fn lookup_repeated() {
-    let stack = StackPlan::new("lookup-repeated", PRODUCT).start().await;
+async fn lookup_retried() {
+    let stack = StackPlan::new("lookup-retried", BINARY).start().await;
     for fault in [
         FaultPlan::builder().drop_next(1).build(),
         FaultPlan::builder().lose_next(1).build(),
         FaultPlan::builder().refuse_next(1).build(),
     ] {
         stack.service_faults(&fault).await;
-        let found = stack.call(0, FIND, &[], &json!({ "stall": "B-14" })).await;
+        let found = stack
+            .call(0, FIND_PATH, &[], &json!({ "stall": "B-14" }))
+            .await;
         assert_eq!(found.status, StatusCode::OK, "{}", found.text());
     }
 }
 
-/// The platform's store is down. Without a claim a payment could be sent twice by two entries, so
-/// it is refused at once, truthfully as not run; look-ups and questions go on.
+/// The store is down. Without a claim, two entry nodes could both send a payment, so it is refused
+/// at once as not run. Look-ups and completions are still served.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_down() {
-    let stack = StackPlan::new("store-down", PRODUCT).start().await;
+async fn store_outage_refuses_payments() {
+    let stack = StackPlan::new("store-down", BINARY).start().await;
     for outage in [OutageMode::Refuse, OutageMode::Hang] {
         let key = format!("store-{outage:?}");
         let fault = FaultPlan::builder().outage(outage).build();
@@ -137,25 +144,27 @@
         assert_eq!(execution(&refused), "not_run");
         assert!(refused.retry_after.is_some());
         assert_eq!(executions(&stack, &key).await, 0);
-        let found = stack.call(0, FIND, &[], &json!({ "stall": "B-14" })).await;
+        let found = stack
+            .call(0, FIND_PATH, &[], &json!({ "stall": "B-14" }))
+            .await;
         assert_eq!(found.status, StatusCode::OK, "{}", found.text());
-        let answer = stack.complete(0, "Which form?", 5).await;
-        assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
+        let response = stack.complete(0, "Which form?", 5).await;
+        assert_eq!(response.status, StatusCode::OK, "{}", response.text());
     }
     stack.table_faults(&FaultPlan::default()).await;
 }
 
-/// A socket that accepts and never answers stands where the service was; the payment may have been
-/// read by whatever it is, so its outcome is unknown, not "not run".
+/// At the address of the service, a socket accepts connections and never responds. Its process may
+/// have read the payment, so the outcome is `unknown` and not `not_run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_service() {
+async fn unresponsive_service_unknown() {
     let settings = json!({ "call_timeout": "500ms" });
-    let plan = StackPlan::new("silent-service", PRODUCT).settings("entry", settings);
+    let plan = StackPlan::new("unresponsive-service", BINARY).settings("entry", settings);
     let mut stack = plan.start().await;
     let address = stack.services[0].address;
     stack.services[0].kill();
-    let silent = TcpListener::bind(address).expect("the port is free");
-    let lost = pay(&stack, 0, "silent-1").await;
+    let listener = TcpListener::bind(address).expect("the port is free");
+    let lost = pay(&stack, 0, "unresponsive-1").await;
     assert_eq!(execution(&lost), "unknown", "{}", lost.text());
-    drop(silent);
+    drop(listener);
 }
--- a/tests/system/stream_resume.rs
+++ b/tests/system/stream_resume.rs
@@ -1,27 +1,33 @@
-//! Callers that go on with a stream at another entry.
+//! Clients resume streams at another entry node.
 
 use futures::future::join_all;
 use http::StatusCode;
 use serde_json::json;
 use standin::stack::StackPlan;
 
-use crate::PRODUCT;
-use crate::event_stream::{EventStream, open_stream, question, undisturbed_text};
+use crate::BINARY;
+use crate::event_stream_client::{EventStream, complete_text, completion_request, open_stream};
 
 const TOKENS: u32 = 300;
-/// So many run at once at one entry of three; more would wait for the first to end.
+/// As many as one of three entry nodes runs at once; more would wait for the first to end.
 const STREAMS: u64 = 8;
-/// Long enough that none ends before the last of them has begun, on a busy machine too.
-const LONG: u32 = 1_500;
+/// Long enough that no stream ends before the last one has started, also on a busy machine.
+const LONG_STREAM_TOKENS: u32 = 1_500;
 
-/// An entry host dies in the midst of many answers. Each trader's client connects to another entry
-/// with the id of the last event it has, and must get the rest: no word missing, none twice.
+/// An entry node dies during many streams. Each client connects to another entry node with the id
+/// of its last event and must get the rest, with no word missing or repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_killed() {
-    let mut stack = StackPlan::new("entry-killed", PRODUCT).start().await;
-    let begun = &stack;
+async fn resumes_after_entry_node_killed() {
+    let mut stack = StackPlan::new("entry-killed", BINARY).start().await;
+    let healthy_stack = &stack;
     let opened = (0..STREAMS).map(|seed| async move {
-        let mut stream = open_stream(begun, 0, &question(seed, LONG), None).await;
+        let mut stream = open_stream(
+            healthy_stack,
+            0,
+            &completion_request(seed, LONG_STREAM_TOKENS),
+            None,
+        )
+        .await;
         stream.read_words(5).await;
         stream
     });
@@ -30,28 +36,37 @@
     join_all(streams.iter_mut().map(EventStream::read_all)).await;
     let shared = &stack;
     let resumed = streams.iter().zip(0..).map(|(first, seed)| async move {
-        assert_eq!(first.closing, "", "it can't have ended by itself");
+        assert_eq!(
+            first.final_event, "",
+            "the stream ended before the node was killed"
+        );
         let entry = if seed % 2 == 0 { 1 } else { 2 };
-        let mut rest =
-            open_stream(shared, entry, &question(seed, LONG), Some(&first.last_id)).await;
+        let mut rest = open_stream(
+            shared,
+            entry,
+            &completion_request(seed, LONG_STREAM_TOKENS),
+            Some(&first.last_id),
+        )
+        .await;
         rest.read_all().await;
-        assert_eq!(rest.closing, "[DONE]");
+        assert_eq!(rest.final_event, "[DONE]");
         format!("{}{}", first.text, rest.text)
     });
     let texts = join_all(resumed).await;
-    let expected = (0..STREAMS)
-        .map(|seed| async move { undisturbed_text(shared, 1, &question(seed, LONG)).await });
+    let expected = (0..STREAMS).map(|seed| async move {
+        complete_text(shared, 1, &completion_request(seed, LONG_STREAM_TOKENS)).await
+    });
     assert_eq!(texts, join_all(expected).await);
-    println!("{} streams of a killed entry, all resumed", texts.len());
+    println!("{} streams of a killed entry node resumed", texts.len());
 }
 
-/// The entry and the host that kept the stream die together. The other entry has nothing but the
-/// token; it has the answer generated again and passes on only what the trader lacks.
+/// The entry node and the engine that has the stream die together. Another entry node has only the
+/// resume token; it must generate the text again and send only what the client lacks.
 #[tokio::test(flavor = "multi_thread")]
-async fn both_killed() {
-    let mut stack = StackPlan::new("both-killed", PRODUCT).start().await;
-    let body = question(8, TOKENS);
-    let expected = undisturbed_text(&stack, 1, &body).await;
+async fn resumes_after_entry_node_and_engine_killed() {
+    let mut stack = StackPlan::new("both-killed", BINARY).start().await;
+    let body = completion_request(8, TOKENS);
+    let expected = complete_text(&stack, 1, &body).await;
     let mut first = open_stream(&stack, 0, &body, None).await;
     first.read_words(20).await;
     let replicas = stack.replica_engines().await;
@@ -62,7 +77,7 @@
         }
     }
     stack.entries[0].kill();
-    // Which replica ran the stream can't be told for certain from a lagged report.
+    // Load reports are delayed and may not show which replica runs the stream.
     let leader = leaders.first().copied().unwrap_or_else(|| {
         let (_, engines) = replicas.iter().next().expect("a replica");
         engines[0]
@@ -71,41 +86,41 @@
     first.read_all().await;
     let mut second = open_stream(&stack, 2, &body, Some(&first.last_id)).await;
     second.read_all().await;
-    assert_eq!(second.closing, "[DONE]");
+    assert_eq!(second.final_event, "[DONE]");
     assert_eq!(format!("{}{}", first.text, second.text), expected);
 }
 
-/// The trader names no seed, so the first entry chose one. Unless the other entry uses the same,
-/// the rest of the answer is that of another one.
+/// The client gives no seed, so the first entry node chooses one. The other entry node must use the
+/// same seed, or the rest would belong to another text.
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_kept() {
-    let stack = StackPlan::new("seed-kept", PRODUCT).start().await;
-    let mut body = question(9, 120);
+async fn resumes_with_same_seed() {
+    let stack = StackPlan::new("seed-kept", BINARY).start().await;
+    let mut body = completion_request(9, 120);
     body.as_object_mut().expect("an object").remove("seed");
-    let mut whole = open_stream(&stack, 0, &body, None).await;
-    whole.read_words(10).await;
-    let (id, have) = (whole.last_id.clone(), whole.text.clone());
-    whole.read_all().await;
+    let mut complete = open_stream(&stack, 0, &body, None).await;
+    complete.read_words(10).await;
+    let (id, received) = (complete.last_id.clone(), complete.text.clone());
+    complete.read_all().await;
     let mut rest = open_stream(&stack, 1, &body, Some(&id)).await;
     rest.read_all().await;
-    assert_eq!(rest.closing, "[DONE]");
-    assert_eq!(format!("{have}{}", rest.text), whole.text);
+    assert_eq!(rest.final_event, "[DONE]");
+    assert_eq!(format!("{received}{}", rest.text), complete.text);
 }
 
-/// A client sends the id of a stream with another question, or one that it made up. Going on would
-/// mix two answers or give away somebody else's.
+/// A client sends the event id of another request's stream, or a forged one. Resuming would mix two
+/// texts or disclose another client's.
 #[tokio::test(flavor = "multi_thread")]
-async fn token_refused() {
-    let stack = StackPlan::new("token-refused", PRODUCT).start().await;
-    let mut stream = open_stream(&stack, 0, &question(10, 20), None).await;
+async fn foreign_token_refused() {
+    let stack = StackPlan::new("token-refused", BINARY).start().await;
+    let mut stream = open_stream(&stack, 0, &completion_request(10, 20), None).await;
     stream.read_all().await;
     let id = stream.last_id.as_str();
-    let other = question(11, 20);
+    let other = completion_request(11, 20);
     for (token, body) in [(id, &other), ("made-up", &other), ("AAAA", &other)] {
         let headers = [("last-event-id", token)];
-        let answer = stack.call(1, "/v1/completions", &headers, body).await;
-        assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{token}");
-        let error = &answer.json()["error"];
+        let response = stack.call(1, "/v1/completions", &headers, body).await;
+        assert_eq!(response.status, StatusCode::BAD_REQUEST, "{token}");
+        let error = &response.json()["error"];
         assert_eq!(error["code"], "invalid_resume", "{error}");
         assert_eq!(error["execution"], "not_run");
         assert_eq!(error["param"], json!("header last-event-id"));
