--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a node's admin listener.
+//! Client of the nodes' admin API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,43 +15,43 @@
     RecordBody,
 };
 
-use crate::options::OperatorAccess;
+use crate::options::AdminAccess;
 
-/// Longest wait for a node's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of a node's response, and again of its body.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Why a node gave no answer to work with.
+/// Why a request to the admin API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// No node was reached: nothing took effect.
+    /// No node could be reached; nothing was applied.
     #[error("no node can be reached ({0}): check --node")]
-    Unreached(String),
-    /// A node was reached and its answer is lost.
-    #[error("the answer of {0} is lost")]
+    Unreachable(String),
+    /// The node was reached, but its response was lost; the request may have been applied.
+    #[error("the response of {0} was lost")]
     ResponseLost(SocketAddr),
-    /// A node refused the call.
+    /// The node refused the request, or its response can't be decoded.
     #[error("{address} refused: {problem}")]
     Refused {
-        /// The node's admin address.
+        /// Admin address of the node.
         address: SocketAddr,
-        /// Why.
+        /// Reason for the operator.
         problem: String,
     },
-    /// There is no such record.
+    /// The record does not exist.
     #[error("there is no such record")]
-    NotFound,
-    /// Something else listens at the address.
+    RecordNotFound,
+    /// The server at the address doesn't serve the admin API.
     #[error(
         "{0} is no admin listener. A gateway has none: its configuration is in the platform's \
          store, and its log and its metrics address tell the rest (docs/OPERATIONS.md)"
     )]
-    NotAdmin(SocketAddr),
+    NotAdminListener(SocketAddr),
 }
 
-/// Calls nodes' admin listeners.
+/// Client of the admin API of one or more nodes.
 pub struct AdminClient {
     client: WebClient,
     nodes: Vec<SocketAddr>,
@@ -59,12 +59,12 @@
 }
 
 impl AdminClient {
-    /// A client.
+    /// Creates a client.
     ///
     /// # Errors
     ///
-    /// When the key can't stand in a header.
-    pub fn new(access: &OperatorAccess) -> eyre::Result<Self> {
+    /// When the key contains characters that are not allowed in a header.
+    pub fn new(access: &AdminAccess) -> eyre::Result<Self> {
         let mut authorization = HeaderValue::from_str(&format!("Bearer {}", access.key.expose()))?;
         authorization.set_sensitive(true);
         Ok(Self {
@@ -74,27 +74,28 @@
         })
     }
 
-    /// Sends an amendment to the first node that can be reached.
+    /// Sends an amendment to the first reachable node.
     pub async fn amend(&self, body: &AmendRequest) -> Result<AmendResponse, AdminError> {
-        self.first_reached(Method::POST, "/amend", Some(body)).await
+        self.call_first_reachable(Method::POST, "/amend", Some(body))
+            .await
     }
 
-    /// Reads records.
+    /// Reads all records, or those of one kind.
     pub async fn records(&self, kind: Option<RecordKind>) -> Result<Vec<RecordBody>, AdminError> {
         let path = match kind {
             Some(kind) => format!("/records?kind={}", kind.as_str()),
             None => "/records".to_owned(),
         };
-        self.first_reached(Method::GET, &path, NO_BODY).await
+        self.call_first_reachable(Method::GET, &path, NO_BODY).await
     }
 
     /// Reads one record.
     pub async fn record(&self, kind: RecordKind, name: &str) -> Result<RecordBody, AdminError> {
         let path = format!("/records/{}/{name}", kind.as_str());
-        self.first_reached(Method::GET, &path, NO_BODY).await
+        self.call_first_reachable(Method::GET, &path, NO_BODY).await
     }
 
-    /// Reads changes, newest first.
+    /// Reads the last 100 changes, newest first.
     pub async fn history(
         &self,
         kind: Option<RecordKind>,
@@ -109,12 +110,13 @@
             path.push_str("&name=");
             path.push_str(name);
         }
-        self.first_reached(Method::GET, &path, NO_BODY).await
+        self.call_first_reachable(Method::GET, &path, NO_BODY).await
     }
 
-    /// Reads the status of the first node that can be reached.
+    /// Reads the status of the first reachable node.
     pub async fn status(&self) -> Result<NodeStatus, AdminError> {
-        self.first_reached(Method::GET, "/status", NO_BODY).await
+        self.call_first_reachable(Method::GET, "/status", NO_BODY)
+            .await
     }
 
     /// Reads the status of one node.
@@ -122,16 +124,17 @@
         self.call(address, Method::GET, "/status", NO_BODY).await
     }
 
-    /// Reads the events of all nodes, those named and those that they know, at the same time.
+    /// Reads the events of all nodes concurrently; see [`Self::all_nodes`].
     pub async fn all_events(&self) -> Vec<NodeEvents> {
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for address in self.all_nodes().await {
-            asked.push(self.events_of(address));
+            requests.push(self.events_of(address));
         }
-        futures::future::join_all(asked).await
+        futures::future::join_all(requests).await
     }
 
-    /// Admin addresses of the nodes named and of all that the first reached one knows.
+    /// Returns the admin addresses of the configured nodes and of all members that the first
+    /// reachable node knows.
     pub async fn all_nodes(&self) -> Vec<SocketAddr> {
         let mut nodes = self.nodes.clone();
         if let Ok(status) = self.status().await {
@@ -151,20 +154,20 @@
         }
     }
 
-    async fn first_reached<Q: Serialize, A: DeserializeOwned>(
+    async fn call_first_reachable<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Option<&Q>,
     ) -> Result<A, AdminError> {
-        let mut last = AdminError::Unreached("no address".to_owned());
+        let mut last_error = AdminError::Unreachable("no address is given".to_owned());
         for address in &self.nodes {
             match self.call(*address, method.clone(), path, body).await {
-                Err(error @ AdminError::Unreached(_)) => last = error,
-                answer => return answer,
+                Err(error @ AdminError::Unreachable(_)) => last_error = error,
+                result => return result,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn call<Q: Serialize, A: DeserializeOwned>(
@@ -179,30 +182,34 @@
         request
             .headers_mut()
             .insert(header::AUTHORIZATION, self.authorization.clone());
-        let answer = match self.client.send(address, request, ANSWER_TIMEOUT).await {
-            Ok(answer) => answer,
+        let response = match self.client.send(address, request, RESPONSE_TIMEOUT).await {
+            Ok(response) => response,
             Err(error @ (ClientError::NotConnected(_) | ClientError::Refused(_))) => {
-                return Err(AdminError::Unreached(error.to_string()));
+                return Err(AdminError::Unreachable(error.to_string()));
             }
             Err(_) => return Err(AdminError::ResponseLost(address)),
         };
-        let status = answer.status();
-        let read = tokio::time::timeout(
-            ANSWER_TIMEOUT,
-            read_body(answer.into_body(), MAX_ANSWER_BYTES),
+        let status = response.status();
+        let body = tokio::time::timeout(
+            RESPONSE_TIMEOUT,
+            read_body(response.into_body(), MAX_RESPONSE_BYTES),
         );
-        let Ok(Ok(bytes)) = read.await else {
+        let Ok(Ok(bytes)) = body.await else {
             return Err(AdminError::ResponseLost(address));
         };
         match status {
-            // A gateway's callers, readiness and metrics addresses answer too, with other texts.
-            StatusCode::OK if !is_json(&bytes) => Err(AdminError::NotAdmin(address)),
-            StatusCode::NOT_FOUND if !is_admin_text(&bytes) => Err(AdminError::NotAdmin(address)),
+            // The listeners of a gateway respond too, but not in the format of the admin API.
+            StatusCode::OK if !is_json(&bytes) => Err(AdminError::NotAdminListener(address)),
+            StatusCode::NOT_FOUND if !is_admin_error_text(&bytes) => {
+                Err(AdminError::NotAdminListener(address))
+            }
             StatusCode::OK => parse_json(&bytes).map_err(|error| AdminError::Refused {
                 address,
-                problem: format!("an answer of another release? {error}"),
+                problem: format!(
+                    "the response can't be decoded, perhaps the node runs another release: {error}"
+                ),
             }),
-            StatusCode::NOT_FOUND => Err(AdminError::NotFound),
+            StatusCode::NOT_FOUND => Err(AdminError::RecordNotFound),
             _ => Err(AdminError::Refused {
                 address,
                 problem: String::from_utf8_lossy(&bytes).into_owned(),
@@ -215,10 +222,11 @@
     serde_json::from_slice::<serde::de::IgnoredAny>(bytes).is_ok()
 }
 
-fn is_admin_text(bytes: &[u8]) -> bool {
+fn is_admin_error_text(bytes: &[u8]) -> bool {
     [RECORD_NOT_FOUND, PATH_NOT_FOUND]
         .iter()
         .any(|text| text.as_bytes() == bytes.trim_ascii())
 }
 
+/// A missing body, with a type that can be serialized.
 const NO_BODY: Option<&()> = None;
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`, `delete` and `drain`: amending records.
+//! The commands `apply`, `delete` and `drain`, which amend records.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -8,48 +8,52 @@
 use wire::admin::{AmendRequest, AmendResponse, ExpectBody};
 use wire::record::RecordEnvelope;
 
-use super::CommandEnd;
+use super::CommandStatus;
 use super::files::read_files;
 use crate::client::{AdminClient, AdminError};
-use crate::options::{ApplyPlan, DrainPlan, NamePlan, OutputFormat};
+use crate::options::{ApplyCommand, DrainCommand, OutputFormat, RecordCommand};
 use crate::output::print_json;
 
-/// Longest wait until a change is in force everywhere; the design's goal is 16 s.
-const WAIT_LIMIT: Duration = Duration::from_mins(1);
+/// Timeout of waiting until a change is active on every node; the design goal is 16 s.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Time between two looks at the nodes.
-const WAIT_POLL: Duration = Duration::from_millis(200);
+/// Interval at which the nodes' status is polled while waiting.
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks at the history after a lost answer, and the time between two.
-const SETTLE_LOOKS: u32 = 10;
-const SETTLE_POLL: Duration = Duration::from_millis(500);
+/// Number of times that the history is searched after a lost response.
+const HISTORY_LOOKUPS: u32 = 10;
 
-/// Writes the records of files, one amendment each.
+/// Delay before each search of the history.
+const HISTORY_LOOKUP_DELAY: Duration = Duration::from_millis(500);
+
+/// Writes the records in files, one amendment each.
 ///
 /// # Errors
 ///
-/// When a file can't be used; then nothing is written at all.
-pub async fn apply_files(plan: &ApplyPlan) -> eyre::Result<CommandEnd> {
-    let frames = read_files(&plan.files)?;
-    let client = AdminClient::new(&plan.access)?;
-    let mut end = CommandEnd::Done;
+/// When a file is invalid, in which case no record is written, or when no node can be reached.
+pub async fn apply_files(command: &ApplyCommand) -> eyre::Result<CommandStatus> {
+    let records = read_files(&command.files)?;
+    let client = AdminClient::new(&command.access)?;
+    let mut status = CommandStatus::Success;
     let mut newest = None;
-    for frame in frames {
+    for record in records {
         let body = AmendRequest {
-            kind: frame.kind,
-            name: frame.name.clone(),
-            record: Some(frame),
-            expect: expectation(plan.expect),
-            operator: plan.operator.clone(),
-            token: fresh_token()?,
+            kind: record.kind,
+            name: record.name.clone(),
+            record: Some(record),
+            expect: expectation(command.expect),
+            operator: command.operator.clone(),
+            token: unique_token()?,
         };
-        let (step, revision) = amend_settled(&client, &body, plan.access.format).await?;
-        end = end.and(step);
+        let (amended, revision) = amend_and_resolve(&client, &body, command.access.format).await?;
+        status = status.worse(amended);
         newest = newest.max(revision);
     }
     match newest {
-        Some(revision) if plan.wait => Ok(end.and(wait_in_force(&client, revision).await)),
-        _ => Ok(end),
+        Some(revision) if command.wait => {
+            Ok(status.worse(wait_until_active(&client, revision).await))
+        }
+        _ => Ok(status),
     }
 }
 
@@ -57,49 +61,51 @@
 ///
 /// # Errors
 ///
-/// When no node can be reached.
-pub async fn delete_record(plan: &NamePlan) -> eyre::Result<CommandEnd> {
-    let (Some(kind), Some(name)) = (plan.kind, plan.name.clone()) else {
-        eyre::bail!("write which record to delete: KIND NAME");
+/// When the kind or the name is missing or no node can be reached.
+pub async fn delete_record(command: &RecordCommand) -> eyre::Result<CommandStatus> {
+    let (Some(kind), Some(name)) = (command.kind, command.name.clone()) else {
+        eyre::bail!("specify the record to delete: KIND NAME");
     };
-    let client = AdminClient::new(&plan.access)?;
+    let client = AdminClient::new(&command.access)?;
     let body = AmendRequest {
         kind,
         name,
         record: None,
-        expect: expectation(plan.expect),
-        operator: plan.operator.clone(),
-        token: fresh_token()?,
+        expect: expectation(command.expect),
+        operator: command.operator.clone(),
+        token: unique_token()?,
     };
-    let (end, _) = amend_settled(&client, &body, plan.access.format).await?;
-    Ok(end)
+    let (status, _) = amend_and_resolve(&client, &body, command.access.format).await?;
+    Ok(status)
 }
 
-/// Writes a drain record.
+/// Writes a drain record with the given hosts and failure domains.
 ///
 /// # Errors
 ///
 /// When no node can be reached.
-pub async fn write_drain(plan: &DrainPlan) -> eyre::Result<CommandEnd> {
-    let client = AdminClient::new(&plan.access)?;
+pub async fn write_drain(command: &DrainCommand) -> eyre::Result<CommandStatus> {
+    let client = AdminClient::new(&command.access)?;
     let record = RecordEnvelope {
         schema: 1,
         kind: RecordKind::Drain,
-        name: plan.name.clone(),
-        spec: json!({ "hosts": plan.hosts, "domains": plan.domains }),
+        name: command.name.clone(),
+        spec: json!({ "hosts": command.hosts, "domains": command.domains }),
     };
     let body = AmendRequest {
         kind: RecordKind::Drain,
-        name: plan.name.clone(),
+        name: command.name.clone(),
         record: Some(record),
         expect: ExpectBody::Any,
-        operator: plan.operator.clone(),
-        token: fresh_token()?,
+        operator: command.operator.clone(),
+        token: unique_token()?,
     };
-    let (end, revision) = amend_settled(&client, &body, plan.access.format).await?;
+    let (status, revision) = amend_and_resolve(&client, &body, command.access.format).await?;
     match revision {
-        Some(revision) if plan.wait => Ok(end.and(wait_in_force(&client, revision).await)),
-        _ => Ok(end),
+        Some(revision) if command.wait => {
+            Ok(status.worse(wait_until_active(&client, revision).await))
+        }
+        _ => Ok(status),
     }
 }
 
@@ -111,103 +117,108 @@
     }
 }
 
-/// A token that no other amendment has: process, time, and nothing else that could repeat.
-fn fresh_token() -> eyre::Result<WriteToken> {
+/// Returns a token that no other amendment has, made of the process id and the time.
+fn unique_token() -> eyre::Result<WriteToken> {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
     Ok(format!("op.{}.{}", std::process::id(), since_epoch.as_nanos()).parse()?)
 }
 
-/// Sends an amendment and settles a lost answer by the token in the history.
-async fn amend_settled(
+/// Sends an amendment. If the response is lost, the history shows whether it was accepted.
+async fn amend_and_resolve(
     client: &AdminClient,
     body: &AmendRequest,
     format: OutputFormat,
-) -> eyre::Result<(CommandEnd, Option<ConfigRevision>)> {
-    let what = format!("{} {}", body.kind.as_str(), body.name);
+) -> eyre::Result<(CommandStatus, Option<ConfigRevision>)> {
+    let label = format!("{} {}", body.kind.as_str(), body.name);
     match client.amend(body).await {
-        Ok(answer) => {
+        Ok(response) => {
             if format == OutputFormat::Json {
-                print_json(&answer)?;
+                print_json(&response)?;
             } else {
-                print_answer(&what, &answer);
+                print_response(&label, &response);
             }
-            Ok(judge_answer(&answer))
+            Ok(status_and_revision(&response))
         }
         Err(AdminError::ResponseLost(address)) => {
-            eprintln!("{what}: the answer of {address} is lost; looking into the history");
-            Ok(settle_lost(client, body, &what).await)
+            eprintln!("{label}: the response of {address} was lost; searching the history");
+            Ok(find_in_history(client, body, &label).await)
         }
         Err(error) => Err(error.into()),
     }
 }
 
-fn judge_answer(answer: &AmendResponse) -> (CommandEnd, Option<ConfigRevision>) {
-    match answer {
-        AmendResponse::Accepted { revision, .. } => (CommandEnd::Done, Some(*revision)),
+fn status_and_revision(response: &AmendResponse) -> (CommandStatus, Option<ConfigRevision>) {
+    match response {
+        AmendResponse::Accepted { revision, .. } => (CommandStatus::Success, Some(*revision)),
         AmendResponse::Conflict { .. }
         | AmendResponse::Refused { .. }
-        | AmendResponse::Unavailable { .. } => (CommandEnd::Failed, None),
-        AmendResponse::Unsettled { .. } => (CommandEnd::Unknown, None),
+        | AmendResponse::Unavailable { .. } => (CommandStatus::Failed, None),
+        AmendResponse::Unsettled { .. } => (CommandStatus::Unknown, None),
     }
 }
 
-fn print_answer(what: &str, answer: &AmendResponse) {
-    match answer {
+fn print_response(label: &str, response: &AmendResponse) {
+    match response {
         AmendResponse::Accepted { revision, warnings } => {
-            println!("{what}: accepted as revision {revision}");
+            println!("{label}: accepted as revision {revision}");
             for finding in warnings.as_slice() {
-                eprintln!("{what}: warning: {}: {}", finding.path, finding.problem);
+                eprintln!("{label}: warning: {}: {}", finding.path, finding.problem);
             }
         }
         AmendResponse::Conflict { current, change } => {
-            let now = current.as_ref().map_or_else(
-                || "it does not exist now".to_owned(),
-                |record| format!("revision {} is in force now", record.revision),
+            let state = current.as_ref().map_or_else(
+                || "the record does not exist".to_owned(),
+                |record| format!("its current revision is {}", record.revision),
             );
-            let by = change.as_ref().map_or_else(String::new, |change| {
+            let author = change.as_ref().map_or_else(String::new, |change| {
                 format!(", written by {}", change.operator)
             });
-            eprintln!("{what}: not accepted: {now}{by}; compare with `diff` and apply it again");
+            eprintln!(
+                "{label}: not accepted: {state}{author}; compare with `diff` and apply it again"
+            );
         }
-        AmendResponse::Refused { findings } => eprintln!("{what}: refused:\n{findings}"),
+        AmendResponse::Refused { findings } => eprintln!("{label}: refused:\n{findings}"),
         AmendResponse::Unavailable { reason } => {
-            eprintln!("{what}: not accepted, nothing took effect: {reason}");
+            eprintln!("{label}: not accepted, nothing was changed: {reason}");
         }
         AmendResponse::Unsettled { revision, reason } => {
-            eprintln!("{what}: not known whether it is revision {revision}: {reason}");
+            eprintln!("{label}: unknown whether it was accepted as revision {revision}: {reason}");
         }
     }
 }
 
-async fn settle_lost(
+/// Searches the history for the token of an amendment whose response was lost. A token of a retry
+/// has the number of the attempt appended after a dot.
+async fn find_in_history(
     client: &AdminClient,
     body: &AmendRequest,
-    what: &str,
-) -> (CommandEnd, Option<ConfigRevision>) {
-    let own = format!("{}.", body.token);
-    for _ in 0..SETTLE_LOOKS {
-        tokio::time::sleep(SETTLE_POLL).await;
+    label: &str,
+) -> (CommandStatus, Option<ConfigRevision>) {
+    let retry_prefix = format!("{}.", body.token);
+    for _ in 0..HISTORY_LOOKUPS {
+        tokio::time::sleep(HISTORY_LOOKUP_DELAY).await;
         let Ok(changes) = client.history(Some(body.kind), Some(&body.name)).await else {
             continue;
         };
-        let found = changes
-            .iter()
-            .find(|change| change.token == body.token.as_str() || change.token.starts_with(&own));
+        let found = changes.iter().find(|change| {
+            change.token == body.token.as_str() || change.token.starts_with(&retry_prefix)
+        });
         if let Some(change) = found {
-            println!("{what}: accepted as revision {}", change.revision);
-            return (CommandEnd::Done, Some(change.revision));
+            println!("{label}: accepted as revision {}", change.revision);
+            return (CommandStatus::Success, Some(change.revision));
         }
     }
     eprintln!(
-        "{what}: not known whether it is accepted: token {} is not in the history yet; look with \
+        "{label}: unknown whether it was accepted: token {} is not in the history yet; check with \
          `history` before applying it again",
         body.token
     );
-    (CommandEnd::Unknown, None)
+    (CommandStatus::Unknown, None)
 }
 
-/// Waits until every node has the revision in force, and names those that are behind.
-async fn wait_in_force(client: &AdminClient, revision: ConfigRevision) -> CommandEnd {
+/// Waits until the revision is active on every node; prints the nodes that are behind at the
+/// timeout.
+async fn wait_until_active(client: &AdminClient, revision: ConfigRevision) -> CommandStatus {
     let started = Instant::now();
     loop {
         let nodes = client.all_nodes().await;
@@ -225,15 +236,15 @@
                 nodes.len(),
                 started.elapsed().as_secs_f64()
             );
-            return CommandEnd::Done;
+            return CommandStatus::Success;
         }
-        if started.elapsed() > WAIT_LIMIT {
+        if started.elapsed() > WAIT_TIMEOUT {
             eprintln!(
-                "revision {revision} is accepted; behind: {}",
+                "revision {revision} was accepted; not yet in force on: {}",
                 behind.join(", ")
             );
-            return CommandEnd::Failed;
+            return CommandStatus::Failed;
         }
-        tokio::time::sleep(WAIT_POLL).await;
+        tokio::time::sleep(WAIT_POLL_INTERVAL).await;
     }
 }
--- a/src/commands/files.rs
+++ b/src/commands/files.rs
@@ -1,4 +1,4 @@
-//! Reading records from files, with every finding and its place.
+//! Reading and validating records in files.
 
 use std::path::{Path, PathBuf};
 
@@ -7,13 +7,14 @@
 use serde_json::Value;
 use wire::record::{RecordEnvelope, RecordError};
 
-/// Reads and checks the records of every file.
+/// Reads and validates the records of all files.
 ///
 /// # Errors
 ///
-/// All findings of all files together, each with its file, record and JSON path.
+/// All findings of all files together, each with its file, record and JSON path. A file that can't
+/// be read or is not JSON ends the check at once.
 pub fn read_files(files: &[PathBuf]) -> eyre::Result<Vec<RecordEnvelope>> {
-    let mut frames = Vec::new();
+    let mut records = Vec::new();
     let mut findings = FindingList::default();
     for file in files {
         let value = read_json(file)?;
@@ -23,45 +24,49 @@
             other => vec![other],
         };
         for (index, value) in values.into_iter().enumerate() {
-            let place = if single {
+            let location = if single {
                 file.display().to_string()
             } else {
                 format!("{}[{index}]", file.display())
             };
-            frames.extend(read_record(value, &place, &mut findings));
+            records.extend(read_record(value, &location, &mut findings));
         }
     }
     findings
-        .into_result(frames)
-        .map_err(|findings| eyre::eyre!("the records can't be used:\n{findings}"))
+        .into_result(records)
+        .map_err(|findings| eyre::eyre!("the records are invalid:\n{findings}"))
 }
 
 fn read_json(file: &Path) -> eyre::Result<Value> {
     let text =
         std::fs::read_to_string(file).wrap_err_with(|| format!("can't read {}", file.display()))?;
-    serde_json::from_str(&text).wrap_err_with(|| format!("{} is no JSON", file.display()))
+    serde_json::from_str(&text).wrap_err_with(|| format!("{} is not valid JSON", file.display()))
 }
 
-fn read_record(value: Value, place: &str, findings: &mut FindingList) -> Option<RecordEnvelope> {
-    let frame: RecordEnvelope = match serde_json::from_value(value) {
-        Ok(frame) => frame,
+fn read_record(value: Value, location: &str, findings: &mut FindingList) -> Option<RecordEnvelope> {
+    let envelope: RecordEnvelope = match serde_json::from_value(value) {
+        Ok(envelope) => envelope,
         Err(error) => {
-            let advice = "a record has schema, kind, name and spec";
-            findings.add(place, error.to_string(), advice);
+            let advice = "write a record as an object with schema, kind, name and spec";
+            findings.add(location, error.to_string(), advice);
             return None;
         }
     };
-    match RecordSpec::try_from(frame.clone()) {
-        Ok(_) => Some(frame),
-        Err(RecordError::Invalid(found)) => {
-            for finding in found.as_slice() {
-                let place = format!("{place} ({}): {}", frame.name, finding.path);
-                findings.add(place, finding.problem.clone(), finding.advice.clone());
+    match RecordSpec::try_from(envelope.clone()) {
+        Ok(_) => Some(envelope),
+        Err(RecordError::Invalid(invalid)) => {
+            for finding in invalid.as_slice() {
+                let location = format!("{location} ({}): {}", envelope.name, finding.path);
+                findings.add(location, finding.problem.clone(), finding.advice.clone());
             }
             None
         }
         Err(error) => {
-            findings.add(format!("{place} ({})", frame.name), error.to_string(), "");
+            findings.add(
+                format!("{location} ({})", envelope.name),
+                error.to_string(),
+                "",
+            );
             None
         }
     }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, one module each.
+//! Operators' commands.
 
 pub mod apply;
 pub mod check;
@@ -7,24 +7,24 @@
 pub mod status;
 pub mod timeline;
 
-/// How a command ended.
+/// Result of a command, from which the exit code is derived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommandEnd {
-    /// It did what it was asked to do.
-    Done,
-    /// It was refused or did not succeed; nothing took effect beyond what was printed.
+pub enum CommandStatus {
+    /// The command succeeded.
+    Success,
+    /// The command was refused or failed; only the changes that it printed were applied.
     Failed,
-    /// It is not known whether it took effect.
+    /// The response was lost, so it is unknown whether the change was applied.
     Unknown,
 }
 
-impl CommandEnd {
-    /// The worse of two ends.
-    pub fn and(self, other: Self) -> Self {
+impl CommandStatus {
+    /// Returns the worse of two results; unknown is the worst.
+    pub fn worse(self, other: Self) -> Self {
         match (self, other) {
             (Self::Unknown, _) | (_, Self::Unknown) => Self::Unknown,
             (Self::Failed, _) | (_, Self::Failed) => Self::Failed,
-            (Self::Done, Self::Done) => Self::Done,
+            (Self::Success, Self::Success) => Self::Success,
         }
     }
 }
--- a/src/commands/records.rs
+++ b/src/commands/records.rs
@@ -1,33 +1,33 @@
-//! `get`, `history` and `diff`: reading records.
+//! The commands `get`, `history` and `diff`, which read records.
 
 use wire::admin::RecordBody;
 use wire::record::RecordEnvelope;
 
-use super::CommandEnd;
+use super::CommandStatus;
 use super::files::read_files;
 use crate::client::{AdminClient, AdminError};
-use crate::options::{ApplyPlan, NamePlan, OutputFormat};
+use crate::options::{ApplyCommand, OutputFormat, RecordCommand};
 use crate::output::{TextTable, print_json};
 
-/// Prints records.
+/// Prints a record, or lists records.
 ///
 /// # Errors
 ///
-/// When no node can be reached or there is no such record.
-pub async fn get_records(plan: &NamePlan) -> eyre::Result<CommandEnd> {
-    let client = AdminClient::new(&plan.access)?;
-    if let (Some(kind), Some(name)) = (plan.kind, &plan.name) {
+/// When no node can be reached or the record does not exist.
+pub async fn get_records(command: &RecordCommand) -> eyre::Result<CommandStatus> {
+    let client = AdminClient::new(&command.access)?;
+    if let (Some(kind), Some(name)) = (command.kind, &command.name) {
         print_json(&client.record(kind, name).await?)?;
-        return Ok(CommandEnd::Done);
+        return Ok(CommandStatus::Success);
     }
-    let records = client.records(plan.kind).await?;
-    if plan.access.format == OutputFormat::Json {
+    let records = client.records(command.kind).await?;
+    if command.access.format == OutputFormat::Json {
         print_json(&records)?;
-        return Ok(CommandEnd::Done);
+        return Ok(CommandStatus::Success);
     }
     let mut table = TextTable::new(
         &["KIND", "NAME", "SCHEMA", "REVISION"],
-        plan.access.terminal,
+        command.access.terminal,
     );
     for RecordBody { revision, record } in records {
         table.row(vec![
@@ -38,7 +38,7 @@
         ]);
     }
     print!("{}", table.text());
-    Ok(CommandEnd::Done)
+    Ok(CommandStatus::Success)
 }
 
 /// Prints changes, newest first.
@@ -46,17 +46,19 @@
 /// # Errors
 ///
 /// When no node can be reached.
-pub async fn print_history(plan: &NamePlan) -> eyre::Result<CommandEnd> {
-    let client = AdminClient::new(&plan.access)?;
-    let changes = client.history(plan.kind, plan.name.as_deref()).await?;
-    if plan.access.format == OutputFormat::Json {
+pub async fn print_history(command: &RecordCommand) -> eyre::Result<CommandStatus> {
+    let client = AdminClient::new(&command.access)?;
+    let changes = client
+        .history(command.kind, command.name.as_deref())
+        .await?;
+    if command.access.format == OutputFormat::Json {
         print_json(&changes)?;
-        return Ok(CommandEnd::Done);
+        return Ok(CommandStatus::Success);
     }
-    let head = ["REVISION", "KIND", "NAME", "CHANGE", "OPERATOR"];
-    let mut table = TextTable::new(&head, plan.access.terminal);
+    let header = ["REVISION", "KIND", "NAME", "CHANGE", "OPERATOR"];
+    let mut table = TextTable::new(&header, command.access.terminal);
     for change in changes {
-        let what = if change.record.is_some() {
+        let action = if change.record.is_some() {
             "written"
         } else {
             "deleted"
@@ -65,56 +67,56 @@
             change.revision.to_string(),
             change.kind.as_str().to_owned(),
             change.name,
-            what.to_owned(),
+            action.to_owned(),
             change.operator,
         ]);
     }
     print!("{}", table.text());
-    Ok(CommandEnd::Done)
+    Ok(CommandStatus::Success)
 }
 
-/// Compares records in files with those in force; ends as failed when they differ.
+/// Compares records in files with the stored ones; the result is a failure if any differ.
 ///
 /// # Errors
 ///
-/// When a file can't be used or no node can be reached.
-pub async fn print_diff(plan: &ApplyPlan) -> eyre::Result<CommandEnd> {
-    let client = AdminClient::new(&plan.access)?;
-    let mut end = CommandEnd::Done;
-    for frame in read_files(&plan.files)? {
-        let what = format!("{} {}", frame.kind.as_str(), frame.name);
-        let current = match client.record(frame.kind, &frame.name).await {
+/// When a file is invalid or no node can be reached.
+pub async fn print_diff(command: &ApplyCommand) -> eyre::Result<CommandStatus> {
+    let client = AdminClient::new(&command.access)?;
+    let mut status = CommandStatus::Success;
+    for record in read_files(&command.files)? {
+        let label = format!("{} {}", record.kind.as_str(), record.name);
+        let current = match client.record(record.kind, &record.name).await {
             Ok(current) => Some(current),
-            Err(AdminError::NotFound) => None,
+            Err(AdminError::RecordNotFound) => None,
             Err(error) => return Err(error.into()),
         };
         let Some(current) = current else {
-            println!("{what}: new");
-            end = CommandEnd::Failed;
+            println!("{label}: new");
+            status = CommandStatus::Failed;
             continue;
         };
-        if current.record == frame {
-            println!("{what}: the same");
+        if current.record == record {
+            println!("{label}: unchanged");
             continue;
         }
-        println!("{what}: differs from revision {}", current.revision);
-        print_lines(&current.record, &frame)?;
-        end = CommandEnd::Failed;
+        println!("{label}: differs from revision {}", current.revision);
+        print_line_diff(&current.record, &record)?;
+        status = CommandStatus::Failed;
     }
-    Ok(end)
+    Ok(status)
 }
 
-/// Prints the lines of either record that the other lacks, as they stand in sorted JSON.
-fn print_lines(current: &RecordEnvelope, wanted: &RecordEnvelope) -> eyre::Result<()> {
+/// Prints a line diff of two records as formatted JSON.
+fn print_line_diff(current: &RecordEnvelope, new: &RecordEnvelope) -> eyre::Result<()> {
     let current = serde_json::to_string_pretty(current)?;
-    let wanted = serde_json::to_string_pretty(wanted)?;
-    for difference in similar::TextDiff::from_lines(&current, &wanted).iter_all_changes() {
-        let sign = match difference.tag() {
+    let new = serde_json::to_string_pretty(new)?;
+    for line in similar::TextDiff::from_lines(&current, &new).iter_all_changes() {
+        let sign = match line.tag() {
             similar::ChangeTag::Delete => '-',
             similar::ChangeTag::Insert => '+',
             similar::ChangeTag::Equal => ' ',
         };
-        print!("  {sign} {difference}");
+        print!("  {sign} {line}");
     }
     println!();
     Ok(())
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,34 +1,35 @@
-//! `status`: replicas, hosts, leases, members, and the configuration on each node.
+//! The command `status`, which prints the state of the nodes and of the replicas.
 
 use wire::admin::NodeStatus;
 
-use super::CommandEnd;
+use super::CommandStatus;
 use crate::client::AdminClient;
-use crate::options::{OperatorAccess, OutputFormat};
+use crate::options::{AdminAccess, OutputFormat};
 use crate::output::{TextTable, print_json};
 
-/// Prints the status of every node, and the replicas as the first one sees them.
+/// Prints the status of every node, and the replicas and hosts as the first reachable node sees
+/// them.
 ///
 /// # Errors
 ///
 /// When no node can be reached.
-pub async fn print_status(access: &OperatorAccess) -> eyre::Result<CommandEnd> {
+pub async fn print_status(access: &AdminAccess) -> eyre::Result<CommandStatus> {
     let client = AdminClient::new(access)?;
     let first = client.status().await?;
-    let mut all = Vec::new();
-    let mut silent = Vec::new();
+    let mut statuses = Vec::new();
+    let mut unreachable = Vec::new();
     for address in client.all_nodes().await {
         match client.status_of(address).await {
-            Ok(status) => all.push(status),
-            Err(error) => silent.push(format!("{address}: {error}")),
+            Ok(status) => statuses.push(status),
+            Err(error) => unreachable.push(format!("{address}: {error}")),
         }
     }
     if access.format == OutputFormat::Json {
-        print_json(&all)?;
-        return Ok(CommandEnd::Done);
+        print_json(&statuses)?;
+        return Ok(CommandStatus::Success);
     }
-    print!("{}", node_table(&all, access.terminal));
-    for node in silent {
+    print!("{}", node_table(&statuses, access.terminal));
+    for node in unreachable {
         println!("no answer: {node}");
     }
     println!();
@@ -48,17 +49,17 @@
         first.node, first.group_downtime_seconds, first.stranded_seconds
     );
     for record in &first.unknown_records {
-        println!("not understood by {}: {record}", first.node);
+        println!("unknown schema version on {}: {record}", first.node);
     }
-    Ok(CommandEnd::Done)
+    Ok(CommandStatus::Success)
 }
 
-fn node_table(all: &[NodeStatus], terminal: bool) -> String {
+fn node_table(statuses: &[NodeStatus], terminal: bool) -> String {
     let mut table = TextTable::new(
         &["NODE", "READY", "REVISION", "LEASES", "STANDING"],
         terminal,
     );
-    for status in all {
+    for status in statuses {
         table.row(vec![
             status.node.to_string(),
             if status.ready { "yes" } else { "no" }.to_owned(),
@@ -71,8 +72,8 @@
 }
 
 fn replica_table(status: &NodeStatus, terminal: bool) -> String {
-    let head = ["REPLICA", "MODEL", "VERSION", "STATE", "HOSTS"];
-    let mut table = TextTable::new(&head, terminal);
+    let header = ["REPLICA", "MODEL", "VERSION", "STATE", "HOSTS"];
+    let mut table = TextTable::new(&header, terminal);
     for replica in &status.replicas {
         let hosts: Vec<&str> = replica.hosts.iter().map(domain::HostId::as_str).collect();
         table.row(vec![
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -1,41 +1,40 @@
-//! `timeline`: the events of all nodes in one order.
+//! The command `timeline`, which merges the events of all nodes.
 
 use events::page::timeline_page;
 use events::{TimelineFilter, TimelineView};
 
-use super::CommandEnd;
+use super::CommandStatus;
 use crate::client::AdminClient;
-use crate::options::{OperatorAccess, OutputFormat};
+use crate::options::{AdminAccess, OutputFormat};
 use crate::output::print_json;
 
-/// Prints the time line; a node that does not answer is named in it.
+/// Prints the timeline. A node that can't be reached is listed in it as missing.
 ///
 /// # Errors
 ///
-/// When no node answers at all.
+/// When no node can be reached.
 pub async fn print_timeline(
-    access: &OperatorAccess,
+    access: &AdminAccess,
     filter: &TimelineFilter,
-) -> eyre::Result<CommandEnd> {
+) -> eyre::Result<CommandStatus> {
     let client = AdminClient::new(access)?;
-    let answers = client.all_events().await;
-    if answers.iter().all(|answer| answer.events.is_err()) {
-        let reasons: Vec<String> = answers
+    let node_events = client.all_events().await;
+    if node_events.iter().all(|node| node.events.is_err()) {
+        let reasons: Vec<String> = node_events
             .into_iter()
-            .filter_map(|answer| {
-                answer
-                    .events
+            .filter_map(|node| {
+                node.events
                     .err()
-                    .map(|reason| format!("{}: {reason}", answer.node))
+                    .map(|reason| format!("{}: {reason}", node.node))
             })
             .collect();
-        eyre::bail!("no node gave its events: {}", reasons.join("; "));
+        eyre::bail!("no node sent its events: {}", reasons.join("; "));
     }
-    let view = TimelineView::merge(answers, filter);
+    let view = TimelineView::merge(node_events, filter);
     match access.format {
         OutputFormat::Text => print!("{}", view.text()),
         OutputFormat::Json => print_json(&view)?,
         OutputFormat::Html => print!("{}", timeline_page(&view)),
     }
-    Ok(CommandEnd::Done)
+    Ok(CommandStatus::Success)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Serving for large models whose replicas span several hosts.
+//! Serves large models whose replicas span several hosts, and provides the operators' commands.
 
 mod client;
 mod commands;
@@ -8,29 +8,29 @@
 
 use std::process::ExitCode;
 
-use commands::{CommandEnd, apply, check, records, status, timeline};
-use options::{CommandPlan, parse_arguments};
+use commands::{CommandStatus, apply, check, records, status, timeline};
+use options::{Command, parse_arguments};
 use settings::NodeSettings;
 
-/// Exit code of a command line that can't be used.
+/// Exit code of an invalid command line.
 const BAD_COMMAND_LINE: u8 = 2;
 
-/// Exit code when it is not known whether a command took effect.
+/// Exit code when it is unknown whether a change was applied.
 const OUTCOME_UNKNOWN: u8 = 3;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let plan = match parse_arguments(&arguments) {
-        Ok(plan) => plan,
+    let command = match parse_arguments(&arguments) {
+        Ok(command) => command,
         Err(error) => {
             eprintln!("bramleyspring: {error:#} (see --help)");
             return ExitCode::from(BAD_COMMAND_LINE);
         }
     };
-    match run(plan) {
-        Ok(CommandEnd::Done) => ExitCode::SUCCESS,
-        Ok(CommandEnd::Failed) => ExitCode::FAILURE,
-        Ok(CommandEnd::Unknown) => ExitCode::from(OUTCOME_UNKNOWN),
+    match run(command) {
+        Ok(CommandStatus::Success) => ExitCode::SUCCESS,
+        Ok(CommandStatus::Failed) => ExitCode::FAILURE,
+        Ok(CommandStatus::Unknown) => ExitCode::from(OUTCOME_UNKNOWN),
         Err(error) => {
             eprintln!("bramleyspring: {error:#}");
             ExitCode::FAILURE
@@ -38,44 +38,42 @@
     }
 }
 
-fn run(plan: CommandPlan) -> eyre::Result<CommandEnd> {
-    // A gateway runs on one thread: it has a part of one core, and passes a stream's events on
-    // without a hop between threads.
-    if let CommandPlan::Gateway { settings } = &plan {
+fn run(command: Command) -> eyre::Result<CommandStatus> {
+    // A gateway runs on a single thread: it gets only a part of one core, and forwards a stream's
+    // events without switching threads.
+    if let Command::Gateway { settings } = &command {
         gateway::run_gateway(settings)?;
-        return Ok(CommandEnd::Done);
+        return Ok(CommandStatus::Success);
     }
     let runtime = tokio::runtime::Runtime::new()?;
-    runtime.block_on(run_plan(plan))
+    runtime.block_on(run_async(command))
 }
 
-async fn run_plan(plan: CommandPlan) -> eyre::Result<CommandEnd> {
-    match plan {
-        CommandPlan::Gateway { .. } => Ok(CommandEnd::Failed),
-        CommandPlan::Serve { settings } => {
+async fn run_async(command: Command) -> eyre::Result<CommandStatus> {
+    match command {
+        Command::Gateway { .. } => Ok(CommandStatus::Failed),
+        Command::Serve { settings } => {
             node::serve(NodeSettings::load(&settings)?).await?;
-            Ok(CommandEnd::Done)
+            Ok(CommandStatus::Success)
         }
-        CommandPlan::Check { settings, files } => {
-            Ok(check::check_files(settings.as_deref(), &files))
-        }
-        CommandPlan::Apply(plan) => apply::apply_files(&plan).await,
-        CommandPlan::Delete(plan) => apply::delete_record(&plan).await,
-        CommandPlan::Drain(plan) => apply::write_drain(&plan).await,
-        CommandPlan::Get(plan) => records::get_records(&plan).await,
-        CommandPlan::History(plan) => records::print_history(&plan).await,
-        CommandPlan::Diff(plan) => records::print_diff(&plan).await,
-        CommandPlan::Status(access) => status::print_status(&access).await,
-        CommandPlan::Timeline(access, filter) => timeline::print_timeline(&access, &filter).await,
-        CommandPlan::HashKey => {
+        Command::Check { settings, files } => Ok(check::check_files(settings.as_deref(), &files)),
+        Command::Apply(command) => apply::apply_files(&command).await,
+        Command::Delete(command) => apply::delete_record(&command).await,
+        Command::Drain(command) => apply::write_drain(&command).await,
+        Command::Get(command) => records::get_records(&command).await,
+        Command::History(command) => records::print_history(&command).await,
+        Command::Diff(command) => records::print_diff(&command).await,
+        Command::Status(access) => status::print_status(&access).await,
+        Command::Timeline(access, filter) => timeline::print_timeline(&access, &filter).await,
+        Command::HashKey => {
             let mut line = String::new();
             std::io::stdin().read_line(&mut line)?;
             println!("{}", entry::auth::sha256_hex(line.trim().as_bytes()));
-            Ok(CommandEnd::Done)
+            Ok(CommandStatus::Success)
         }
-        CommandPlan::Print(text) => {
+        Command::Print(text) => {
             println!("{text}");
-            Ok(CommandEnd::Done)
+            Ok(CommandStatus::Success)
         }
     }
 }
--- a/src/options/words.rs
+++ b/src/options/args.rs
@@ -1,12 +1,12 @@
-//! The command line as `gumdrop` reads it. It knows no shared groups of options, so those that all
-//! operators' commands take stand in each.
+//! Command line arguments, parsed with `gumdrop`. It has no shared groups of options, so those that
+//! all operators' commands have are repeated in each.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use gumdrop::Options;
 
-/// The command line as it is written.
+/// Arguments as parsed, before validation.
 #[derive(Debug, Options)]
 pub(super) struct CommandLine {
     #[options(help = "print this help")]
@@ -14,39 +14,39 @@
     #[options(help = "print the version")]
     pub version: bool,
     #[options(command)]
-    pub command: Option<CommandWord>,
+    pub command: Option<Subcommand>,
 }
 
 #[derive(Debug, Options)]
-pub(super) enum CommandWord {
-    #[options(help = "serve callers on this host")]
+pub(super) enum Subcommand {
+    #[options(help = "run an entry node")]
     Serve(ServeOptions),
-    #[options(help = "serve callers on a platform with a registry of its own")]
+    #[options(help = "run a gateway, on a platform that has its own registry")]
     Gateway(ServeOptions),
-    #[options(help = "check settings and records without a server")]
+    #[options(help = "validate settings and records without a server")]
     Check(CheckOptions),
     #[options(help = "write records from files")]
     Apply(ApplyOptions),
-    #[options(help = "print records")]
-    Get(NameOptions),
+    #[options(help = "print a record, or list records")]
+    Get(RecordOptions),
     #[options(help = "delete a record")]
-    Delete(NameOptions),
-    #[options(help = "print who changed what")]
-    History(NameOptions),
-    #[options(help = "compare records in files with those in force")]
+    Delete(RecordOptions),
+    #[options(help = "print changes of records, newest first")]
+    History(RecordOptions),
+    #[options(help = "compare records in files with the stored ones")]
     Diff(ApplyOptions),
-    #[options(help = "print replicas, hosts, leases and members")]
-    Status(NodeOptions),
-    #[options(help = "print the events of all nodes in one order")]
+    #[options(help = "print the status of nodes, replicas and hosts")]
+    Status(StatusOptions),
+    #[options(help = "print the events of all nodes, merged by time")]
     Timeline(TimelineOptions),
-    #[options(help = "write a drain record: hosts or failure domains get no new work")]
+    #[options(help = "write a drain record, so that hosts or failure domains get no new requests")]
     Drain(DrainOptions),
     #[options(help = "print the hash of a bearer key read from standard input")]
-    HashKey(HelpOptions),
+    HashKey(HashKeyOptions),
 }
 
 #[derive(Debug, Options)]
-pub(super) struct HelpOptions {
+pub(super) struct HashKeyOptions {
     #[options(help = "print this help")]
     pub help: bool,
 }
@@ -79,21 +79,24 @@
     pub key_file: Option<PathBuf>,
     #[options(help = "text or json", meta = "FORMAT")]
     pub format: Option<String>,
-    #[options(help = "wait until it is in force on every node")]
+    #[options(help = "wait until the change is in force on every node")]
     pub wait: bool,
     #[options(
-        help = "accept only if the record was last written by this revision",
+        help = "accept only if this revision last wrote the record; 0: if it does not exist",
         meta = "N"
     )]
     pub expect: Option<u64>,
-    #[options(help = "name that the history keeps", meta = "NAME")]
+    #[options(
+        help = "operator's name for the history; default: the current user",
+        meta = "NAME"
+    )]
     pub operator: Option<String>,
     #[options(free, help = "JSON files, each with a record or a list of records")]
     pub files: Vec<PathBuf>,
 }
 
 #[derive(Debug, Options)]
-pub(super) struct NameOptions {
+pub(super) struct RecordOptions {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "admin address of a node; may be repeated", meta = "IP:PORT")]
@@ -103,11 +106,14 @@
     #[options(help = "text or json", meta = "FORMAT")]
     pub format: Option<String>,
     #[options(
-        help = "accept only if the record was last written by this revision",
+        help = "accept only if this revision last wrote the record; 0: if it does not exist",
         meta = "N"
     )]
     pub expect: Option<u64>,
-    #[options(help = "name that the history keeps", meta = "NAME")]
+    #[options(
+        help = "operator's name for the history; default: the current user",
+        meta = "NAME"
+    )]
     pub operator: Option<String>,
     #[options(
         free,
@@ -117,7 +123,7 @@
 }
 
 #[derive(Debug, Options)]
-pub(super) struct NodeOptions {
+pub(super) struct StatusOptions {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "admin address of a node; may be repeated", meta = "IP:PORT")]
@@ -164,9 +170,12 @@
     pub hosts: Option<String>,
     #[options(help = "failure domains, separated by commas", meta = "DOMAINS")]
     pub domains: Option<String>,
-    #[options(help = "wait until it is in force on every node")]
+    #[options(help = "wait until the change is in force on every node")]
     pub wait: bool,
-    #[options(help = "name that the history keeps", meta = "NAME")]
+    #[options(
+        help = "operator's name for the history; default: the current user",
+        meta = "NAME"
+    )]
     pub operator: Option<String>,
     #[options(free, help = "name of the drain record")]
     pub names: Vec<String>,
--- a/src/options/mod.rs
+++ b/src/options/mod.rs
@@ -1,7 +1,7 @@
-//! The command line, parsed once into a checked plan.
+//! Parses and validates the command line.
 
-mod plan;
-mod words;
+mod args;
+mod command;
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -14,70 +14,72 @@
 use gumdrop::Options;
 use settings::SecretText;
 
-pub use plan::{ApplyPlan, CommandPlan, DrainPlan, NamePlan, OperatorAccess, OutputFormat};
-use words::{
-    ApplyOptions, CheckOptions, CommandLine, CommandWord, DrainOptions, NameOptions,
+use args::{
+    ApplyOptions, CheckOptions, CommandLine, DrainOptions, RecordOptions, Subcommand,
     TimelineOptions,
 };
+pub use command::{AdminAccess, ApplyCommand, Command, DrainCommand, OutputFormat, RecordCommand};
 
-/// Variable with the admin addresses of nodes, separated by commas.
+/// Environment variable with the admin addresses of nodes, separated by commas.
 const NODES_VARIABLE: &str = "BRAMLEYSPRING_NODES";
 
-/// Variable with the operators' key.
+/// Environment variable with the operators' key.
 const KEY_VARIABLE: &str = "BRAMLEYSPRING_KEY";
 
-const EXAMPLES: &str = "
+/// Examples and further help, printed below the options.
+const HELP_FOOTER: &str = "
 Examples:
   bramleyspring check --settings node.json records.json
   bramleyspring serve --settings node.json
   bramleyspring apply --node 127.0.0.1:7200 --wait records.json
   bramleyspring status --node 127.0.0.1:7200
-  bramleyspring timeline --node 127.0.0.1:7200 --request e0.17 --format html > way.html
+  bramleyspring timeline --node 127.0.0.1:7200 --request e0.17 --format html > timeline.html
   bramleyspring drain --node 127.0.0.1:7200 --hosts h03,h04 rack-7
 
-Operators' commands take the nodes' admin addresses from --node or BRAMLEYSPRING_NODES (separated
+Operators' commands read the nodes' admin addresses from --node or BRAMLEYSPRING_NODES (separated
 by commas) and the operators' key from --key-file or BRAMLEYSPRING_KEY.
 
-Exit codes: 0 done; 1 failed or refused; 2 wrong command line; 3 not known whether it took effect.
+Exit codes: 0 success; 1 failed or refused; 2 invalid command line; 3 unknown whether the change was
+accepted.
 ";
 
 /// Parses the process's arguments.
 ///
 /// # Errors
 ///
-/// A report that names the argument.
-pub fn parse_arguments(arguments: &[String]) -> eyre::Result<CommandPlan> {
+/// A report that names the invalid or missing argument.
+pub fn parse_arguments(arguments: &[String]) -> eyre::Result<Command> {
     let line = CommandLine::parse_args_default(arguments)?;
     if line.version {
-        return Ok(CommandPlan::Print(format!(
+        return Ok(Command::Print(format!(
             "bramleyspring {}",
             env!("CARGO_PKG_VERSION")
         )));
     }
     if line.help_requested() {
-        return Ok(CommandPlan::Print(help_text(&line)));
+        return Ok(Command::Print(help_text(&line)));
     }
     match line.command {
-        Some(CommandWord::Serve(serve)) => Ok(CommandPlan::Serve {
+        Some(Subcommand::Serve(serve)) => Ok(Command::Serve {
             settings: serve.settings,
         }),
-        Some(CommandWord::Gateway(gateway)) => Ok(CommandPlan::Gateway {
+        Some(Subcommand::Gateway(gateway)) => Ok(Command::Gateway {
             settings: gateway.settings,
         }),
-        Some(CommandWord::Check(check)) => plan_check(check),
-        Some(CommandWord::Apply(apply)) => plan_apply(apply).map(CommandPlan::Apply),
-        Some(CommandWord::Diff(diff)) => plan_apply(diff).map(CommandPlan::Diff),
-        Some(CommandWord::Get(get)) => plan_names(get).map(CommandPlan::Get),
-        Some(CommandWord::Delete(delete)) => plan_delete(delete),
-        Some(CommandWord::History(history)) => plan_names(history).map(CommandPlan::History),
-        Some(CommandWord::Status(status)) => {
-            plan_access(status.node, status.key_file, status.format.as_deref())
-                .map(CommandPlan::Status)
+        Some(Subcommand::Check(check)) => check_command(check),
+        Some(Subcommand::Apply(apply)) => apply_command(apply).map(Command::Apply),
+        Some(Subcommand::Diff(diff)) => apply_command(diff).map(Command::Diff),
+        Some(Subcommand::Get(get)) => record_command(get).map(Command::Get),
+        Some(Subcommand::Delete(delete)) => delete_command(delete),
+        Some(Subcommand::History(history)) => record_command(history).map(Command::History),
+        Some(Subcommand::Status(status)) => {
+            admin_access(status.node, status.key_file, status.format.as_deref())
+                .map(Command::Status)
         }
-        Some(CommandWord::Timeline(timeline)) => plan_timeline(timeline),
-        Some(CommandWord::Drain(drain)) => plan_drain(drain).map(CommandPlan::Drain),
-        Some(CommandWord::HashKey(_)) => Ok(CommandPlan::HashKey),
-        None => Ok(CommandPlan::Print(help_text(&line))),
+        Some(Subcommand::Timeline(timeline)) => timeline_command(timeline),
+        Some(Subcommand::Drain(drain)) => drain_command(drain).map(Command::Drain),
+        Some(Subcommand::HashKey(_)) => Ok(Command::HashKey),
+        None => Ok(Command::Print(help_text(&line))),
     }
 }
 
@@ -85,32 +87,32 @@
     let Some(command) = line.command_name() else {
         let commands = CommandLine::command_list().unwrap_or_default();
         return format!(
-            "Usage: bramleyspring COMMAND [OPTIONS]\n\n{}\n\nCommands:\n{commands}\n{EXAMPLES}",
+            "Usage: bramleyspring COMMAND [OPTIONS]\n\n{}\n\nCommands:\n{commands}\n{HELP_FOOTER}",
             CommandLine::usage(),
         );
     };
     format!(
-        "Usage: bramleyspring {command} [OPTIONS]\n\n{}\n{EXAMPLES}",
+        "Usage: bramleyspring {command} [OPTIONS]\n\n{}\n{HELP_FOOTER}",
         line.self_usage()
     )
 }
 
-fn plan_check(check: CheckOptions) -> eyre::Result<CommandPlan> {
+fn check_command(check: CheckOptions) -> eyre::Result<Command> {
     if check.settings.is_none() && check.files.is_empty() {
-        eyre::bail!("name what to check: --settings FILE, or files with records");
+        eyre::bail!("specify what to check: --settings FILE, or files with records");
     }
-    Ok(CommandPlan::Check {
+    Ok(Command::Check {
         settings: check.settings,
         files: check.files,
     })
 }
 
-fn plan_apply(apply: ApplyOptions) -> eyre::Result<ApplyPlan> {
+fn apply_command(apply: ApplyOptions) -> eyre::Result<ApplyCommand> {
     if apply.files.is_empty() {
-        eyre::bail!("name at least one file with records");
+        eyre::bail!("specify at least one file with records");
     }
-    Ok(ApplyPlan {
-        access: plan_access(apply.node, apply.key_file, apply.format.as_deref())?,
+    Ok(ApplyCommand {
+        access: admin_access(apply.node, apply.key_file, apply.format.as_deref())?,
         files: apply.files,
         wait: apply.wait,
         expect: apply.expect.map(ConfigRevision),
@@ -118,36 +120,36 @@
     })
 }
 
-fn plan_names(names: NameOptions) -> eyre::Result<NamePlan> {
-    let mut parts = names.names.into_iter();
-    let kind = parts
+fn record_command(options: RecordOptions) -> eyre::Result<RecordCommand> {
+    let mut names = options.names.into_iter();
+    let kind = names
         .next()
         .map(|kind| kind.parse::<RecordKind>())
         .transpose();
     let kind = kind.map_err(|problem| eyre::eyre!(problem))?;
-    let name = parts.next();
-    if let Some(extra) = parts.next() {
-        eyre::bail!("{extra:?} is one word too many: write KIND, or KIND NAME");
+    let name = names.next();
+    if let Some(extra) = names.next() {
+        eyre::bail!("unexpected argument {extra:?}: specify KIND, or KIND NAME");
     }
-    Ok(NamePlan {
-        access: plan_access(names.node, names.key_file, names.format.as_deref())?,
+    Ok(RecordCommand {
+        access: admin_access(options.node, options.key_file, options.format.as_deref())?,
         kind,
         name,
-        expect: names.expect.map(ConfigRevision),
-        operator: operator_name(names.operator),
+        expect: options.expect.map(ConfigRevision),
+        operator: operator_name(options.operator),
     })
 }
 
-fn plan_delete(delete: NameOptions) -> eyre::Result<CommandPlan> {
-    let plan = plan_names(delete)?;
-    if plan.kind.is_none() || plan.name.is_none() {
-        eyre::bail!("write which record to delete: KIND NAME");
+fn delete_command(delete: RecordOptions) -> eyre::Result<Command> {
+    let command = record_command(delete)?;
+    if command.kind.is_none() || command.name.is_none() {
+        eyre::bail!("specify the record to delete: KIND NAME");
     }
-    Ok(CommandPlan::Delete(plan))
+    Ok(Command::Delete(command))
 }
 
-fn plan_timeline(timeline: TimelineOptions) -> eyre::Result<CommandPlan> {
-    let access = plan_access(timeline.node, timeline.key_file, timeline.format.as_deref())?;
+fn timeline_command(timeline: TimelineOptions) -> eyre::Result<Command> {
+    let access = admin_access(timeline.node, timeline.key_file, timeline.format.as_deref())?;
     let filter = TimelineFilter {
         request: timeline.request,
         replica: timeline.replica,
@@ -155,20 +157,20 @@
         customer: timeline.customer,
         lease: timeline.lease,
     };
-    Ok(CommandPlan::Timeline(access, filter))
+    Ok(Command::Timeline(access, filter))
 }
 
-fn plan_drain(drain: DrainOptions) -> eyre::Result<DrainPlan> {
+fn drain_command(drain: DrainOptions) -> eyre::Result<DrainCommand> {
     let [name] = drain.names.as_slice() else {
-        eyre::bail!("write one name for the drain record, such as rack-7");
+        eyre::bail!("specify one name for the drain record, such as rack-7");
     };
     let hosts = split_list(drain.hosts);
     let domains = split_list(drain.domains);
     if hosts.is_empty() && domains.is_empty() {
-        eyre::bail!("name --hosts or --domains to drain");
+        eyre::bail!("specify --hosts or --domains to drain");
     }
-    Ok(DrainPlan {
-        access: plan_access(drain.node, drain.key_file, drain.format.as_deref())?,
+    Ok(DrainCommand {
+        access: admin_access(drain.node, drain.key_file, drain.format.as_deref())?,
         name: name.clone(),
         hosts,
         domains,
@@ -177,6 +179,7 @@
     })
 }
 
+/// Splits a comma-separated list, ignoring empty entries.
 fn split_list(text: Option<String>) -> Vec<String> {
     let text = text.unwrap_or_default();
     text.split(',')
@@ -186,27 +189,32 @@
         .collect()
 }
 
+/// Returns the name for the history: the given one, or that of the user who runs the command.
 fn operator_name(given: Option<String>) -> String {
     given
         .or_else(|| std::env::var("USER").ok())
         .unwrap_or_else(|| "operator".to_owned())
 }
 
-fn plan_access(
+fn admin_access(
     mut nodes: Vec<SocketAddr>,
     key_file: Option<PathBuf>,
     format: Option<&str>,
-) -> eyre::Result<OperatorAccess> {
+) -> eyre::Result<AdminAccess> {
     if nodes.is_empty()
-        && let Ok(listed) = std::env::var(NODES_VARIABLE)
+        && let Ok(list) = std::env::var(NODES_VARIABLE)
     {
-        for address in split_list(Some(listed)) {
+        for address in split_list(Some(list)) {
             let parsed = address.parse();
-            nodes.push(parsed.wrap_err_with(|| format!("{address:?} in {NODES_VARIABLE}"))?);
+            nodes.push(
+                parsed.wrap_err_with(|| {
+                    format!("{address:?} in {NODES_VARIABLE} is not an address")
+                })?,
+            );
         }
     }
     if nodes.is_empty() {
-        eyre::bail!("name a node's admin address with --node or in {NODES_VARIABLE}");
+        eyre::bail!("specify a node's admin address with --node or in {NODES_VARIABLE}");
     }
     let key = match key_file {
         Some(path) => SecretText::from_file(&path)?,
@@ -217,10 +225,12 @@
         None | Some("text") => OutputFormat::Text,
         Some("json") => OutputFormat::Json,
         Some("html") => OutputFormat::Html,
-        Some(other) => eyre::bail!("--format {other:?}: write text, json or, for timeline, html"),
+        Some(other) => {
+            eyre::bail!("unknown format {other:?}: use text, json or, for timeline, html")
+        }
     };
     let terminal = std::io::stdout().is_terminal();
-    Ok(OperatorAccess {
+    Ok(AdminAccess {
         nodes,
         key,
         format,
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,30 +1,30 @@
-//! Output: tables for people, JSON for programs.
+//! Output as text tables or as JSON.
 
 use serde::Serialize;
 
-/// Prints a value as JSON.
+/// Prints a value as formatted JSON.
 ///
 /// # Errors
 ///
-/// When it can't be written as JSON.
+/// When the value can't be serialized.
 pub fn print_json<T: Serialize>(value: &T) -> eyre::Result<()> {
     println!("{}", serde_json::to_string_pretty(value)?);
     Ok(())
 }
 
-/// A table of text whose columns are as wide as their widest cell.
+/// A text table whose columns are as wide as their widest cell.
 pub struct TextTable {
     rows: Vec<Vec<String>>,
-    bold_head: bool,
+    bold_header: bool,
 }
 
 impl TextTable {
-    /// A table with its head; the head stands out on a terminal.
-    pub fn new(head: &[&str], terminal: bool) -> Self {
-        let head = head.iter().map(|cell| (*cell).to_owned()).collect();
+    /// Creates a table with a header row, which is printed in bold on a terminal.
+    pub fn new(header: &[&str], terminal: bool) -> Self {
+        let header = header.iter().map(|cell| (*cell).to_owned()).collect();
         Self {
-            rows: vec![head],
-            bold_head: terminal,
+            rows: vec![header],
+            bold_header: terminal,
         }
     }
 
@@ -33,7 +33,7 @@
         self.rows.push(cells);
     }
 
-    /// The table as text.
+    /// Formats the table as text.
     pub fn text(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or_default();
         let mut widths = vec![0; columns];
@@ -43,7 +43,7 @@
             }
         }
         let mut out = String::new();
-        for (number, row) in self.rows.iter().enumerate() {
+        for (index, row) in self.rows.iter().enumerate() {
             let cells: Vec<String> = row
                 .iter()
                 .zip(&widths)
@@ -51,7 +51,7 @@
                 .collect();
             let line = cells.join("  ");
             let line = line.trim_end();
-            if number == 0 && self.bold_head {
+            if index == 0 && self.bold_header {
                 out.push_str("\u{1b}[1m");
                 out.push_str(line);
                 out.push_str("\u{1b}[0m\n");
