--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -1,4 +1,4 @@
-//! Wiring of the admin listener.
+//! Startup of the admin listener.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use super::NodeContext;
 use super::control::ControlTasks;
 use super::peers::PeerTasks;
-use super::report::NodeReport;
+use super::report::StatusReporter;
 
 /// A bound admin listener.
 pub struct AdminListener {
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-/// Binds the admin listener when the settings name one.
+/// Binds the admin listener; none if the settings have no address for it.
 ///
 /// # Errors
 ///
 /// When the address can't be bound.
 pub async fn bind(context: &NodeContext) -> eyre::Result<Option<AdminListener>> {
-    let Some(wanted) = context.settings.admin else {
+    let Some(address) = context.settings.admin else {
         return Ok(None);
     };
-    let listener = TcpListener::bind(wanted)
+    let listener = TcpListener::bind(address)
         .await
-        .wrap_err_with(|| format!("can't listen on {wanted}"))?;
+        .wrap_err_with(|| format!("can't listen on {address}"))?;
     let address = listener.local_addr()?;
     Ok(Some(AdminListener { address, listener }))
 }
 
-/// Starts sampling, and serving on the listener for as long as the process lives.
+/// Starts sampling the gauges, and serving the admin API until the process ends.
 ///
 /// # Errors
 ///
@@ -47,21 +47,21 @@
     peers: &PeerTasks,
     tasks: &ControlTasks,
     dispatcher: &RequestDispatcher,
-    bound: Option<AdminListener>,
+    listener: Option<AdminListener>,
 ) -> eyre::Result<()> {
-    let report = NodeReport::new(context, peers, tasks, dispatcher);
-    tokio::spawn(report.clone().sample_forever(context.metrics.clone()));
-    let Some(bound) = bound else { return Ok(()) };
+    let reporter = StatusReporter::new(context, peers, tasks, dispatcher);
+    tokio::spawn(reporter.clone().run_sampling(context.metrics.clone()));
+    let Some(admin) = listener else { return Ok(()) };
     let key = context.settings.secrets.operator_key()?;
     let server = AdminServer::new(AdminContext {
         table: context.table.with_operator_priority(),
-        status_source: report,
+        status_source: reporter,
         recorder: context.recorder.clone(),
         metrics: context.metrics.clone(),
         key: key.map(|key| OperatorKey::new(key.expose())),
     });
     tokio::spawn(serve_listener(
-        bound.listener,
+        admin.listener,
         Arc::new(server),
         std::future::pending(),
     ));
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -1,4 +1,4 @@
-//! Wiring of control: hosts, replicas, evidence of wholeness, leases and assembly.
+//! Startup of the control plane: host list, replica plans, health probes, leases and assembly.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,52 +17,56 @@
 
 use super::{NodeContext, NodeTable};
 
-/// Time between two looks at the table's circuit.
-const CIRCUIT_LOOK: Duration = Duration::from_millis(250);
+/// Interval between two checks of the table's circuit breaker.
+const CIRCUIT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The running tasks of control.
+/// The running tasks of the control plane.
 pub struct ControlTasks {
     stop: oneshot::Sender<()>,
-    held: watch::Receiver<Vec<LeaseName>>,
+    held_leases: watch::Receiver<Vec<LeaseName>>,
     directory: watch::Receiver<Arc<HostDirectory>>,
-    leases: JoinHandle<()>,
+    supervisor: JoinHandle<()>,
 }
 
 impl ControlTasks {
-    /// Names of the leases that the node holds.
-    pub fn held(&self) -> watch::Receiver<Vec<LeaseName>> {
-        self.held.clone()
+    /// Returns the names of the leases that the node holds.
+    pub fn held_leases(&self) -> watch::Receiver<Vec<LeaseName>> {
+        self.held_leases.clone()
     }
 
-    /// The hosts as last listed.
+    /// Returns the host list as last read.
     pub fn directory(&self) -> watch::Receiver<Arc<HostDirectory>> {
         self.directory.clone()
     }
 
-    /// Gives up the leases, so that other nodes need not wait for them to run out.
+    /// Releases the leases, so that other nodes need not wait for them to expire.
     pub async fn release(self) {
         let _ = self.stop.send(());
-        let _ = self.leases.await;
+        let _ = self.supervisor.await;
     }
 }
 
-/// Starts the tasks of control. The context's evidence store takes in what peers saw and gives them
-/// what this node saw.
+/// Starts the tasks of the control plane. Health evidence is exchanged with peers through the
+/// context's evidence store.
 pub fn start(context: &NodeContext, members: &watch::Receiver<Arc<MemberView>>) -> ControlTasks {
     let settings = context.control;
-    tokio::spawn(follow_share(context.table.clone(), members.clone()));
-    tokio::spawn(follow_circuit(
+    tokio::spawn(update_node_count(context.table.clone(), members.clone()));
+    tokio::spawn(report_circuit(
         context.table.clone(),
         context.recorder.clone(),
     ));
-    let hosts = watch::Sender::new(Arc::new(HostDirectory::default()));
-    let directory = hosts.subscribe();
-    let replicas = watch::Sender::new(Arc::new(FleetPlans::default()));
-    let plans = replicas.subscribe();
+    let directory_sender = watch::Sender::new(Arc::new(HostDirectory::default()));
+    let directory = directory_sender.subscribe();
+    let plan_sender = watch::Sender::new(Arc::new(FleetPlans::default()));
+    let plans = plan_sender.subscribe();
     let period = Duration::from_millis(settings.hosts_ms);
-    tokio::spawn(poll_hosts(context.list.clone(), hosts, period));
+    tokio::spawn(poll_hosts(
+        context.host_list.clone(),
+        directory_sender,
+        period,
+    ));
     let period = Duration::from_millis(settings.plans_ms);
-    tokio::spawn(poll_plans(context.table.clone(), replicas, period));
+    tokio::spawn(poll_plans(context.table.clone(), plan_sender, period));
     let inputs = ProbeInputs {
         node: context.settings.node.clone(),
         plans: plans.clone(),
@@ -94,7 +98,7 @@
     members: &watch::Receiver<Arc<MemberView>>,
     directory: watch::Receiver<Arc<HostDirectory>>,
 ) -> ControlTasks {
-    let listed = directory.clone();
+    let task_directory = directory.clone();
     let settings = context.control;
     let assembly = AssemblyContext {
         table: context.table.with_high_priority(),
@@ -107,7 +111,7 @@
         recorder: context.recorder.clone(),
         settings: settings.assembly,
     };
-    let (held_sender, held) = watch::channel(Vec::new());
+    let (held_sender, held_leases) = watch::channel(Vec::new());
     let inputs = SupervisorInputs {
         node: context.settings.node.clone(),
         members: members.clone(),
@@ -116,19 +120,19 @@
         held: held_sender,
     };
     let (stop, stopped) = oneshot::channel();
-    let leases = tokio::spawn(supervise_leases(assembly, inputs, async {
+    let supervisor = tokio::spawn(supervise_leases(assembly, inputs, async {
         let _ = stopped.await;
     }));
     ControlTasks {
         stop,
-        held,
-        directory: listed,
-        leases,
+        held_leases,
+        directory: task_directory,
+        supervisor,
     }
 }
 
-/// Keeps the node's share of the table's limits in step with the number of nodes.
-async fn follow_share(table: NodeTable, mut members: watch::Receiver<Arc<MemberView>>) {
+/// Updates the node's share of the table's rate limits when the number of nodes changes.
+async fn update_node_count(table: NodeTable, mut members: watch::Receiver<Arc<MemberView>>) {
     loop {
         let nodes = members.borrow_and_update().members.len();
         table.set_node_count(nodes);
@@ -138,17 +142,17 @@
     }
 }
 
-/// Tells operators when calls to the table begin to be refused, and when they pass again.
-async fn follow_circuit(table: NodeTable, recorder: EventRecorder) {
-    let mut closed = true;
+/// Records an event when the circuit breaker for the table opens, and when it closes again.
+async fn report_circuit(table: NodeTable, recorder: EventRecorder) {
+    let mut was_closed = true;
     loop {
-        tokio::time::sleep(CIRCUIT_LOOK).await;
-        let now_closed = table.circuit() == CircuitState::Closed;
-        if now_closed == closed {
+        tokio::time::sleep(CIRCUIT_CHECK_INTERVAL).await;
+        let is_closed = table.circuit() == CircuitState::Closed;
+        if is_closed == was_closed {
             continue;
         }
-        closed = now_closed;
-        let code = if closed {
+        was_closed = is_closed;
+        let code = if is_closed {
             EventCode::StoreCircuitClosed
         } else {
             EventCode::StoreCircuitOpened
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -1,4 +1,4 @@
-//! Wiring of the callers' listener.
+//! Startup and shutdown of the listener for callers.
 
 use std::future::Future;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -25,9 +25,9 @@
 
 use super::{NodeContext, NodeTable};
 
-/// A bound callers' listener.
+/// A bound listener for callers.
 pub struct EntryListener {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub address: SocketAddr,
     listener: TcpListener,
     server: Arc<EntryServer<HttpEngineClient, NodeTable, HttpServiceClient>>,
@@ -36,7 +36,7 @@
     dispatcher: RequestDispatcher,
 }
 
-/// Binds the callers' listener.
+/// Binds the listener for callers.
 ///
 /// # Errors
 ///
@@ -51,14 +51,14 @@
     settings.resume_key = resume_key.map(|key| SecretText::from(key.expose()));
     let settings = Arc::new(settings);
     let targets = context.target_sender.subscribe();
-    let dispatcher = DispatchSettings::builder()
+    let dispatch_settings = DispatchSettings::builder()
         .max_evidence_age(settings.max_evidence_age())
         .local_domain(context.settings.domain.clone())
         .max_attempts(settings.max_attempts)
         .seed(process_seed())
         .build();
-    let dispatcher = RequestDispatcher::start(dispatcher, targets.clone());
-    tokio::spawn(follow_members(dispatcher.clone(), members));
+    let dispatcher = RequestDispatcher::start(dispatch_settings, targets.clone());
+    tokio::spawn(update_entry_count(dispatcher.clone(), members));
     let entry_context = EntryContext::builder()
         .config(context.config_sender.subscribe())
         .dispatcher(dispatcher.clone())
@@ -79,10 +79,10 @@
         ledger,
         context.service.clone(),
     ));
-    let wanted = context.settings.listen;
-    let listener = TcpListener::bind(wanted)
+    let listen_address = context.settings.listen;
+    let listener = TcpListener::bind(listen_address)
         .await
-        .wrap_err_with(|| format!("can't listen on {wanted}"))?;
+        .wrap_err_with(|| format!("can't listen on {listen_address}"))?;
     let address = listener.local_addr()?;
     Ok(EntryListener {
         address,
@@ -94,8 +94,8 @@
     })
 }
 
-/// Tells the dispatcher how many entries share the replicas.
-async fn follow_members(
+/// Tells the dispatcher how many entry nodes share the replicas.
+async fn update_entry_count(
     dispatcher: RequestDispatcher,
     mut members: watch::Receiver<Arc<MemberView>>,
 ) {
@@ -109,14 +109,14 @@
     }
 }
 
-/// Loads the certificate when the settings name one, and follows its files.
+/// Loads the certificate and starts reloading it; none if the settings have no certificate.
 fn load_certificate(context: &NodeContext) -> eyre::Result<Option<ReloadableTlsConfig>> {
     let Some(files) = context.settings.tls.files() else {
         return Ok(None);
     };
     let source = ReloadableTlsConfig::load(files)?;
     let period = context.settings.tls.reload_interval();
-    tokio::spawn(follow_certificate(
+    tokio::spawn(reload_certificate(
         source.clone(),
         period,
         context.recorder.clone(),
@@ -124,7 +124,9 @@
     Ok(Some(source))
 }
 
-async fn follow_certificate(
+/// Checks the certificate's files for changes, and records an event when a new pair is loaded or
+/// refused.
+async fn reload_certificate(
     source: ReloadableTlsConfig,
     period: Duration,
     recorder: EventRecorder,
@@ -148,19 +150,19 @@
     }
 }
 
-/// Differs between processes, so that entries that start together don't decide alike.
+/// Returns a seed that differs between processes, so that entry nodes that start at the same time
+/// don't make the same random choices.
 fn process_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
 impl EntryListener {
-    /// Where requests wait for a replica.
+    /// Returns the dispatcher, in which requests wait for a replica.
     pub fn dispatcher(&self) -> &RequestDispatcher {
         &self.dispatcher
     }
 
-    /// Serves until `stop` completes, then stops without cutting off a request; see
-    /// [`entry::shutdown`].
+    /// Serves until `stop` completes, then shuts down gracefully; see [`entry::shutdown`].
     pub async fn serve(self, stop: impl Future<Output = ()> + Send) {
         match self.tls.clone() {
             Some(source) => self.serve_with_acceptor(source, stop).await,
@@ -196,7 +198,7 @@
             return;
         }
         shutdown.advance(ShutdownPhase::HandingOver);
-        // Without a last limit a caller that reads nothing would keep the process for ever.
+        // Without a timeout, a caller that stops reading would prevent the process from ending.
         let _ = tokio::time::timeout(self.settings.stop_limit(), serving).await;
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Wiring of one node, a module for each part.
+//! Startup and shutdown of an entry node.
 
 mod admin;
 mod control;
@@ -21,20 +21,20 @@
 use tokio::sync::{oneshot, watch};
 use web::WebClient;
 
-/// Exit status after a second signal, as shells give it for an interrupted process.
+/// Exit status after a second signal; shells use it for a process interrupted by SIGINT.
 const SECOND_SIGNAL_STATUS: i32 = 130;
 
-/// The table within the node's share of its limits.
+/// The table, limited to the node's share of its rate limits.
 type NodeTable = BudgetedTable<HttpTable>;
 
-/// What the parts of a node share.
+/// Dependencies shared by the components of a node.
 struct NodeContext {
     settings: NodeSettings,
     control: ControlSettings,
     evidence_store: EvidenceStore,
     table: NodeTable,
     objects: HttpObjects,
-    list: HttpHostList,
+    host_list: HttpHostList,
     engine: HttpEngineClient,
     service: HttpServiceClient,
     recorder: EventRecorder,
@@ -56,7 +56,7 @@
                 settings.budget,
             ),
             objects: HttpObjects::new(endpoint(settings.platform.objects)),
-            list: HttpHostList::new(endpoint(settings.platform.hostlist)),
+            host_list: HttpHostList::new(endpoint(settings.platform.hostlist)),
             engine: HttpEngineClient::new(client.clone()),
             service: HttpServiceClient::new(client),
             recorder: EventRecorder::with_metrics(settings.node.clone(), capacity, metrics.clone()),
@@ -70,21 +70,21 @@
     }
 }
 
-/// Serves until the process is told to stop.
+/// Runs an entry node until a signal stops it.
 ///
 /// # Errors
 ///
-/// When an address can't be bound.
+/// When an address can't be bound, or a key or the certificate can't be loaded.
 pub async fn serve(mut settings: NodeSettings) -> eyre::Result<()> {
     init_logging(settings.log.level);
-    settings.node = renewed_id(&settings.node)?;
+    settings.node = unique_node_id(&settings.node)?;
     let context = NodeContext::new(settings)?;
     let admin = admin::bind(&context).await?;
     let peers = peers::bind(&context, admin.as_ref().map(|admin| admin.address)).await?;
     let tasks = control::start(&context, &peers.members());
     let peers = peers.start(&context)?;
-    let running = entry::bind(&context, peers.membership().watch()).await?;
-    let address = running.address;
+    let entry = entry::bind(&context, peers.membership().watch()).await?;
+    let address = entry.address;
     context.recorder.record(
         EventCode::NodeStarted,
         EventSubject::default(),
@@ -97,42 +97,42 @@
             context.settings.node, admin.address
         );
     }
-    admin::start(&context, &peers, &tasks, running.dispatcher(), admin)?;
+    admin::start(&context, &peers, &tasks, entry.dispatcher(), admin)?;
     let recorder = context.recorder.clone();
-    let (released, release) = oneshot::channel();
+    let (release_sender, release_receiver) = oneshot::channel();
     let stop = async move {
-        stop_signal().await;
+        shutdown_signal().await;
         recorder.record(EventCode::NodeStopping, EventSubject::default(), "");
-        // Others take the leases over while this node still finishes its streams.
-        let _ = released.send(tokio::spawn(tasks.release()));
+        // Other nodes can acquire the leases while this node still finishes its streams.
+        let _ = release_sender.send(tokio::spawn(tasks.release()));
     };
-    running.serve(stop).await;
-    if let Ok(release) = release.await {
+    entry.serve(stop).await;
+    if let Ok(release) = release_receiver.await {
         let _ = release.await;
     }
     peers.leave().await;
     Ok(())
 }
 
-/// An id that no earlier process of this host had.
+/// Returns a node id that no earlier process on this host had.
 ///
-/// Under the old id, peers would take the new process's heartbeats for late ones of the old, and a
-/// lease that the old process held would look like the new one's own.
-fn renewed_id(name: &NodeId) -> eyre::Result<NodeId> {
+/// With the same id, peers would mistake the new process's heartbeats for delayed ones of the old
+/// process, and a lease that the old process held would appear to belong to the new one.
+fn unique_node_id(name: &NodeId) -> eyre::Result<NodeId> {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
     Ok(format!("{name}.{:x}", since_epoch.as_millis()).parse()?)
 }
 
-/// Completes at the first signal to stop; a second one ends the process at once.
-async fn stop_signal() {
-    next_signal().await;
+/// Completes at the first SIGTERM or SIGINT; a second one ends the process at once.
+async fn shutdown_signal() {
+    wait_for_signal().await;
     tokio::spawn(async {
-        next_signal().await;
+        wait_for_signal().await;
         std::process::exit(SECOND_SIGNAL_STATUS);
     });
 }
 
-async fn next_signal() {
+async fn wait_for_signal() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         let _ = tokio::signal::ctrl_c().await;
         return;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Wiring of what nodes know of each other: configuration, membership and links.
+//! Startup of configuration polling, membership and the links to peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 use super::{NodeContext, NodeTable};
 
-/// A bound listener for peers, with what is shared with them.
+/// A bound listener for peers, with the state that is exchanged with them.
 pub struct PeerListener {
     listener: TcpListener,
     membership: SharedMembership,
@@ -27,16 +27,16 @@
     config: ConfigHandle,
 }
 
-/// The running links.
+/// The running tasks of membership and links.
 pub struct PeerTasks {
     gossip: GossipState<StoreEvidence>,
     members: MemberTableSync<NodeTable>,
 }
 
-/// Time that a node that stops gives its peers to hear of it.
-const GOODBYE_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of announcing to peers that the node leaves.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Binds the listener for peers. `admin` is the address at which operators find this node.
+/// Binds the listener for peers. `admin` is the node's admin address, announced to other nodes.
 ///
 /// # Errors
 ///
@@ -44,18 +44,19 @@
 pub async fn bind(context: &NodeContext, admin: Option<SocketAddr>) -> eyre::Result<PeerListener> {
     let settings = &context.settings;
     let any_port = SocketAddr::new(settings.listen.ip(), 0);
-    let wanted = settings.peers.listen.unwrap_or(any_port);
-    let listener = TcpListener::bind(wanted)
+    let address = settings.peers.listen.unwrap_or(any_port);
+    let listener = TcpListener::bind(address)
         .await
-        .wrap_err_with(|| format!("can't listen for peers on {wanted}"))?;
-    let own = Member {
+        .wrap_err_with(|| format!("can't listen for peers on {address}"))?;
+    let local_member = Member {
         node: settings.node.clone(),
         address: listener.local_addr()?,
         domain: settings.domain.clone(),
         region: settings.region.clone(),
         admin,
     };
-    let membership = SharedMembership::new(MemberState::new(own, settings.members.timeouts()));
+    let membership =
+        SharedMembership::new(MemberState::new(local_member, settings.members.timeouts()));
     let members = MemberTableSync::builder()
         .table(context.table.clone())
         .membership(membership.clone())
@@ -76,53 +77,55 @@
     })
 }
 
-fn shared_key(settings: &NodeSettings) -> eyre::Result<Option<SharedKey>> {
+/// Loads the key that all nodes share; none if the settings have none.
+fn load_shared_key(settings: &NodeSettings) -> eyre::Result<Option<SharedKey>> {
     let Some(text) = peer_key(&settings.peers)? else {
         return Ok(None);
     };
     Ok(Some(SharedKey::new(text.expose())?))
 }
 
-/// Evidence of wholeness between the evidence store and the links.
+/// Exchanges the health evidence in the evidence store with peers.
 #[derive(Debug, Clone)]
 pub struct StoreEvidence(EvidenceStore);
 
 impl EvidenceExchange for StoreEvidence {
     fn export(&self) -> Vec<TimedEvidence> {
         let now = Instant::now();
-        let mut held = Vec::new();
+        let mut exported = Vec::new();
         for evidence in self.0.export(usize::MAX) {
-            // Evidence from before the clock's own start is too old for anything.
+            // An age that reaches back before the start of the monotonic clock can't be
+            // represented, and such evidence is too old to be used.
             let Some(as_of) = now.checked_sub(evidence.age) else {
                 continue;
             };
-            held.push(TimedEvidence { evidence, as_of });
+            exported.push(TimedEvidence { evidence, as_of });
         }
-        held
+        exported
     }
 
-    fn import(&self, held: TimedEvidence) {
-        let mut evidence = held.evidence;
-        evidence.age = held.as_of.elapsed();
+    fn import(&self, timed: TimedEvidence) {
+        let mut evidence = timed.evidence;
+        evidence.age = timed.as_of.elapsed();
         self.0.record(evidence);
     }
 }
 
 impl PeerListener {
-    /// The nodes that are taken to be alive, told of every change.
+    /// Returns a receiver of the nodes that are considered alive.
     pub fn members(&self) -> watch::Receiver<Arc<MemberView>> {
         self.membership.watch()
     }
 
-    /// Starts the tasks.
+    /// Starts configuration polling, membership and, with a shared key, the links.
     ///
     /// # Errors
     ///
-    /// When the shared key can't be read or is too short.
+    /// When the shared key can't be loaded.
     pub fn start(self, context: &NodeContext) -> eyre::Result<PeerTasks> {
         let settings = &context.settings;
-        let key = shared_key(settings)?;
-        let follower = ConfigPoller::builder()
+        let key = load_shared_key(settings)?;
+        let poller = ConfigPoller::builder()
             .table(context.table.clone())
             .objects(context.objects.clone())
             .config(self.config.clone())
@@ -130,7 +133,7 @@
             .recorder(context.recorder.clone())
             .settings(settings.config)
             .build();
-        tokio::spawn(poll_config(follower));
+        tokio::spawn(poll_config(poller));
         tokio::spawn(self.members.clone().run_row_writes());
         tokio::spawn(self.members.clone().run_heartbeats());
         tokio::spawn(self.members.clone().run_listings());
@@ -160,25 +163,25 @@
 }
 
 impl PeerTasks {
-    /// The configuration in force, and how well it is known.
+    /// Returns the handle of the configuration actor, for the readiness of the node.
     pub fn config(&self) -> &ConfigHandle {
         &self.gossip.config
     }
 
-    /// What went over the links.
+    /// Returns the byte counters of the links.
     pub fn traffic(&self) -> &PeerTraffic {
         &self.gossip.traffic
     }
 
-    /// The membership.
+    /// Returns the membership.
     pub fn membership(&self) -> &SharedMembership {
         &self.gossip.membership
     }
 
-    /// Says goodbye to the other nodes.
+    /// Announces to the other nodes that this one leaves, over the links and in the table.
     pub async fn leave(&self) {
         tokio::join!(
-            self.gossip.announce_leave(GOODBYE_LIMIT),
+            self.gossip.announce_leave(LEAVE_TIMEOUT),
             self.members.leave()
         );
     }
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself: its status, and the gauges that are sampled.
+//! Status of the node for operators, and sampled gauges.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -20,36 +20,36 @@
 use super::control::ControlTasks;
 use super::peers::PeerTasks;
 
-/// Time between two samples of downtime and stranded hosts.
-const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between two samples of the gauges.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node says of itself. Clones share the counts.
+/// Reports the status of the node and samples its gauges. Clones share the totals.
 #[derive(Debug, Clone)]
-pub struct NodeReport {
+pub struct StatusReporter {
     node: NodeId,
     config: watch::Receiver<Arc<ConfigView>>,
     targets: watch::Receiver<Arc<TargetView>>,
-    follower: ConfigHandle,
+    config_handle: ConfigHandle,
     membership: SharedMembership,
     dispatcher: RequestDispatcher,
-    held: watch::Receiver<Vec<LeaseName>>,
+    held_leases: watch::Receiver<Vec<LeaseName>>,
     directory: watch::Receiver<Arc<HostDirectory>>,
     max_evidence_age: Duration,
     traffic: PeerTraffic,
     started: Instant,
-    settle: Duration,
-    counts: Arc<Mutex<ReportCounts>>,
+    startup_grace: Duration,
+    totals: Arc<Mutex<DowntimeTotals>>,
 }
 
 #[derive(Debug, Default)]
-struct ReportCounts {
+struct DowntimeTotals {
     stranded_hosts: Vec<HostId>,
     group_downtime_seconds: f64,
     stranded_seconds: f64,
 }
 
-impl NodeReport {
-    /// A report that reads what the running parts publish.
+impl StatusReporter {
+    /// Creates a reporter that reads the state that the running components publish.
     pub fn new(
         context: &NodeContext,
         peers: &PeerTasks,
@@ -60,71 +60,74 @@
             node: context.settings.node.clone(),
             config: context.config_sender.subscribe(),
             targets: context.target_sender.subscribe(),
-            follower: peers.config().clone(),
+            config_handle: peers.config().clone(),
             membership: peers.membership().clone(),
             dispatcher: dispatcher.clone(),
-            held: tasks.held(),
+            held_leases: tasks.held_leases(),
             directory: tasks.directory(),
             max_evidence_age: context.settings.entry.max_evidence_age(),
             traffic: peers.traffic().clone(),
             started: Instant::now(),
-            settle: context.settings.members.timeouts().dead,
-            counts: Arc::default(),
+            startup_grace: context.settings.members.timeouts().dead,
+            totals: Arc::default(),
         }
     }
 
-    /// Samples downtime, stranded hosts and what goes over the links, once a second.
-    pub async fn sample_forever(self, metrics: NodeMetrics) {
-        let mut sampled = Instant::now();
+    /// Updates the gauges once a second; runs until the process ends.
+    pub async fn run_sampling(self, metrics: NodeMetrics) {
+        let mut last_sample = Instant::now();
         loop {
-            tokio::time::sleep(SAMPLE_PERIOD).await;
-            let passed = sampled.elapsed();
-            sampled = Instant::now();
-            self.sample(passed, &metrics);
-            self.sample_links(&metrics);
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
+            let elapsed = last_sample.elapsed();
+            last_sample = Instant::now();
+            self.sample_replicas(elapsed, &metrics);
+            self.sample_node(&metrics);
         }
     }
 
-    fn sample(&self, passed: Duration, metrics: &NodeMetrics) {
+    fn sample_replicas(&self, elapsed: Duration, metrics: &NodeMetrics) {
         let view = Arc::clone(&self.targets.borrow());
         let config = Arc::clone(&self.config.borrow());
         let now = Instant::now();
-        let mut serving = FastSet::default();
-        let mut whole = 0_u32;
+        let mut serving_hosts = FastSet::default();
+        let mut healthy = 0_u32;
         for replica in &view.replicas {
-            let state = self.state_of(replica, now);
-            whole += u32::from(state == ReplicaState::Whole);
+            let state = self.replica_state(replica, now);
+            healthy += u32::from(state == ReplicaState::Whole);
             if state != ReplicaState::Broken {
-                serving.extend(replica.plan.hosts.iter().cloned());
+                serving_hosts.extend(replica.plan.hosts.iter().cloned());
             }
         }
-        let broken = wanted_replicas(&config).saturating_sub(whole);
-        let mut counts = self.counts();
+        let missing = desired_replicas(&config).saturating_sub(healthy);
+        let mut totals = self.totals();
         let directory = Arc::clone(&self.directory.borrow());
         let stranded: Vec<HostId> = directory
             .hosts
             .keys()
-            .filter(|host| !serving.contains(*host))
+            .filter(|host| !serving_hosts.contains(*host))
             .cloned()
             .collect();
-        counts.group_downtime_seconds += f64::from(broken) * passed.as_secs_f64();
-        counts.stranded_seconds += count_f64(stranded.len()) * passed.as_secs_f64();
-        counts.stranded_hosts = stranded;
+        totals.group_downtime_seconds += f64::from(missing) * elapsed.as_secs_f64();
+        totals.stranded_seconds += count_f64(stranded.len()) * elapsed.as_secs_f64();
+        totals.stranded_hosts = stranded;
         #[expect(clippy::cast_precision_loss, reason = "a gauge of a revision")]
         metrics.set_gauge(NodeGauge::ConfigRevision, config.revision.0 as f64);
-        metrics.set_gauge(NodeGauge::WholeReplicas, f64::from(whole));
-        metrics.set_gauge(NodeGauge::BrokenReplicas, f64::from(broken));
+        metrics.set_gauge(NodeGauge::WholeReplicas, f64::from(healthy));
+        metrics.set_gauge(NodeGauge::BrokenReplicas, f64::from(missing));
         metrics.set_gauge(
             NodeGauge::StrandedHosts,
-            count_f64(counts.stranded_hosts.len()),
+            count_f64(totals.stranded_hosts.len()),
         );
-        metrics.set_gauge(NodeGauge::StrandedTime, counts.stranded_seconds);
-        metrics.set_gauge(NodeGauge::GroupDowntime, counts.group_downtime_seconds);
+        metrics.set_gauge(NodeGauge::StrandedTime, totals.stranded_seconds);
+        metrics.set_gauge(NodeGauge::GroupDowntime, totals.group_downtime_seconds);
     }
 
-    fn sample_links(&self, metrics: &NodeMetrics) {
+    fn sample_node(&self, metrics: &NodeMetrics) {
         let now = Instant::now();
-        metrics.set_gauge(NodeGauge::LeasesHeld, count_f64(self.held.borrow().len()));
+        metrics.set_gauge(
+            NodeGauge::LeasesHeld,
+            count_f64(self.held_leases.borrow().len()),
+        );
         metrics.set_gauge(NodeGauge::QueueLength, count_f64(self.dispatcher.waiting()));
         let traffic = self.traffic.counts();
         metrics.set_gauge(NodeGauge::PeerSent, bytes_f64(traffic.sent));
@@ -133,24 +136,24 @@
             NodeGauge::Members,
             count_f64(self.membership.view(now).members.len()),
         );
-        if let Some(known) = self.follower.status().confirmation {
-            let age = now.saturating_duration_since(known.as_of);
+        if let Some(confirmation) = self.config_handle.status().confirmation {
+            let age = now.saturating_duration_since(confirmation.as_of);
             metrics.set_gauge(NodeGauge::ConfigAge, age.as_secs_f64());
         }
     }
 
     fn members(&self, now: Instant) -> Vec<MemberStatus> {
         let view = self.membership.view(now);
-        let status = |member: &Member| MemberStatus {
+        let to_status = |member: &Member| MemberStatus {
             node: member.node.clone(),
             domain: member.domain.clone(),
             region: member.region.clone(),
             admin: member.admin,
         };
-        view.members.iter().map(status).collect()
+        view.members.iter().map(to_status).collect()
     }
 
-    fn state_of(&self, replica: &ReplicaView, now: Instant) -> ReplicaState {
+    fn replica_state(&self, replica: &ReplicaView, now: Instant) -> ReplicaState {
         if replica.dispatchable(now, self.max_evidence_age) {
             ReplicaState::Whole
         } else if replica.draining || replica.plan.draining {
@@ -160,8 +163,8 @@
         }
     }
 
-    fn counts(&self) -> std::sync::MutexGuard<'_, ReportCounts> {
-        self.counts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn totals(&self) -> std::sync::MutexGuard<'_, DowntimeTotals> {
+        self.totals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -174,12 +177,13 @@
     bytes as f64
 }
 
-fn wanted_replicas(config: &ConfigView) -> u32 {
+/// Returns the number of replicas that the active configuration asks for.
+fn desired_replicas(config: &ConfigView) -> u32 {
     let plans = config.models.values().flat_map(|model| &model.versions);
     plans.map(|plan| plan.replicas).sum()
 }
 
-impl StatusSource for NodeReport {
+impl StatusSource for StatusReporter {
     fn status(&self) -> NodeStatus {
         let config = Arc::clone(&self.config.borrow());
         let view = Arc::clone(&self.targets.borrow());
@@ -193,31 +197,37 @@
                 model: replica.plan.model.clone(),
                 version: replica.plan.version.clone(),
                 hosts: replica.plan.hosts.clone(),
-                state: self.state_of(replica, now),
+                state: self.replica_state(replica, now),
             })
             .collect();
-        let counts = self.counts();
+        let totals = self.totals();
         NodeStatus {
             node: self.node.clone(),
             ready: config.revision.0 > 0 && config.gate.is_open(now),
-            readiness: self.follower.status().readiness.as_str().to_owned(),
+            readiness: self.config_handle.status().readiness.as_str().to_owned(),
             revision: config.revision,
             unknown_records: config.unknown.clone(),
             replicas,
-            stranded_hosts: counts.stranded_hosts.clone(),
-            group_downtime_seconds: counts.group_downtime_seconds,
-            stranded_seconds: counts.stranded_seconds,
-            leases: self.held.borrow().iter().map(ToString::to_string).collect(),
+            stranded_hosts: totals.stranded_hosts.clone(),
+            group_downtime_seconds: totals.group_downtime_seconds,
+            stranded_seconds: totals.stranded_seconds,
+            leases: self
+                .held_leases
+                .borrow()
+                .iter()
+                .map(ToString::to_string)
+                .collect(),
             members: self.members(now),
         }
     }
 
-    /// Why this node takes no amendments: the small side of a partition must not change what the
-    /// large side can't hear of. Whoever amends there would be told that it is in force within
-    /// seconds, while most callers are still served by the old configuration.
+    /// The minority side of a partition must not accept amendments, since the majority side would
+    /// not learn of them. The operator would be told within seconds that the change is active,
+    /// while most callers are still served with the old configuration.
     fn amend_unavailable_reason(&self) -> Option<String> {
-        // A node that has just started has heard nobody yet and would refuse for no reason.
-        if self.started.elapsed() < self.settle {
+        // A node that has just started has no heartbeats of other nodes yet and would refuse
+        // amendments for no reason.
+        if self.started.elapsed() < self.startup_grace {
             return None;
         }
         let reach = self.membership.reach(Instant::now());
@@ -225,8 +235,8 @@
             return None;
         }
         Some(format!(
-            "this node hears {} of {} entry hosts, less than half: it may be cut off from the \
-             others; try again through another node, or when they are back",
+            "this node reaches {} of {} entry nodes, less than half: it may be partitioned from the \
+             others; try again through another node or later",
             reach.reachable, reach.roster_size
         ))
     }
