--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,20 +1,22 @@
-//! Protocol of a model engine: one process on each host of a replica, rank 0 answers for all.
+//! Protocol of a model engine. One engine process runs on each host of a replica; the engine of rank
+//! 0 serves the replica's requests.
 //!
 //! * `GET /state`: an [`EngineState`].
 //! * `POST /orders` with an [`EngineOrder`]: 200 with the new [`EngineState`], or 409 with the
-//!   current one when the engine checks fencing numbers and the order's epoch is old.
-//! * `POST /streams` with a [`StreamRequest`]: lines of JSON, each a [`StreamEvent`]; 409 when the
-//!   replica or its incarnation is another, 503 with `Retry-After` when its queue is full or its
-//!   weights are not loaded. Either proves that the request was not run.
-//! * `POST /streams/{attempt}/resume` with a [`ResumeRequest`]: goes on with a stream whose
-//!   connection was lost, as long as the engine keeps it; 404 when it does not, or when the first
-//!   token that is wanted lies behind the next one. An earlier reader of the stream gets no more.
-//! * `DELETE /streams/{attempt}`: cancels. A stream whose connection broke is generated further
-//!   for a while, so a caller that wants no more of it says so.
-//! * `GET /cache/events?after=N`: a [`CachePage`], late and with gaps.
-//! * `GET /kv/{attempt}`: the KV cache of a stream whose prompt is read, as opaque bytes; 404
-//!   otherwise. `PUT /kv/{attempt}` hands it to the engine that will get the stream of that name;
-//!   its prompt then counts as cached.
+//!   current one if the engine checks fencing tokens and the epoch of the order is stale.
+//! * `POST /streams` with a [`StreamRequest`]: newline-delimited JSON, one [`StreamEvent`] per line;
+//!   409 if the engine serves another replica or incarnation, 503 with `Retry-After` if its queue is
+//!   full or its weights are not loaded. Both statuses prove that the request was not run.
+//! * `POST /streams/{attempt}/resume` with a [`ResumeRequest`]: resumes a stream whose connection was
+//!   lost, while the engine retains it; 404 if the stream is not retained, or if the requested token
+//!   lies beyond the next one to be generated. An earlier reader of the stream receives no more
+//!   events.
+//! * `DELETE /streams/{attempt}`: cancels a stream. After a lost connection the engine continues to
+//!   generate for a while, so a client that no longer needs the stream has to cancel it.
+//! * `GET /cache/events?after=N`: a [`CachePage`], delayed and possibly with gaps.
+//! * `GET /kv/{attempt}`: the KV cache of a stream after prefill, as opaque bytes; 404 otherwise.
+//!   `PUT /kv/{attempt}` transfers it to the engine that will run the stream with that attempt id;
+//!   the prompt then counts as cached there.
 
 use std::net::SocketAddr;
 
@@ -25,114 +27,114 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a host's engine reports of itself.
+/// State of a host's engine, as reported by the engine itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The host.
+    /// Host that the engine runs on.
     pub host: HostId,
-    /// New after every restart.
+    /// Boot number of the engine, which rises at every restart.
     pub boot: BootNumber,
-    /// What it runs.
+    /// Assignment that the engine follows; none while it is idle.
     pub assignment: Option<EngineAssignment>,
-    /// Whether the weights and adapters are loaded.
+    /// Whether the weights and adapters of the assignment are loaded.
     pub ready: bool,
-    /// Whether the engine is about to leave and wants no new work.
+    /// Whether the engine is about to stop and should receive no new work.
     pub leaving: bool,
-    /// Load, reported with a lag.
+    /// Load at some moment in the past; see [`EngineLoad::age_ms`].
     pub load: EngineLoad,
 }
 
-/// An engine's part in a replica.
+/// Membership of an engine in a replica, and what the replica serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineAssignment {
-    /// The replica.
+    /// Replica that the engine belongs to.
     pub replica: ReplicaId,
-    /// Its incarnation.
+    /// Incarnation of the replica.
     pub incarnation: IncarnationNumber,
-    /// Fencing number of the order.
+    /// Fencing token of the order that made this assignment.
     pub epoch: LeaseEpoch,
-    /// All hosts by rank, with their addresses.
+    /// Engine addresses of all hosts of the replica, ordered by rank.
     pub hosts: Vec<EngineAddress>,
-    /// This host's rank.
+    /// Index of this host in `hosts`.
     pub rank: u32,
-    /// The model.
+    /// Model that the replica serves.
     pub model: ModelName,
-    /// Its version.
+    /// Version of the model's weights.
     pub version: VersionName,
-    /// Adapters loaded beside it.
+    /// Adapters loaded in addition to the model.
     pub adapters: Vec<AdapterName>,
-    /// What it does for a request.
+    /// Whether the replica performs prefill, decode or both.
     pub role: ReplicaRole,
 }
 
-/// A host of a replica and where it listens.
+/// A host of a replica and the address of its engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineAddress {
-    /// The host.
+    /// Host that the engine runs on.
     pub host: HostId,
-    /// Its engine's address.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
 }
 
-/// Load of an engine.
+/// Load of an engine, measured `age_ms` before the report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Streams in the batch.
+    /// Number of streams in the batch.
     pub running: u32,
-    /// Streams that wait for a place in the batch.
+    /// Number of queued streams, which wait for a batch slot.
     pub waiting: u32,
-    /// Most streams in the batch at once.
+    /// Maximum number of streams in the batch.
     pub slots: u32,
-    /// Prompt tokens that wait to be read.
+    /// Number of prompt tokens that await prefill.
     pub prompt_backlog: u64,
-    /// Prompt tokens read a second, lately.
+    /// Recent prefill throughput in prompt tokens per second.
     pub prompt_rate: f64,
-    /// Tokens generated a second over all streams, lately.
+    /// Recent decode throughput in tokens per second, summed over all streams.
     pub token_rate: f64,
-    /// Age of these figures in milliseconds.
+    /// Age of the other values in milliseconds.
     pub age_ms: u64,
 }
 
-/// An order to an engine. It is complete and idempotent: it says what the engine shall be, not
-/// what it shall change.
+/// An order to an engine. It is idempotent, because it describes the complete desired state rather
+/// than a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing number: the epoch of the lease under which the order is given.
+    /// Fencing token: the epoch of the lease under which the order is sent.
     pub epoch: LeaseEpoch,
-    /// What the engine shall run; none empties it.
+    /// Assignment that the engine is to follow; none unloads the engine.
     pub assignment: Option<EngineAssignment>,
 }
 
-/// An order to generate.
+/// A request to generate tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StreamRequest {
-    /// The attempt; every event repeats it.
+    /// Id of the attempt, repeated in every event of the stream.
     pub attempt: AttemptId,
-    /// The replica that is meant.
+    /// Replica that the request is addressed to; an engine of another replica rejects it.
     pub replica: ReplicaId,
-    /// Its incarnation.
+    /// Incarnation of the replica; an engine of another incarnation rejects the request.
     pub incarnation: IncarnationNumber,
-    /// The model.
+    /// Model to run.
     pub model: ModelName,
-    /// The adapter, where one is named.
+    /// Adapter to apply; none runs the base model.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// Prompt as text.
     pub prompt: String,
-    /// Most tokens to generate, counted from the start of the answer.
+    /// Maximum number of tokens in the whole output, including `generated_tokens`.
     pub max_tokens: u32,
-    /// Seed, so that a resumed answer goes on as it began.
+    /// Sampling seed, which makes a resumed stream continue consistently.
     pub seed: u64,
-    /// Higher goes first.
+    /// Scheduling priority; higher values run first.
     pub priority: i32,
-    /// Tokens of the answer that the caller has already; generation goes on behind them.
+    /// Tokens that an earlier attempt delivered to the client; generation continues after them.
     #[serde(rename = "resume")]
     pub generated_tokens: Vec<String>,
 }
 
-/// An order to go on with a stream whose connection was lost.
+/// A request to resume a stream whose connection was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeRequest {
-    /// Index of the first token that is wanted.
+    /// Index of the first token to send, counted from the start of the output.
     pub from: u32,
 }
 
@@ -140,65 +142,67 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum StreamEvent {
-    /// One token.
+    /// One generated token.
     Token {
-        /// The attempt.
+        /// Attempt that the stream belongs to.
         attempt: AttemptId,
-        /// The incarnation.
+        /// Incarnation of the replica that generated the token.
         incarnation: IncarnationNumber,
-        /// Index of the token in the whole answer, from 0.
+        /// Index of the token in the whole output, starting at 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The final mark.
+    /// The output is complete.
     Done {
-        /// The attempt.
+        /// Attempt that the stream belongs to.
         attempt: AttemptId,
-        /// The incarnation.
+        /// Incarnation of the replica that generated the output.
         incarnation: IncarnationNumber,
-        /// Tokens in the whole answer.
+        /// Number of tokens in the whole output.
         count: u32,
-        /// Tokens in the prompt.
+        /// Number of tokens in the prompt.
         prompt_tokens: u32,
-        /// Prompt tokens that the prefix cache held.
+        /// Number of prompt tokens that were found in the prefix cache.
         cached_tokens: u32,
-        /// Why it ended: `stop` or `length`.
+        /// Why generation ended: `stop` or `length`.
         #[serde(rename = "finish")]
         finish_reason: String,
     },
-    /// The engine gives the stream up.
+    /// The engine aborted the stream.
     Failed {
-        /// The attempt.
+        /// Attempt that the stream belongs to.
         attempt: AttemptId,
-        /// Why.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// Cache events of an engine.
+/// Prefix cache events of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachePage {
-    /// Events behind the number that was asked for.
+    /// Events with higher numbers than the requested one.
     pub events: Vec<CacheEvent>,
 }
 
-/// A prefix that entered or left the cache.
+/// A prefix was added to the cache or evicted from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; a gap means that events are lost.
+    /// Sequence number; a gap means that events were lost.
     pub number: u64,
-    /// Hash of the prefix, as [`prefix_hashes`] forms it.
+    /// Hash of the prefix, as computed by [`prefix_hashes`].
     pub prefix: u64,
-    /// Whether it entered; otherwise it left.
+    /// True if the prefix was added, false if it was evicted.
     pub stored: bool,
 }
 
-/// Bytes of prompt text in one block of the prefix cache.
+/// Size of a prefix cache block in bytes of prompt text.
 pub const PREFIX_BLOCK_BYTES: usize = 64;
 
-/// Hashes of the prompt's prefixes, one for each whole block; the model and adapter are part of
-/// each, because caches are not shared between them. FNV-1a, so that it is the same everywhere.
+/// Computes the hash of every prefix of the prompt that ends at a block boundary.
+///
+/// Model and adapter are included, because cache entries are not shared between them. The hash is
+/// FNV-1a, which gives the same result on all nodes and engines.
 #[must_use]
 pub fn prefix_hashes(model: &ModelName, adapter: Option<&AdapterName>, prompt: &str) -> Vec<u64> {
     let adapter = adapter.map_or("", AdapterName::as_str);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Wire types of every protocol, converted from and into the domain.
+//! Wire formats of all protocols, and their conversion from and to domain types.
 
 pub mod admin;
 pub mod caller;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,12 +1,14 @@
-//! Protocol between the nodes: `h2` requests whose bodies are `bincode`.
+//! Protocol between nodes: HTTP/2 requests with `bincode` bodies.
 //!
-//! * `POST /hello` with a [`PeerHello`]: a [`PeerWelcome`]. Both name the versions they speak and
-//!   a nonce; the rest of the connection is sealed with a key made of both nonces.
-//! * `POST /digest` with a [`AuthenticatedFrame`] of a [`PeerDigest`]: the same back.
-//! * `POST /snapshot` with an empty [`AuthenticatedFrame`]: one with a snapshot as JSON.
+//! * `POST /hello` with a [`PeerHello`]: a [`PeerWelcome`]. The two negotiate the protocol version
+//!   and exchange nonces; all later frames are authenticated with a key derived from both nonces.
+//! * `POST /digest` with an [`AuthenticatedFrame`] that holds a [`PeerDigest`]: a frame with the
+//!   responder's digest.
+//! * `POST /snapshot` with an empty [`AuthenticatedFrame`]: a frame with a snapshot as JSON.
 //!
-//! Within a version fields are only ever added at the end: `bincode` leaves what follows unread,
-//! so an old node reads what a newer one sends. Times are ages in milliseconds, never wall times.
+//! Within a protocol version, fields are only added at the end. `bincode` ignores trailing bytes, so
+//! an old node can read messages of a newer one. Times are ages in milliseconds, never wall clock
+//! times.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,189 +19,195 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Newest version of the protocol that this program speaks.
+/// Highest protocol version that this program supports.
 pub const NEWEST_VERSION: u8 = 1;
 
-/// Oldest version of the protocol that this program speaks.
+/// Lowest protocol version that this program supports.
 pub const OLDEST_VERSION: u8 = 1;
 
-/// Largest hello, in bytes.
+/// Maximum size of a hello in bytes.
 pub const MAX_HELLO_BYTES: usize = 1 << 10;
 
-/// Largest digest, in bytes: a few hundred member rows, or one large record.
+/// Maximum size of a digest in bytes: a few hundred member rows, or one large record.
 pub const MAX_DIGEST_BYTES: usize = 1 << 20;
 
-/// Largest snapshot, in bytes: 1,500 records with hundreds of key hashes each.
+/// Maximum size of a snapshot in bytes: 1,500 records with hundreds of key hashes each.
 pub const MAX_SNAPSHOT_BYTES: usize = 16 << 20;
 
-/// Length of a nonce, in bytes.
+/// Length of a nonce in bytes.
 pub const NONCE_BYTES: usize = 32;
 
-/// Length of a frame's tag, in bytes: half of an HMAC-SHA256.
+/// Length of a frame's tag in bytes: an HMAC-SHA256 truncated to half its length.
 pub const TAG_BYTES: usize = 16;
 
-/// Why bytes of a peer can't be used.
+/// Why a peer's message can't be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerMessageError {
-    /// They are no `bincode` of the expected shape, or more than allowed.
-    #[error("the peer's message can't be read: {0}")]
-    Undecodable(String),
-    /// A name in them is none.
-    #[error("the peer's message holds a bad name: {0}")]
-    BadName(#[from] IdError),
+    /// The bytes are not `bincode` of the expected type, the message exceeds the size limit, or it can't
+    /// be encoded.
+    #[error("failed to encode or decode a peer message: {0}")]
+    Codec(String),
+    /// The message contains an invalid identifier.
+    #[error("invalid identifier in peer message: {0}")]
+    InvalidId(#[from] IdError),
 }
 
-/// First request on a connection.
+/// The first request on a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Newest version that the caller speaks.
+    /// Highest protocol version that the initiator supports.
     pub newest: u8,
-    /// Oldest version that the caller speaks.
+    /// Lowest protocol version that the initiator supports.
     pub oldest: u8,
-    /// Fresh random bytes.
+    /// Random bytes, new for every connection, that enter the connection's key.
     pub nonce: [u8; NONCE_BYTES],
-    /// The caller.
+    /// Id of the initiator.
     pub node: NodeId,
 }
 
-/// Answer to a [`PeerHello`].
+/// Response to a [`PeerHello`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerWelcome {
-    /// The version to speak.
+    /// Protocol version of the connection, chosen by [`negotiate_version`].
     pub version: u8,
-    /// Fresh random bytes.
+    /// Random bytes, new for every connection, that enter the connection's key.
     pub nonce: [u8; NONCE_BYTES],
-    /// The answerer.
+    /// Id of the responder.
     pub node: NodeId,
-    /// Proof that the answerer has the shared key.
+    /// HMAC over hello and welcome, which proves that the responder has the shared key.
     pub proof: [u8; TAG_BYTES],
 }
 
-/// A message with a keyed hash over direction, sequence and payload.
+/// A message with an HMAC over direction, sequence number and payload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuthenticatedFrame {
-    /// Version of the payload.
+    /// Protocol version of the payload.
     pub version: u8,
-    /// Rises by at least one with each frame of a connection and direction.
+    /// Sequence number, which increases with every frame of a connection in the same direction.
     pub sequence: u64,
-    /// The keyed hash.
+    /// Truncated HMAC.
     pub tag: [u8; TAG_BYTES],
-    /// The message.
+    /// Encoded message.
     pub payload: Vec<u8>,
 }
 
-/// What one node tells another beyond what that one is known to have.
+/// A gossip update with the state that the receiver lacks, as far as the sender knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDigest {
-    /// Sequence of the newest answer that the sender got on this connection; 0 before the first.
+    /// Sequence number of the last frame that the sender received on this connection; 0 before the
+    /// first.
     #[serde(rename = "echo")]
     pub acked_sequence: u64,
-    /// The sender's hybrid logical clock, so that events here sort behind what caused them there.
+    /// The sender's hybrid logical clock. The receiver advances its clock past it, so that its events
+    /// sort after their causes at the sender.
     #[serde(rename = "stamp")]
     pub timestamp: PeerTimestamp,
-    /// Revision in force at the sender.
+    /// Configuration revision in force at the sender.
     pub revision: u64,
-    /// How well the sender knows the head.
+    /// When the sender last knew the head revision; none if it is unknown.
     pub confirmation: Option<PeerConfirmation>,
-    /// Changes that the receiver lacks, in order.
+    /// Configuration changes that the receiver lacks, ordered by revision.
     pub changes: Vec<PeerChange>,
-    /// Members that the receiver lacks.
+    /// Member rows that the receiver lacks.
     pub rows: Vec<PeerMember>,
-    /// Newer heartbeats of members whose row went over this connection.
+    /// Newer heartbeats of members whose rows were exchanged over this connection.
     #[serde(rename = "beats")]
     pub heartbeats: Vec<PeerHeartbeat>,
-    /// Members that said goodbye.
+    /// Members that announced their departure.
     pub departed: Vec<NodeId>,
-    /// Evidence that the receiver lacks.
+    /// Health evidence that the receiver lacks.
     pub evidence: Vec<PeerEvidence>,
-    /// Newer looks at evidence that went over this connection in the sender's direction.
+    /// Newer health checks with the same result as evidence that the sender sent on this connection.
     #[serde(rename = "looks")]
     pub observations: Vec<PeerObservation>,
 }
 
-/// A moment of a hybrid logical clock.
+/// A timestamp of a hybrid logical clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerTimestamp {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub millis: u64,
-    /// Order within one millisecond.
+    /// Orders timestamps within the same millisecond.
     pub counter: u32,
 }
 
-/// That the head was at most at a revision, so long before the message was made.
+/// States that `age_ms` before the message was built the head revision was not higher than
+/// `revision`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerConfirmation {
-    /// The revision.
+    /// Upper bound of the head revision at that time.
     pub revision: u64,
-    /// Age of the knowledge.
+    /// Age of the observation in milliseconds.
     pub age_ms: u64,
 }
 
-/// A change of the configuration.
+/// A configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerChange {
-    /// Its revision.
+    /// Revision that the change produced.
     pub revision: u64,
-    /// The change-log entry as JSON: its record keeps its own schema version and shape, which this
-    /// protocol must not depend on.
+    /// The change log entry as JSON. Its record has its own schema version, and this protocol must not
+    /// depend on the record's format.
     pub entry: Vec<u8>,
 }
 
-/// A member with its heartbeat.
+/// A member's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerMember {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Where its peers connect.
+    /// Address for connections from peers.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that the node runs in.
     pub domain: DomainId,
-    /// Its region.
+    /// Region that the node runs in.
     pub region: RegionId,
-    /// Where operators connect.
+    /// Address for operators' connections; none without such a listener.
     pub admin: Option<SocketAddr>,
-    /// Its heartbeat.
+    /// Heartbeat counter, which the node itself increments.
     pub beat: u64,
 }
 
-/// A newer heartbeat. Names are long and rows go over a connection once, so this one counts rows.
+/// A newer heartbeat. It refers to the member by index instead of its long name, because each row is
+/// sent only once per connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Place of the member's row among those that the sender sent (even numbers) or received (odd
-    /// numbers) over this connection, doubled.
+    /// Twice the index of the member's row among the rows that the sender sent over this connection; for
+    /// a row that the sender received, the low bit is set and the index counts the received rows.
     #[serde(rename = "place")]
     pub index: u32,
-    /// The heartbeat.
+    /// Heartbeat counter of the member.
     pub beat: u64,
 }
 
-/// Evidence on one replica.
+/// Health evidence of one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerEvidence {
-    /// The replica.
+    /// Replica that was checked.
     pub replica: ReplicaId,
-    /// The incarnation that its hosts reported.
+    /// Incarnation that the hosts reported.
     pub incarnation: IncarnationNumber,
-    /// The hosts that reported it, by rank.
+    /// Hosts that reported this incarnation, ordered by rank.
     pub hosts: Vec<HostId>,
-    /// Whether any said that it is leaving.
+    /// Whether any host reported that it is leaving.
     pub leaving: bool,
-    /// Age of the oldest report.
+    /// Age of the oldest host report included.
     pub age: ObservationAge,
 }
 
-/// A newer look that found the same as an earlier [`PeerEvidence`].
+/// A newer health check with the same result as an earlier [`PeerEvidence`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerObservation {
-    /// Place of the evidence among those that the sender sent over this connection.
+    /// Index of the evidence among all evidence that the sender sent over this connection.
     #[serde(rename = "place")]
     pub index: u32,
-    /// Age of the oldest report.
+    /// Age of the oldest host report included.
     pub age: ObservationAge,
 }
 
-/// Age of a look in tenths of a second, rounded up: up to 25 s in one byte. Looks are most of what
-/// goes over the links, and evidence counts for a few seconds.
+/// Age of a health check in tenths of a second, rounded up. Up to 25 s it is encoded as one byte,
+/// which matters because health checks are most of the traffic between peers. Evidence is valid for
+/// a few seconds only, so the resolution is sufficient.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ObservationAge(u64);
@@ -217,42 +225,42 @@
 }
 
 impl PeerDigest {
-    /// The revision in force at the sender.
+    /// Returns the configuration revision in force at the sender.
     #[must_use]
     pub fn revision(&self) -> ConfigRevision {
         ConfigRevision(self.revision)
     }
 }
 
-/// Picks the version for a connection; none when there is none that both speak.
+/// Chooses the protocol version of a connection; none if no version is supported by both sides.
 #[must_use]
 pub fn negotiate_version(hello: &PeerHello) -> Option<u8> {
     let version = hello.newest.min(NEWEST_VERSION);
     (version >= OLDEST_VERSION.max(hello.oldest)).then_some(version)
 }
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Errors
 ///
-/// [`PeerMessageError::Undecodable`] when the value can't be written.
+/// [`PeerMessageError::Codec`] if the value can't be encoded.
 pub fn encode_message<T: Serialize>(value: &T) -> Result<Vec<u8>, PeerMessageError> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
-        .map_err(|error| PeerMessageError::Undecodable(error.to_string()))
+        .map_err(|error| PeerMessageError::Codec(error.to_string()))
 }
 
-/// Reads a message of at most `LIMIT` bytes; what follows it is left unread.
+/// Decodes a message of at most `LIMIT` bytes and ignores trailing bytes.
 ///
-/// The limit also bounds what a hostile length inside the message can make this node allocate.
+/// The limit also bounds the allocation that a forged length inside the message can cause.
 ///
 /// # Errors
 ///
-/// [`PeerMessageError::Undecodable`].
+/// [`PeerMessageError::Codec`] if the bytes are malformed or exceed the limit.
 pub fn decode_message<T: DeserializeOwned, const LIMIT: usize>(
     bytes: &[u8],
 ) -> Result<T, PeerMessageError> {
     let config = bincode::config::standard().with_limit::<LIMIT>();
     bincode::serde::decode_from_slice(bytes, config)
         .map(|(value, _)| value)
-        .map_err(|error| PeerMessageError::Undecodable(error.to_string()))
+        .map_err(|error| PeerMessageError::Codec(error.to_string()))
 }
--- a/crates/wire/tests/peer_messages.rs
+++ b/crates/wire/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes of one version and of two.
+//! Encoding of messages between nodes of the same and of different protocol versions.
 
 use domain::NodeId;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 };
 
 fn node() -> NodeId {
-    "e1".parse().expect("a node id")
+    "e1".parse().expect("valid node id")
 }
 
 fn hello(newest: u8, oldest: u8) -> PeerHello {
@@ -20,55 +20,57 @@
     }
 }
 
-/// The hello of a later program, which says more.
+/// The hello of a newer program, with an additional field.
 #[derive(Serialize, Deserialize)]
-struct LaterHello {
+struct NewerHello {
     hello: PeerHello,
-    further: Vec<u64>,
+    additional: Vec<u64>,
 }
 
-// During an upgrade old and new nodes run side by side. If they could not talk, each half of them
-// would take the other for lost, and none might hear the majority.
+// During an upgrade, nodes of two versions run side by side. If they could not communicate, each
+// group would consider the other dead, and possibly no node would reach a majority.
 #[test]
-fn later_hello_read() {
-    let later = LaterHello {
+fn newer_hello_is_decoded() {
+    let newer = NewerHello {
         hello: hello(9, 1),
-        further: vec![1, 2, 3],
+        additional: vec![1, 2, 3],
     };
-    let bytes = encode_message(&later).expect("encodable");
-    let read: PeerHello = decode_message::<_, MAX_HELLO_BYTES>(&bytes).expect("readable");
-    assert_eq!(read, later.hello);
-    assert_eq!(negotiate_version(&read), Some(NEWEST_VERSION));
+    let bytes = encode_message(&newer).expect("encoded message");
+    let decoded: PeerHello = decode_message::<_, MAX_HELLO_BYTES>(&bytes).expect("decoded message");
+    assert_eq!(decoded, newer.hello);
+    assert_eq!(negotiate_version(&decoded), Some(NEWEST_VERSION));
 }
 
 #[test]
-fn no_common_version() {
+fn incompatible_versions_are_rejected() {
     assert_eq!(negotiate_version(&hello(9, NEWEST_VERSION + 1)), None);
     assert_eq!(negotiate_version(&hello(0, 0)), None);
 }
 
 #[test]
-fn digest_returns() {
+fn digest_round_trip() {
     let digest = PeerDigest {
         acked_sequence: 5,
         revision: 300,
         departed: vec![node()],
         ..PeerDigest::default()
     };
-    let bytes = encode_message(&digest).expect("encodable");
-    let read: PeerDigest = decode_message::<_, MAX_DIGEST_BYTES>(&bytes).expect("readable");
-    assert_eq!(read, digest);
+    let bytes = encode_message(&digest).expect("encoded message");
+    let decoded: PeerDigest =
+        decode_message::<_, MAX_DIGEST_BYTES>(&bytes).expect("decoded message");
+    assert_eq!(decoded, digest);
 }
 
-// A broken or hostile peer names a length of gigabytes. Believed, it would take the node's memory.
+// A faulty or malicious peer sends a length of gigabytes. Allocating it would exhaust the node's
+// memory.
 #[test]
-fn huge_length_refused() {
+fn oversized_length_is_rejected() {
     let mut bytes = vec![0, 0, 0, 0, 0, 0];
     bytes.extend([253, 255, 255, 255, 255, 255, 255, 255, 127]);
     bytes.extend([0; 64]);
-    for cut in 0..bytes.len() {
-        let _ = decode_message::<PeerDigest, MAX_DIGEST_BYTES>(&bytes[cut..]);
+    for start in 0..bytes.len() {
+        let _ = decode_message::<PeerDigest, MAX_DIGEST_BYTES>(&bytes[start..]);
     }
-    let read = decode_message::<Vec<u8>, MAX_DIGEST_BYTES>(&bytes[6..]);
-    assert!(read.is_err());
+    let decoded = decode_message::<Vec<u8>, MAX_DIGEST_BYTES>(&bytes[6..]);
+    assert!(decoded.is_err());
 }
