--- a/crates/control/src/config/state.rs
+++ b/crates/control/src/config/state.rs
@@ -157,6 +157,6 @@
     }
 }
 
-fn parse_spec(frame: &RecordEnvelope) -> Option<RecordSpec> {
-    RecordSpec::try_from(frame.clone()).ok()
+fn parse_spec(envelope: &RecordEnvelope) -> Option<RecordSpec> {
+    RecordSpec::try_from(envelope.clone()).ok()
 }
--- a/crates/wire/src/record/convert.rs
+++ b/crates/wire/src/record/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the contents of records and the domain, which holds the newest meaning.
+//! Conversion between record contents and domain types, which follow the newest schema version.
 
 use domain::record::{
     CustomerRecord, DrainRecord, ModelGrant, ModelRecord, ServiceCall, ServiceRecord, VersionPlan,
--- a/crates/wire/src/record/mod.rs
+++ b/crates/wire/src/record/mod.rs
@@ -1,8 +1,9 @@
-//! Wire forms of operators' records, schema versions 1 and 2.
+//! Wire formats of operators' records, schema versions 1 and 2.
 //!
-//! Version 1 grants whole models, keeps one version of a model and knows no adapters or shares.
-//! Version 2 adds adapters, pinned versions, shares, and several versions side by side. Both are
-//! read side by side; what a node can't say in version 1 is refused, never shortened.
+//! In version 1 a customer is granted whole models and a model has one version; there are no adapters
+//! or shares. Version 2 adds adapters, pinned versions, shares, and several versions side by side.
+//! Both versions are supported at the same time. Writing a record as version 1 fails if the format
+//! can't represent all of it; no part is ever dropped.
 
 mod convert;
 pub mod spec;
@@ -18,41 +19,41 @@
     service_to_spec,
 };
 
-/// The schema versions that this program reads and writes.
+/// Schema versions that this program reads and writes.
 pub const SUPPORTED_SCHEMAS: [u32; 2] = [1, 2];
 
-/// Share of a customer whose record has schema version 1.
+/// Share of customers whose records have schema version 1, which lacks the field.
 pub const DEFAULT_SHARE: u32 = 1;
 
-/// The frame of a record of any schema version.
+/// A record of any schema version, whose content is not parsed yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordEnvelope {
-    /// Schema version.
+    /// Schema version, which determines the format of `spec`.
     pub schema: u32,
     /// Kind of the record.
     pub kind: RecordKind,
-    /// Name within the kind.
+    /// Name of the record, unique within its kind.
     pub name: String,
-    /// Content, by schema version and kind.
+    /// Content in the format of the kind and schema version; see [`spec`].
     pub spec: Value,
 }
 
-/// Why a frame is no record.
+/// Why an envelope can't be converted to or from a record.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The schema version is newer than this program.
-    #[error("schema version {0} is unknown here: this program reads versions 1 and 2")]
-    UnknownSchema(u32),
-    /// The content breaks a rule.
+    /// This program does not support the schema version.
+    #[error("schema version {0} is not supported, expected 1 or 2")]
+    UnsupportedSchema(u32),
+    /// The content is malformed or violates a rule of its kind.
     #[error("{0}")]
     Invalid(FindingList),
-    /// The record can't be said in this schema version.
-    #[error("{place} can't be written in schema version {schema}: use version 2")]
+    /// The schema version can't represent the record.
+    #[error("{place} can't be represented in schema version {schema}: use version 2")]
     Unrepresentable {
-        /// The schema version asked for.
+        /// Requested schema version.
         schema: u32,
-        /// What it has no words for.
+        /// Path of the field that the schema version lacks.
         place: &'static str,
     },
 }
@@ -60,34 +61,34 @@
 impl TryFrom<RecordEnvelope> for RecordSpec {
     type Error = RecordError;
 
-    fn try_from(frame: RecordEnvelope) -> Result<Self, RecordError> {
-        if !SUPPORTED_SCHEMAS.contains(&frame.schema) {
-            return Err(RecordError::UnknownSchema(frame.schema));
+    fn try_from(envelope: RecordEnvelope) -> Result<Self, RecordError> {
+        if !SUPPORTED_SCHEMAS.contains(&envelope.schema) {
+            return Err(RecordError::UnsupportedSchema(envelope.schema));
         }
-        let record = match (frame.kind, frame.schema) {
+        let record = match (envelope.kind, envelope.schema) {
             (RecordKind::Customer, 1) => {
-                let name = parse_name(&frame.name)?;
-                Self::Customer(customer_from_v1(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Customer(customer_from_v1(name, parse_spec(envelope.spec)?))
             }
             (RecordKind::Customer, _) => {
-                let name = parse_name(&frame.name)?;
-                Self::Customer(customer_from_v2(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Customer(customer_from_v2(name, parse_spec(envelope.spec)?))
             }
             (RecordKind::Model, 1) => {
-                let name = parse_name(&frame.name)?;
-                Self::Model(model_from_v1(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Model(model_from_v1(name, parse_spec(envelope.spec)?))
             }
             (RecordKind::Model, _) => {
-                let name = parse_name(&frame.name)?;
-                Self::Model(model_from_v2(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Model(model_from_v2(name, parse_spec(envelope.spec)?))
             }
             (RecordKind::Service, _) => {
-                let name = parse_name(&frame.name)?;
-                Self::Service(service_from_spec(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Service(service_from_spec(name, parse_spec(envelope.spec)?))
             }
             (RecordKind::Drain, _) => {
-                let name = parse_name(&frame.name)?;
-                Self::Drain(drain_from_spec(name, parse_spec(frame.spec)?))
+                let name = parse_name(&envelope.name)?;
+                Self::Drain(drain_from_spec(name, parse_spec(envelope.spec)?))
             }
         };
         record.check().map_err(RecordError::Invalid)?;
@@ -95,12 +96,12 @@
     }
 }
 
-/// Writes a record in a schema version.
+/// Converts a record to the given schema version.
 ///
 /// # Errors
 ///
-/// [`RecordError::Unrepresentable`] when version 1 has no words for a part of it,
-/// [`RecordError::UnknownSchema`] for any version but 1 and 2.
+/// [`RecordError::Unrepresentable`] if version 1 can't represent the whole record,
+/// [`RecordError::UnsupportedSchema`] for any version except 1 and 2.
 pub fn record_to_envelope(record: &RecordSpec, schema: u32) -> Result<RecordEnvelope, RecordError> {
     let spec = match (record, schema) {
         (RecordSpec::Customer(customer), 1) => to_value(&customer_to_v1(customer)?),
@@ -109,7 +110,7 @@
         (RecordSpec::Model(model), 2) => to_value(&model_to_v2(model)),
         (RecordSpec::Service(service), 1 | 2) => to_value(&service_to_spec(service)),
         (RecordSpec::Drain(drain), 1 | 2) => to_value(&drain_to_spec(drain)),
-        _ => return Err(RecordError::UnknownSchema(schema)),
+        _ => return Err(RecordError::UnsupportedSchema(schema)),
     };
     Ok(RecordEnvelope {
         schema,
--- a/crates/wire/src/record/spec.rs
+++ b/crates/wire/src/record/spec.rs
@@ -1,106 +1,107 @@
-//! Content of records by schema version and kind.
+//! Content of records, by kind and schema version.
 
 use std::net::SocketAddr;
 
 use domain::{AdapterName, DomainId, HostId, ModelName, ServiceName, VersionName};
 use serde::{Deserialize, Serialize};
 
-/// Content of a customer's record, schema version 1.
+/// Content of a customer record, schema version 1.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpecV1 {
-    /// SHA-256 hashes of the bearer keys.
+    /// SHA-256 hashes of the customer's bearer keys, 64 hexadecimal digits each.
     pub key_hashes: Vec<String>,
-    /// Models that the customer may use.
+    /// Models that the customer may use, without adapters or a pinned version.
     pub models: Vec<ModelName>,
     /// Plain services that the customer may call.
     #[serde(default)]
     pub services: Vec<ServiceName>,
 }
 
-/// Content of a customer's record, schema version 2.
+/// Content of a customer record, schema version 2.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpecV2 {
-    /// SHA-256 hashes of the bearer keys.
+    /// SHA-256 hashes of the customer's bearer keys, 64 hexadecimal digits each.
     pub key_hashes: Vec<String>,
     /// Models and adapters that the customer may use.
     pub grants: Vec<GrantSpecV2>,
     /// Plain services that the customer may call.
     #[serde(default)]
     pub services: Vec<ServiceName>,
-    /// Weight under contention.
+    /// Weight relative to other customers when a target is contended.
     pub share: u32,
 }
 
-/// One grant, schema version 2.
+/// Permission to use one model, schema version 2.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantSpecV2 {
-    /// The model.
+    /// Model that the customer may use.
     pub model: ModelName,
-    /// The version that the customer is pinned to.
+    /// Version to which the customer is pinned; none means the versions of the model's record.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<VersionName>,
-    /// Adapters that the customer may name.
+    /// Adapters that the customer may request.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
 }
 
-/// Content of a model's record, schema version 1.
+/// Content of a model record, schema version 1.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpecV1 {
-    /// The version to serve.
+    /// The only version of the model's weights to run.
     pub version: VersionName,
-    /// Replicas wanted.
+    /// Desired number of replicas.
     pub replicas: u32,
-    /// Hosts of one replica.
+    /// Number of hosts that form one replica.
     pub hosts_per_replica: u32,
 }
 
-/// Content of a model's record, schema version 2.
+/// Content of a model record, schema version 2.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpecV2 {
-    /// Hosts of one replica.
+    /// Number of hosts that form one replica.
     pub hosts_per_replica: u32,
-    /// Versions side by side.
+    /// Versions that run side by side.
     pub versions: Vec<VersionSpecV2>,
-    /// Adapters that every replica loads.
+    /// Adapters that every replica of the model loads.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
 }
 
-/// One version of a model, schema version 2.
+/// The desired replica count of one version, schema version 2.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpecV2 {
-    /// The version.
+    /// Version of the model's weights.
     pub version: VersionName,
-    /// Replicas wanted.
+    /// Desired number of replicas.
     pub replicas: u32,
 }
 
-/// Content of a service's record, the same in both schema versions.
+/// Content of a service record, the same in both schema versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Addresses of its instances.
+    /// Addresses of the service's instances.
     pub targets: Vec<SocketAddr>,
-    /// Its calls.
+    /// Calls that the service offers.
     pub calls: Vec<CallSpec>,
 }
 
-/// One call of a service.
+/// One call of a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallSpec {
-    /// Path below the service.
+    /// Path relative to the service, without a leading slash.
     pub path: String,
-    /// Whether running it twice does no harm.
+    /// Whether the call may safely run more than once.
     pub idempotent: bool,
-    /// Path of a look-up by idempotency key.
+    /// Path of the endpoint that reports, by idempotency key, whether the call ran; none if the service
+    /// has no such endpoint.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lookup: Option<String>,
 }
@@ -109,10 +110,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainSpec {
-    /// Hosts to drain.
+    /// Individual hosts to drain.
     #[serde(default)]
     pub hosts: Vec<HostId>,
-    /// Failure domains to drain.
+    /// Failure domains in which all hosts are drained.
     #[serde(default)]
     pub domains: Vec<DomainId>,
 }
