--- a/crates/entry/tests/request_path/fake_engine.rs
+++ b/crates/entry/tests/request_path/fake_engine.rs
@@ -1,4 +1,4 @@
-//! Engines that follow a script.
+//! Scripted engines.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,75 +10,75 @@
 use web::ClientError;
 use wire::engine::{EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest};
 
-/// What an engine does with one stream.
+/// Behavior of an engine for one stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineScript {
-    /// Answers whole.
-    Whole,
-    /// Proves that it ran nothing, being another replica by now.
-    Moved,
-    /// Proves that it ran nothing, being full.
+pub enum EngineBehavior {
+    /// Generates the complete response.
+    Complete,
+    /// Refuses the stream because it serves another replica.
+    ReplicaChanged,
+    /// Refuses the stream because it is full.
     Full,
-    /// Is not there at all.
-    Unreached,
-    /// Breaks off behind some tokens.
+    /// Refuses connections.
+    Unreachable,
+    /// Breaks the connection after this many tokens of the response.
     BreakAfter(u32),
-    /// Falls silent behind some tokens.
-    SilentAfter(u32),
-    /// Ends without a final mark behind some tokens.
+    /// Stalls after this many tokens of the response.
+    StallAfter(u32),
+    /// Ends the stream without a final event after this many tokens of the response.
     EndAfter(u32),
 }
 
-/// Engines, by address; without a script they answer whole.
+/// Engines at any address. Without a script they generate complete responses.
 #[derive(Debug, Clone, Default)]
 pub struct FakeEngine {
-    inner: Arc<Mutex<EngineBook>>,
+    inner: Arc<Mutex<EngineLog>>,
 }
 
 #[derive(Debug, Default)]
-struct EngineBook {
-    scripts: VecDeque<EngineScript>,
-    orders: Vec<(SocketAddr, StreamRequest)>,
+struct EngineLog {
+    behaviors: VecDeque<EngineBehavior>,
+    requests: Vec<(SocketAddr, StreamRequest)>,
     cancelled: Vec<AttemptId>,
 }
 
 impl FakeEngine {
-    fn book(&self) -> std::sync::MutexGuard<'_, EngineBook> {
+    fn log(&self) -> std::sync::MutexGuard<'_, EngineLog> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets the next streams go by these scripts, one each.
-    pub fn script(&self, scripts: &[EngineScript]) {
-        self.book().scripts.extend(scripts);
+    /// Queues the behaviors for the next streams, one each.
+    pub fn script(&self, behaviors: &[EngineBehavior]) {
+        self.log().behaviors.extend(behaviors);
     }
 
-    /// The streams that were asked for.
-    pub fn orders(&self) -> Vec<(SocketAddr, StreamRequest)> {
-        self.book().orders.clone()
+    /// Returns the streams that were requested, with the address of the engine.
+    pub fn requests(&self) -> Vec<(SocketAddr, StreamRequest)> {
+        self.log().requests.clone()
     }
 
-    /// The attempts that were cancelled.
+    /// Returns the attempts that were cancelled.
     pub fn cancelled(&self) -> Vec<AttemptId> {
-        self.book().cancelled.clone()
+        self.log().cancelled.clone()
     }
 }
 
-/// The word at an index of every answer.
+/// Returns the token at an index, which is the same in every response.
 pub fn word(index: u32) -> String {
     format!("w{index} ")
 }
 
-/// The whole answer.
-pub fn answer_text(length: u32) -> String {
+/// Returns the text of a complete response.
+pub fn response_text(length: u32) -> String {
     (0..length).map(word).collect()
 }
 
-/// What comes behind a stream's events.
+/// What follows the events of a stream.
 #[derive(Debug, Clone, Copy)]
 enum StreamTail {
     End,
     Break,
-    Silence,
+    Stall,
 }
 
 /// A stream of prepared events.
@@ -90,28 +90,28 @@
 }
 
 impl FakeStream {
-    fn new(address: SocketAddr, order: &StreamRequest, script: EngineScript) -> Self {
-        let from = u32::try_from(order.generated_tokens.len()).expect("few");
-        let (until, tail) = match script {
-            EngineScript::BreakAfter(count) => (count, StreamTail::Break),
-            EngineScript::SilentAfter(count) => (count, StreamTail::Silence),
-            EngineScript::EndAfter(count) => (count, StreamTail::End),
-            _ => (order.max_tokens, StreamTail::End),
+    fn new(address: SocketAddr, request: &StreamRequest, behavior: EngineBehavior) -> Self {
+        let from = u32::try_from(request.generated_tokens.len()).expect("a small number");
+        let (until, tail) = match behavior {
+            EngineBehavior::BreakAfter(count) => (count, StreamTail::Break),
+            EngineBehavior::StallAfter(count) => (count, StreamTail::Stall),
+            EngineBehavior::EndAfter(count) => (count, StreamTail::End),
+            _ => (request.max_tokens, StreamTail::End),
         };
         let mut events = VecDeque::new();
-        for index in from..until.min(order.max_tokens) {
+        for index in from..until.min(request.max_tokens) {
             events.push_back(StreamEvent::Token {
-                attempt: order.attempt.clone(),
-                incarnation: order.incarnation,
+                attempt: request.attempt.clone(),
+                incarnation: request.incarnation,
                 index,
                 text: word(index),
             });
         }
-        if script == EngineScript::Whole {
+        if behavior == EngineBehavior::Complete {
             events.push_back(StreamEvent::Done {
-                attempt: order.attempt.clone(),
-                incarnation: order.incarnation,
-                count: order.max_tokens,
+                attempt: request.attempt.clone(),
+                incarnation: request.incarnation,
+                count: request.max_tokens,
                 prompt_tokens: 5,
                 cached_tokens: 0,
                 finish_reason: "length".to_owned(),
@@ -133,7 +133,7 @@
         match self.tail {
             StreamTail::End => Ok(None),
             StreamTail::Break => Err(ClientError::Broken(self.address, "reset".to_owned())),
-            StreamTail::Silence => {
+            StreamTail::Stall => {
                 tokio::time::sleep(silence).await;
                 Err(ClientError::TimedOut(self.address))
             }
@@ -160,20 +160,23 @@
     async fn start(
         &self,
         address: SocketAddr,
-        order: &StreamRequest,
+        request: &StreamRequest,
         _: Duration,
     ) -> Result<StreamStart<FakeStream>, ClientError> {
-        let mut book = self.book();
-        book.orders.push((address, order.clone()));
-        let script = book.scripts.pop_front().unwrap_or(EngineScript::Whole);
-        match script {
-            EngineScript::Moved | EngineScript::Full => Ok(StreamStart::Refused {
-                replica_changed: script == EngineScript::Moved,
+        let mut log = self.log();
+        log.requests.push((address, request.clone()));
+        let behavior = log
+            .behaviors
+            .pop_front()
+            .unwrap_or(EngineBehavior::Complete);
+        match behavior {
+            EngineBehavior::ReplicaChanged | EngineBehavior::Full => Ok(StreamStart::Refused {
+                replica_changed: behavior == EngineBehavior::ReplicaChanged,
                 retry_after: None,
             }),
-            EngineScript::Unreached => Err(ClientError::NotConnected(address)),
+            EngineBehavior::Unreachable => Err(ClientError::NotConnected(address)),
             _ => Ok(StreamStart::Running(FakeStream::new(
-                address, order, script,
+                address, request, behavior,
             ))),
         }
     }
@@ -197,7 +200,7 @@
         attempt: &AttemptId,
         _: Duration,
     ) -> Result<(), ClientError> {
-        self.book().cancelled.push(attempt.clone());
+        self.log().cancelled.push(attempt.clone());
         Ok(())
     }
 }
--- a/crates/entry/tests/request_path/fake_entry.rs
+++ b/crates/entry/tests/request_path/fake_entry.rs
@@ -1,4 +1,4 @@
-//! An entry over the fakes.
+//! An entry with fake engines, service and table.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 /// Bearer key of the customer `clerks`.
 pub const CLERKS_KEY: &str = "clerks-key";
 
-/// An entry with what it works on.
+/// An entry and access to its fakes.
 pub struct FakeEntry {
     pub engine: FakeEngine,
     pub table: FakeTable,
@@ -44,28 +44,28 @@
     _config: watch::Sender<Arc<ConfigView>>,
 }
 
-/// An answer read whole.
+/// A response with its complete body.
 #[derive(Debug)]
-pub struct FakeAnswer {
+pub struct FakeResponse {
     pub status: StatusCode,
     pub retry_after: Option<String>,
     pub allow: Option<String>,
     pub text: String,
 }
 
-impl FakeAnswer {
-    /// The body as JSON.
+impl FakeResponse {
+    /// Parses the body as JSON; null if it is none.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 
-    /// A field of the error.
+    /// Returns a text field of the error; empty if there is none.
     pub fn error(&self, field: &str) -> String {
         let value = &self.json()["error"][field];
         value.as_str().unwrap_or_default().to_owned()
     }
 
-    /// The data of the events of a stream.
+    /// Returns the data of all events of a stream.
     pub fn data(&self) -> Vec<String> {
         let lines = self.text.lines();
         lines
@@ -133,7 +133,7 @@
     view
 }
 
-/// A whole replica of two hosts whose leader listens on a port.
+/// Returns a complete replica of two hosts whose leader listens on port `number`.
 pub fn replica(number: u16) -> ReplicaView {
     let hosts = vec![
         format!("h{number}a").parse().expect("an id"),
@@ -172,15 +172,15 @@
     }
 }
 
-/// A view of replicas.
-pub fn view_of(replicas: Vec<ReplicaView>) -> Arc<TargetView> {
+/// Returns a view of the replicas.
+pub fn target_view(replicas: Vec<ReplicaView>) -> Arc<TargetView> {
     Arc::new(TargetView {
         replicas: replicas.into_iter().map(Arc::new).collect(),
     })
 }
 
 impl FakeEntry {
-    /// An entry with two whole replicas.
+    /// Starts an entry with two complete replicas.
     pub fn new() -> Self {
         let settings = EntrySettings::builder()
             .evidence_ms(60_000)
@@ -189,7 +189,7 @@
         Self::start("e0", settings, FakeTable::default(), FakeService::default())
     }
 
-    /// An entry.
+    /// Starts an entry with two complete replicas on a given table and service.
     pub fn start(
         node: &str,
         settings: EntrySettings,
@@ -198,8 +198,8 @@
     ) -> Self {
         let node: domain::NodeId = node.parse().expect("an id");
         let settings = Arc::new(settings);
-        let targets = watch::Sender::new(view_of(vec![replica(1), replica(2)]));
-        let (config, config_seen) = watch::channel(Arc::new(config()));
+        let targets = watch::Sender::new(target_view(vec![replica(1), replica(2)]));
+        let (config, config_receiver) = watch::channel(Arc::new(config()));
         let engine = FakeEngine::default();
         let recorder = EventRecorder::new(node.clone(), 1_000);
         let dispatcher = DispatchSettings::builder()
@@ -208,7 +208,7 @@
             .seed(1)
             .build();
         let context = EntryContext::builder()
-            .config(config_seen)
+            .config(config_receiver)
             .targets(targets.subscribe())
             .engine(engine.clone())
             .recorder(recorder.clone())
@@ -229,18 +229,18 @@
         }
     }
 
-    /// Sends a request as it is.
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> FakeAnswer {
-        read_answer(self.server.handle_request(request).await).await
+    /// Sends a request without changes.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> FakeResponse {
+        read_response(self.server.handle_request(request).await).await
     }
 
-    /// Posts a body as the customer `traders`.
-    pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: &str) -> FakeAnswer {
+    /// Sends a POST request as the customer `traders`.
+    pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: &str) -> FakeResponse {
         self.send(post(TRADERS_KEY, path, headers, body)).await
     }
 }
 
-/// A request with a body.
+/// Builds a POST request.
 pub fn post(key: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Request<Full<Bytes>> {
     let mut builder = Request::builder()
         .method("POST")
@@ -254,15 +254,15 @@
         .expect("a request")
 }
 
-async fn read_answer(answer: WebResponse) -> FakeAnswer {
-    let status = answer.status();
+async fn read_response(response: WebResponse) -> FakeResponse {
+    let status = response.status();
     let header = |name: &str| {
-        let value = answer.headers().get(name)?;
+        let value = response.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
     let (retry_after, allow) = (header("retry-after"), header("allow"));
-    let body = answer.into_body().collect().await.expect("a body");
-    FakeAnswer {
+    let body = response.into_body().collect().await.expect("a body");
+    FakeResponse {
         status,
         retry_after,
         allow,
--- a/crates/entry/tests/request_path/fake_service.rs
+++ b/crates/entry/tests/request_path/fake_service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it runs.
+//! A plain service that counts its executions.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,56 +12,59 @@
 use web::ClientError;
 use wire::service::{LookupBody, ServiceLoad};
 
-/// What the service does with one call.
+/// Behavior of the service for one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServiceScript {
-    /// Runs it, and the answer is lost.
-    LoseAnswer,
-    /// The connection breaks before it is run.
-    BreakUnrun,
-    /// It can't be connected to.
-    Unreached,
+pub enum ServiceBehavior {
+    /// Executes the call, but the response is lost.
+    LoseResponse,
+    /// The connection breaks before the call is executed.
+    BreakBeforeExecution,
+    /// The service refuses connections.
+    Unreachable,
 }
 
-/// The service; without a script it runs and answers.
+/// A plain service. Without a script it executes calls and responds.
 #[derive(Debug, Clone, Default)]
 pub struct FakeService {
-    inner: Arc<Mutex<ServiceBook>>,
+    inner: Arc<Mutex<ServiceLog>>,
 }
 
 #[derive(Debug, Default)]
-struct ServiceBook {
-    scripts: VecDeque<ServiceScript>,
-    sends: usize,
-    lookups: usize,
-    runs: Vec<(String, String)>,
+struct ServiceLog {
+    behaviors: VecDeque<ServiceBehavior>,
+    send_count: usize,
+    lookup_count: usize,
+    executions: Vec<(String, String)>,
 }
 
 impl FakeService {
-    fn book(&self) -> std::sync::MutexGuard<'_, ServiceBook> {
+    fn log(&self) -> std::sync::MutexGuard<'_, ServiceLog> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets the next calls go by these scripts, one each.
-    pub fn script(&self, scripts: &[ServiceScript]) {
-        self.book().scripts.extend(scripts);
+    /// Queues the behaviors for the next calls, one each.
+    pub fn script(&self, behaviors: &[ServiceBehavior]) {
+        self.log().behaviors.extend(behaviors);
     }
 
-    /// Calls that left for the service.
-    pub fn sends(&self) -> usize {
-        self.book().sends
+    /// Returns the number of calls that were sent to the service.
+    pub fn send_count(&self) -> usize {
+        self.log().send_count
     }
 
-    /// Look-ups that were asked.
-    pub fn lookups(&self) -> usize {
-        self.book().lookups
+    /// Returns the number of lookups.
+    pub fn lookup_count(&self) -> usize {
+        self.log().lookup_count
     }
 
-    /// Times that a customer's key was run.
-    pub fn runs(&self, customer: &str, key: &str) -> usize {
+    /// Returns the number of executions for a customer's key.
+    pub fn execution_count(&self, customer: &str, key: &str) -> usize {
         let wanted = (customer.to_owned(), key.to_owned());
-        let book = self.book();
-        book.runs.iter().filter(|run| **run == wanted).count()
+        let log = self.log();
+        log.executions
+            .iter()
+            .filter(|execution| **execution == wanted)
+            .count()
     }
 }
 
@@ -69,28 +72,28 @@
     async fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceRequest,
+        request: &ServiceRequest,
         _: Duration,
     ) -> Result<ServiceResponse, ServiceError> {
-        let mut book = self.book();
-        let script = book.scripts.pop_front();
-        if script == Some(ServiceScript::Unreached) {
+        let mut log = self.log();
+        let behavior = log.behaviors.pop_front();
+        if behavior == Some(ServiceBehavior::Unreachable) {
             return Err(ServiceError::Unsent(ClientError::NotConnected(address)));
         }
-        book.sends += 1;
+        log.send_count += 1;
         let broken = ClientError::Broken(address, "reset".to_owned());
-        if script == Some(ServiceScript::BreakUnrun) {
+        if behavior == Some(ServiceBehavior::BreakBeforeExecution) {
             return Err(ServiceError::ResponseLost(broken));
         }
-        let key = order.key.clone().unwrap_or_default();
-        book.runs.push((order.customer.to_string(), key));
-        if script == Some(ServiceScript::LoseAnswer) {
+        let key = request.key.clone().unwrap_or_default();
+        log.executions.push((request.customer.to_string(), key));
+        if behavior == Some(ServiceBehavior::LoseResponse) {
             return Err(ServiceError::ResponseLost(broken));
         }
         Ok(ServiceResponse {
             status: StatusCode::OK,
             content_type: "text/plain".to_owned(),
-            body: Bytes::from(format!("paid by {}", order.customer)),
+            body: Bytes::from(format!("paid by {}", request.customer)),
         })
     }
 
@@ -100,8 +103,8 @@
         lookup: &LookupRequest,
         _: Duration,
     ) -> Result<LookupBody, ClientError> {
-        self.book().lookups += 1;
-        let executions = self.runs(lookup.customer.as_str(), &lookup.key);
+        self.log().lookup_count += 1;
+        let executions = self.execution_count(lookup.customer.as_str(), &lookup.key);
         Ok(LookupBody {
             key: lookup.key.clone(),
             customer: Some(lookup.customer.clone()),
--- a/crates/entry/tests/request_path/fake_table.rs
+++ b/crates/entry/tests/request_path/fake_table.rs
@@ -1,4 +1,4 @@
-//! A table in memory that can hold commits back, as for a claimant that is frozen.
+//! An in-memory table that can withhold responses, to simulate a suspended claimant.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,12 +7,13 @@
 use standin::rows::MemoryRows;
 use tokio::sync::Semaphore;
 
-/// A handle of the table. Clones share the rows; each has faults of its own.
+/// A handle of the table. Clones share rows and faults; [`FakeTable::withholding`] shares only the
+/// rows.
 #[derive(Debug, Clone)]
 pub struct FakeTable {
     rows: Arc<Mutex<MemoryRows>>,
-    down: Arc<Mutex<bool>>,
-    answers: Arc<Semaphore>,
+    unavailable: Arc<Mutex<bool>>,
+    response_permits: Arc<Semaphore>,
     commits: Arc<Mutex<usize>>,
 }
 
@@ -20,49 +21,60 @@
     fn default() -> Self {
         Self {
             rows: Arc::default(),
-            down: Arc::default(),
-            answers: Arc::new(Semaphore::new(Semaphore::MAX_PERMITS)),
+            unavailable: Arc::default(),
+            response_permits: Arc::new(Semaphore::new(Semaphore::MAX_PERMITS)),
             commits: Arc::default(),
         }
     }
 }
 
 impl FakeTable {
-    /// The same rows as another process sees them; its answers are held back until
-    /// [`FakeTable::release`].
-    pub fn held_back(&self) -> Self {
+    /// Returns a handle to the same rows, as seen by another process. Its responses are withheld
+    /// until [`FakeTable::release`].
+    pub fn withholding(&self) -> Self {
         Self {
             rows: Arc::clone(&self.rows),
-            down: Arc::default(),
-            answers: Arc::new(Semaphore::new(0)),
+            unavailable: Arc::default(),
+            response_permits: Arc::new(Semaphore::new(0)),
             commits: Arc::default(),
         }
     }
 
-    /// Lets answers through again.
+    /// Releases the withheld responses.
     pub fn release(&self) {
-        self.answers.add_permits(1_000);
+        self.response_permits.add_permits(1_000);
     }
 
-    /// Switches the table off for this handle.
-    pub fn set_down(&self, down: bool) {
-        *self.down.lock().unwrap_or_else(PoisonError::into_inner) = down;
+    /// Makes the table unavailable through this handle.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        *self
+            .unavailable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = unavailable;
     }
 
-    /// Commits that took effect through this handle.
+    /// Returns the number of commits that took effect through this handle.
     pub fn commits(&self) -> usize {
         *self.commits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn check(&self) -> Result<(), StoreError> {
-        if *self.down.lock().unwrap_or_else(PoisonError::into_inner) {
-            return Err(StoreError::Unavailable("down".to_owned()));
+        if *self
+            .unavailable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+        {
+            return Err(StoreError::Unavailable("unavailable".to_owned()));
         }
         Ok(())
     }
 
-    async fn answer(&self) {
-        self.answers.acquire().await.expect("never closed").forget();
+    async fn wait_for_release(&self) {
+        self.response_permits
+            .acquire()
+            .await
+            .expect("never closed")
+            .forget();
     }
 
     fn apply(&self, batch: &WriteBatch) -> CommitOutcome {
@@ -81,7 +93,7 @@
 impl TableStore for FakeTable {
     async fn read(&self, key: &str, known: Option<RowVersion>) -> Result<RowRead, StoreError> {
         self.check()?;
-        self.answer().await;
+        self.wait_for_release().await;
         Ok(self.rows().read(key, known))
     }
 
@@ -93,7 +105,7 @@
     async fn commit(&self, batch: &WriteBatch) -> Result<CommitOutcome, StoreError> {
         self.check()?;
         let outcome = self.apply(batch);
-        self.answer().await;
+        self.wait_for_release().await;
         Ok(outcome)
     }
 }
--- a/crates/entry/tests/request_path/bad_input.rs
+++ b/crates/entry/tests/request_path/invalid_requests.rs
@@ -1,32 +1,36 @@
-//! Requests that can't be used: each gets a 4xx with its place, and reaches no target.
+//! Invalid requests: each is rejected with a 4xx status and the invalid parameter, and reaches no
+//! target.
 
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
 
-use crate::fake_entry::{FakeAnswer, FakeEntry, TRADERS_KEY, post};
+use crate::fake_entry::{FakeEntry, FakeResponse, TRADERS_KEY, post};
 
 const CHAT: &str = "/v1/chat/completions";
 const TEXT: &str = "/v1/completions";
 const PAY: &str = "/v1/services/licences/fees/pay";
 
-fn assert_refused(answer: &FakeAnswer, status: StatusCode, code: &str, place: &str) {
-    assert_eq!(answer.status, status, "{}", answer.text);
-    assert_eq!(answer.error("code"), code, "{}", answer.text);
-    assert_eq!(answer.error("param"), place, "{}", answer.text);
-    assert_eq!(answer.error("execution"), "not_run", "{}", answer.text);
-    assert!(!answer.error("message").is_empty(), "{}", answer.text);
-    assert!(!answer.error("request").is_empty(), "{}", answer.text);
+fn assert_rejected(response: &FakeResponse, status: StatusCode, code: &str, param: &str) {
+    assert_eq!(response.status, status, "{}", response.text);
+    assert_eq!(response.error("code"), code, "{}", response.text);
+    assert_eq!(response.error("param"), param, "{}", response.text);
+    assert_eq!(response.error("execution"), "not_run", "{}", response.text);
+    assert!(!response.error("message").is_empty(), "{}", response.text);
+    assert!(!response.error("request").is_empty(), "{}", response.text);
 }
 
-fn assert_untouched(entry: &FakeEntry) {
-    assert!(entry.engine.orders().is_empty(), "an engine was asked");
-    assert_eq!(entry.service.sends(), 0, "the service was called");
+fn assert_no_target_reached(entry: &FakeEntry) {
+    assert!(
+        entry.engine.requests().is_empty(),
+        "an engine received a request"
+    );
+    assert_eq!(entry.service.send_count(), 0, "the service was called");
     assert_eq!(entry.table.commits(), 0, "a claim was written");
 }
 
 #[tokio::test]
-async fn bad_bodies() {
+async fn invalid_bodies() {
     let entry = FakeEntry::new();
     let cases = [
         (TEXT, "{", "body"),
@@ -71,38 +75,38 @@
             "max_completion_tokens",
         ),
     ];
-    for (path, body, place) in cases {
-        let answer = entry.post(path, &[], body).await;
-        assert_refused(&answer, StatusCode::BAD_REQUEST, "invalid_request", place);
+    for (path, body, param) in cases {
+        let response = entry.post(path, &[], body).await;
+        assert_rejected(&response, StatusCode::BAD_REQUEST, "invalid_request", param);
     }
-    assert_untouched(&entry);
+    assert_no_target_reached(&entry);
 }
 
 #[tokio::test]
-async fn too_large() {
+async fn oversized_bodies() {
     let entry = FakeEntry::new();
     let prompt = "x".repeat(5 << 20);
     let body = format!(r#"{{"model": "help", "prompt": "{prompt}"}}"#);
     for path in [TEXT, CHAT] {
-        let answer = entry.post(path, &[], &body).await;
+        let response = entry.post(path, &[], &body).await;
         let status = StatusCode::PAYLOAD_TOO_LARGE;
-        assert_refused(&answer, status, "body_too_large", "body");
+        assert_rejected(&response, status, "body_too_large", "body");
     }
-    let answer = entry.post(PAY, &[("idempotency-key", "k")], &body).await;
+    let response = entry.post(PAY, &[("idempotency-key", "k")], &body).await;
     let status = StatusCode::PAYLOAD_TOO_LARGE;
-    assert_refused(&answer, status, "body_too_large", "body");
-    assert_untouched(&entry);
+    assert_rejected(&response, status, "body_too_large", "body");
+    assert_no_target_reached(&entry);
 }
 
 #[tokio::test]
-async fn wrong_keys() {
+async fn invalid_keys() {
     let entry = FakeEntry::new();
     let body = r#"{"model": "help", "prompt": "p"}"#;
-    let place = "header Authorization";
+    let param = "header Authorization";
     for key in ["", "stranger", "traders-key2"] {
-        let answer = entry.send(post(key, TEXT, &[], body)).await;
-        assert_refused(&answer, StatusCode::UNAUTHORIZED, "invalid_key", place);
-        assert!(!answer.text.contains("stranger"), "{}", answer.text);
+        let response = entry.send(post(key, TEXT, &[], body)).await;
+        assert_rejected(&response, StatusCode::UNAUTHORIZED, "invalid_key", param);
+        assert!(!response.text.contains("stranger"), "{}", response.text);
     }
     for scheme in ["Basic abc", "Bearer", "traders-key"] {
         let request = Request::builder()
@@ -111,10 +115,10 @@
             .header("authorization", scheme)
             .body(Full::<Bytes>::from(body))
             .expect("a request");
-        let answer = entry.send(request).await;
-        assert_refused(&answer, StatusCode::UNAUTHORIZED, "invalid_key", place);
+        let response = entry.send(request).await;
+        assert_rejected(&response, StatusCode::UNAUTHORIZED, "invalid_key", param);
     }
-    assert_untouched(&entry);
+    assert_no_target_reached(&entry);
     for event in entry.recorder.recent() {
         let text = format!("{event:?}");
         assert!(!text.contains("stranger"), "a key in an event: {text}");
@@ -122,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn wrong_names() {
+async fn unknown_names() {
     let entry = FakeEntry::new();
     let cases = [
         ("nothing", StatusCode::NOT_FOUND, "not_found"),
@@ -131,8 +135,8 @@
     ];
     for (model, status, code) in cases {
         let body = format!(r#"{{"model": "{model}", "prompt": "p"}}"#);
-        let answer = entry.post(TEXT, &[], &body).await;
-        assert_refused(&answer, status, code, "model");
+        let response = entry.post(TEXT, &[], &body).await;
+        assert_rejected(&response, status, code, "model");
     }
     let paths = [
         ("/v1/nothing", StatusCode::NOT_FOUND, "not_found"),
@@ -150,14 +154,14 @@
         ),
     ];
     for (path, status, code) in paths {
-        let answer = entry.post(path, &[("idempotency-key", "k")], "{}").await;
-        assert_refused(&answer, status, code, "path");
+        let response = entry.post(path, &[("idempotency-key", "k")], "{}").await;
+        assert_rejected(&response, status, code, "path");
     }
-    assert_untouched(&entry);
+    assert_no_target_reached(&entry);
 }
 
 #[tokio::test]
-async fn wrong_methods() {
+async fn disallowed_methods() {
     let entry = FakeEntry::new();
     let cases = [
         ("GET", TEXT, "POST"),
@@ -173,40 +177,40 @@
             .header("authorization", format!("Bearer {TRADERS_KEY}"))
             .body(Full::<Bytes>::default())
             .expect("a request");
-        let answer = entry.send(request).await;
+        let response = entry.send(request).await;
         let status = StatusCode::METHOD_NOT_ALLOWED;
-        assert_refused(&answer, status, "method_not_allowed", "method");
-        assert_eq!(answer.allow.as_deref(), Some(allowed), "{method} {path}");
+        assert_rejected(&response, status, "method_not_allowed", "method");
+        assert_eq!(response.allow.as_deref(), Some(allowed), "{method} {path}");
     }
-    assert_untouched(&entry);
+    assert_no_target_reached(&entry);
 }
 
 #[tokio::test]
-async fn bad_headers() {
+async fn invalid_headers() {
     let entry = FakeEntry::new();
     let body = r#"{"model": "help", "prompt": "p"}"#;
     for value in ["soon", "0", "-1", "NaN", "1e300", "99999"] {
-        let answer = entry
+        let response = entry
             .post(TEXT, &[("x-request-timeout", value)], body)
             .await;
-        let place = "header x-request-timeout";
-        assert_refused(&answer, StatusCode::BAD_REQUEST, "invalid_request", place);
+        let param = "header x-request-timeout";
+        assert_rejected(&response, StatusCode::BAD_REQUEST, "invalid_request", param);
     }
     let twice = [("x-request-timeout", "1"), ("x-request-timeout", "2")];
-    let answer = entry.post(TEXT, &twice, body).await;
-    let place = "header x-request-timeout";
-    assert_refused(&answer, StatusCode::BAD_REQUEST, "invalid_request", place);
-    let answer = entry.post(TEXT, &[("last-event-id", "17")], body).await;
-    let place = "header last-event-id";
-    assert_refused(&answer, StatusCode::BAD_REQUEST, "invalid_resume", place);
+    let response = entry.post(TEXT, &twice, body).await;
+    let param = "header x-request-timeout";
+    assert_rejected(&response, StatusCode::BAD_REQUEST, "invalid_request", param);
+    let response = entry.post(TEXT, &[("last-event-id", "17")], body).await;
+    let param = "header last-event-id";
+    assert_rejected(&response, StatusCode::BAD_REQUEST, "invalid_resume", param);
     let long = "k".repeat(256);
     for key in ["", "two words", long.as_str()] {
-        let answer = entry.post(PAY, &[("idempotency-key", key)], "{}").await;
-        let place = "header idempotency-key";
-        assert_refused(&answer, StatusCode::BAD_REQUEST, "invalid_request", place);
+        let response = entry.post(PAY, &[("idempotency-key", key)], "{}").await;
+        let param = "header idempotency-key";
+        assert_rejected(&response, StatusCode::BAD_REQUEST, "invalid_request", param);
     }
-    let answer = entry.post(PAY, &[], "{}").await;
-    let place = "header idempotency-key";
-    assert_refused(&answer, StatusCode::BAD_REQUEST, "key_required", place);
-    assert_untouched(&entry);
+    let response = entry.post(PAY, &[], "{}").await;
+    let param = "header idempotency-key";
+    assert_rejected(&response, StatusCode::BAD_REQUEST, "key_required", param);
+    assert_no_target_reached(&entry);
 }
--- a/crates/entry/tests/request_path/main.rs
+++ b/crates/entry/tests/request_path/main.rs
@@ -1,11 +1,11 @@
-//! The request path over small fakes of engines, services and the table; one module a feature.
+//! Tests of the request path with fake engines, services and tables; one module per feature.
 
-mod attempt_faults;
-mod bad_input;
+mod attempt_errors;
 mod claimed_calls;
 mod fake_engine;
 mod fake_entry;
 mod fake_service;
 mod fake_table;
-mod openai_shape;
+mod invalid_requests;
+mod openai_compatibility;
 mod queue_limits;
--- a/crates/entry/tests/request_path/openai_shape.rs
+++ b/crates/entry/tests/request_path/openai_compatibility.rs
@@ -1,9 +1,9 @@
-//! Answers as existing clients of the protocol expect them.
+//! Compatibility of responses with existing OpenAI clients.
 
 use http::StatusCode;
 use serde_json::{Value, json};
 
-use crate::fake_engine::answer_text;
+use crate::fake_engine::response_text;
 use crate::fake_entry::FakeEntry;
 
 const CHAT: &str = "/v1/chat/completions";
@@ -21,7 +21,7 @@
     .to_string()
 }
 
-fn pieces(data: &[String]) -> Vec<Value> {
+fn chunks(data: &[String]) -> Vec<Value> {
     data.iter()
         .filter(|text| *text != "[DONE]")
         .map(|text| serde_json::from_str(text).expect("JSON"))
@@ -29,70 +29,73 @@
 }
 
 #[tokio::test]
-async fn chat_whole() {
+async fn complete_chat() {
     let entry = FakeEntry::new();
-    let answer = entry.post(CHAT, &[], &chat(false)).await;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    let body = answer.json();
+    let response = entry.post(CHAT, &[], &chat(false)).await;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+    let body = response.json();
     assert_eq!(body["object"], "chat.completion");
     let choice = &body["choices"][0];
     assert_eq!(choice["message"]["role"], "assistant");
-    assert_eq!(choice["message"]["content"], answer_text(3));
+    assert_eq!(choice["message"]["content"], response_text(3));
     assert_eq!(choice["finish_reason"], "length");
     let usage = json!({ "prompt_tokens": 5, "completion_tokens": 3, "total_tokens": 8 });
     assert_eq!(body["usage"], usage);
-    let (_, order) = entry.engine.orders().remove(0);
-    assert_eq!(order.prompt, "system: Be brief.\nuser: Which form?");
-    assert_eq!(order.adapter.expect("one").as_str(), "wolof");
+    let (_, request) = entry.engine.requests().remove(0);
+    assert_eq!(request.prompt, "system: Be brief.\nuser: Which form?");
+    assert_eq!(request.adapter.expect("one").as_str(), "wolof");
 }
 
 #[tokio::test]
-async fn chat_streamed() {
+async fn streamed_chat() {
     let entry = FakeEntry::new();
-    let answer = entry.post(CHAT, &[], &chat(true)).await;
-    let data = answer.data();
+    let response = entry.post(CHAT, &[], &chat(true)).await;
+    let data = response.data();
     assert_eq!(data.last().map(String::as_str), Some("[DONE]"));
-    let pieces = pieces(&data);
-    assert_eq!(pieces.len(), 1 + 3 + 1 + 1, "{}", answer.text);
-    let opening = &pieces[0]["choices"][0]["delta"];
+    let chunks = chunks(&data);
+    assert_eq!(chunks.len(), 1 + 3 + 1 + 1, "{}", response.text);
+    let opening = &chunks[0]["choices"][0]["delta"];
     assert_eq!(*opening, json!({ "role": "assistant", "content": "" }));
     let mut text = String::new();
-    for piece in &pieces[1..4] {
-        assert_eq!(piece["object"], "chat.completion.chunk");
-        assert_eq!(piece["id"], pieces[0]["id"]);
-        assert_eq!(piece["created"], pieces[0]["created"]);
-        assert!(piece["choices"][0]["finish_reason"].is_null());
+    for chunk in &chunks[1..4] {
+        assert_eq!(chunk["object"], "chat.completion.chunk");
+        assert_eq!(chunk["id"], chunks[0]["id"]);
+        assert_eq!(chunk["created"], chunks[0]["created"]);
+        assert!(chunk["choices"][0]["finish_reason"].is_null());
         text.push_str(
-            piece["choices"][0]["delta"]["content"]
+            chunk["choices"][0]["delta"]["content"]
                 .as_str()
                 .expect("text"),
         );
     }
-    assert_eq!(text, answer_text(3));
-    assert_eq!(pieces[4]["choices"][0]["finish_reason"], "length");
-    assert_eq!(pieces[5]["choices"], json!([]));
-    assert_eq!(pieces[5]["usage"]["completion_tokens"], 3);
-    let ids = answer.text.lines().filter(|line| line.starts_with("id: "));
+    assert_eq!(text, response_text(3));
+    assert_eq!(chunks[4]["choices"][0]["finish_reason"], "length");
+    assert_eq!(chunks[5]["choices"], json!([]));
+    assert_eq!(chunks[5]["usage"]["completion_tokens"], 3);
+    let ids = response
+        .text
+        .lines()
+        .filter(|line| line.starts_with("id: "));
     assert_eq!(ids.count(), data.len(), "an id on every event");
 }
 
 #[tokio::test]
-async fn text_streamed() {
+async fn streamed_text_completion() {
     let entry = FakeEntry::new();
     let body = json!({ "model": "help", "prompt": ["Which?"], "stream": true, "max_tokens": 2 });
-    let answer = entry.post(TEXT, &[], &body.to_string()).await;
-    let pieces = pieces(&answer.data());
-    assert_eq!(pieces.len(), 3, "no usage unless it is asked for");
-    let texts: Vec<&str> = pieces
+    let response = entry.post(TEXT, &[], &body.to_string()).await;
+    let chunks = chunks(&response.data());
+    assert_eq!(chunks.len(), 3, "no usage unless it is asked for");
+    let texts: Vec<&str> = chunks
         .iter()
-        .map(|piece| piece["choices"][0]["text"].as_str().expect("text"))
+        .map(|chunk| chunk["choices"][0]["text"].as_str().expect("text"))
         .collect();
     assert_eq!(texts, ["w0 ", "w1 ", ""]);
-    assert_eq!(pieces[0]["object"], "text_completion");
+    assert_eq!(chunks[0]["object"], "text_completion");
 }
 
 #[tokio::test]
-async fn models_listed() {
+async fn model_list() {
     let entry = FakeEntry::new();
     let get = |path: &str| {
         http::Request::builder()
@@ -111,9 +114,10 @@
     assert_eq!(none.status, StatusCode::NOT_FOUND);
 }
 
-/// Streams of the same request agree word for word, since a client may go on with one of them.
+/// Requests without a seed get one derived from their id, so that attempts of the same request
+/// generate the same text and other requests do not.
 #[tokio::test]
-async fn own_seed() {
+async fn seed_per_request() {
     let entry = FakeEntry::new();
     let body = json!({ "model": "help", "prompt": "p", "max_tokens": 1 }).to_string();
     for _ in 0..2 {
@@ -121,9 +125,9 @@
     }
     let seeds: Vec<u64> = entry
         .engine
-        .orders()
+        .requests()
         .iter()
-        .map(|(_, order)| order.seed)
+        .map(|(_, request)| request.seed)
         .collect();
     assert_ne!(seeds[0], seeds[1], "each request has a seed of its own");
 }
--- a/crates/entry/tests/resume_tokens.rs
+++ b/crates/entry/tests/resume_tokens.rs
@@ -1,4 +1,4 @@
-//! Resume tokens: what is sealed is opened again, anything else is refused.
+//! Resume tokens: a signed token is verified at any entry with the key; anything else is rejected.
 
 use domain::IncarnationNumber;
 use entry::digest::{ContentDigest, TextDigest};
@@ -24,42 +24,42 @@
 }
 
 #[test]
-fn opened_elsewhere() {
+fn valid_at_another_entry() {
     let offset = StreamOffset {
         count: 17,
         digest: TextDigest::default().extended("word "),
     };
     let text = signer("shared").scope(&scope()).sign(offset);
-    let token = signer("shared").verify(&text).expect("opens");
+    let token = signer("shared").verify(&text).expect("a valid token");
     assert_eq!(token.scope, scope());
     assert_eq!(token.offset, offset);
-    let stranger = signer("another").verify(&text);
-    assert_eq!(stranger, Err(TokenError::InvalidSignature));
+    let other_key = signer("another").verify(&text);
+    assert_eq!(other_key, Err(TokenError::InvalidSignature));
 }
 
-/// A caller changes a token, to read another's answer or more than its own. Every change of a
-/// single byte must be noticed.
+/// A client could modify a token to read another client's response or to skip part of its own. Any
+/// change of a single byte must be detected.
 #[test]
-fn changed_byte() {
+fn modified_byte() {
     let text = signer("shared")
         .scope(&scope())
         .sign(StreamOffset::default());
-    for place in 0..text.len() {
+    for index in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
-        bytes[place] = if bytes[place] == b'A' { b'B' } else { b'A' };
-        let changed = String::from_utf8(bytes).expect("ASCII");
-        let opened = signer("shared").verify(&changed);
-        assert!(opened.is_err(), "byte {place} changed: {opened:?}");
+        bytes[index] = if bytes[index] == b'A' { b'B' } else { b'A' };
+        let modified = String::from_utf8(bytes).expect("ASCII");
+        let verified = signer("shared").verify(&modified);
+        assert!(verified.is_err(), "byte {index} modified: {verified:?}");
     }
 }
 
-/// Clients send whatever they like as `Last-Event-ID`; nothing of it may be taken for a token or
-/// end the process.
+/// Clients may send arbitrary text as `Last-Event-ID`. It must neither be accepted as a token nor
+/// cause a panic.
 #[test]
-fn any_text() {
+fn arbitrary_text() {
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the library hands values over"
+        reason = "quickcheck passes arguments by value"
     )]
     fn property(text: String) -> bool {
         signer("shared").verify(&text).is_err()
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn secret_hidden() {
+fn secrets_not_printed() {
     let key = SecretText::from("very secret");
     let printed = format!("{key:?} {:?}", TokenSigner::new(Some(&key)));
     assert!(!printed.contains("very secret"), "{printed}");
--- a/crates/entry/tests/stream_validation.rs
+++ b/crates/entry/tests/stream_validation.rs
@@ -1,4 +1,4 @@
-//! Whole answers out of duplicated, late, crossed and lost events, by the real state machine.
+//! Validation of streams with duplicated, delayed, misdirected and lost events.
 
 use domain::{AttemptId, IncarnationNumber};
 use entry::digest::TextDigest;
@@ -39,70 +39,73 @@
     }
 }
 
-/// What the network does with one event of an attempt.
+/// Effect of the network on one event of an attempt.
 #[derive(Debug, Clone, Copy)]
-enum EventFate {
-    Kept,
-    Doubled,
+enum NetworkEffect {
+    Delivered,
+    Duplicated,
     Lost,
-    /// An event of an abandoned attempt comes first.
-    AfterStranger,
-    /// An event of the same attempt's older incarnation comes first.
-    AfterOlder,
-    /// The event before it comes once more.
-    AfterRepeat,
-    /// The connection breaks here.
+    /// Preceded by events of an abandoned attempt.
+    AfterOtherAttempt,
+    /// Preceded by an event of an older incarnation of the same attempt.
+    AfterOldIncarnation,
+    /// Preceded by a duplicate of the previous event.
+    AfterDuplicate,
+    /// The connection breaks before this event.
     Broken,
 }
 
-impl Arbitrary for EventFate {
+impl Arbitrary for NetworkEffect {
     fn arbitrary(source: &mut Gen) -> Self {
-        let fates = [
-            Self::Kept,
-            Self::Kept,
-            Self::Kept,
-            Self::Kept,
-            Self::Doubled,
+        let effects = [
+            Self::Delivered,
+            Self::Delivered,
+            Self::Delivered,
+            Self::Delivered,
+            Self::Duplicated,
             Self::Lost,
-            Self::AfterStranger,
-            Self::AfterOlder,
-            Self::AfterRepeat,
+            Self::AfterOtherAttempt,
+            Self::AfterOldIncarnation,
+            Self::AfterDuplicate,
             Self::Broken,
         ];
-        *source.choose(&fates).expect("not empty")
+        *source.choose(&effects).expect("not empty")
     }
 }
 
-/// A caller with its answer so far.
+/// A client and the part of the response that it has received.
 #[derive(Default)]
-struct Caller {
+struct Client {
     text: Vec<String>,
     finished: bool,
 }
 
-enum AttemptOutcome {
+enum AttemptEnd {
     Finished,
-    Left,
+    Abandoned,
 }
 
-/// Feeds the events of one attempt, as the network leaves them, to the state machine.
+/// Passes the events of one attempt through the network to the validator.
 fn run_attempt(
     number: usize,
     length: u32,
-    fates: &[EventFate],
+    effects: &[NetworkEffect],
     progress: &mut ResponseProgress,
-    caller: &mut Caller,
-) -> AttemptOutcome {
+    client: &mut Client,
+) -> AttemptEnd {
     let incarnation = number as u64 + 1;
-    let own = IncarnationNumber(incarnation);
+    let expected_incarnation = IncarnationNumber(incarnation);
     let (mut validator, from) = if progress.delivered_tokens().is_some() {
         let from = progress.offset().count;
         (
-            StreamValidator::continuing(attempt(number), own, progress),
+            StreamValidator::continuing(attempt(number), expected_incarnation, progress),
             from,
         )
     } else {
-        (StreamValidator::regenerating(attempt(number), own), 0)
+        (
+            StreamValidator::regenerating(attempt(number), expected_incarnation),
+            0,
+        )
     };
     let mut events = Vec::new();
     for index in from..=length {
@@ -111,119 +114,116 @@
         } else {
             token(number, incarnation, index, word(index))
         };
-        let fate = fates.get((index - from) as usize);
-        match fate.copied().unwrap_or(EventFate::Kept) {
-            EventFate::Kept => events.push(event),
-            EventFate::Doubled => events.extend([event.clone(), event]),
-            EventFate::Lost => {}
-            EventFate::AfterStranger => {
-                events.push(token(
-                    number + 7,
-                    incarnation,
-                    index,
-                    "stranger ".to_owned(),
-                ));
+        let effect = effects.get((index - from) as usize);
+        match effect.copied().unwrap_or(NetworkEffect::Delivered) {
+            NetworkEffect::Delivered => events.push(event),
+            NetworkEffect::Duplicated => events.extend([event.clone(), event]),
+            NetworkEffect::Lost => {}
+            NetworkEffect::AfterOtherAttempt => {
+                events.push(token(number + 7, incarnation, index, "other ".to_owned()));
                 events.push(done(number + 7, incarnation, index));
                 events.push(event);
             }
-            EventFate::AfterOlder => {
+            NetworkEffect::AfterOldIncarnation => {
                 events.push(token(number, incarnation - 1, index, "older ".to_owned()));
                 events.push(event);
             }
-            EventFate::AfterRepeat => {
+            NetworkEffect::AfterDuplicate => {
                 let before = index.saturating_sub(1);
                 events.push(token(number, incarnation, before, word(before)));
                 events.push(event);
             }
-            EventFate::Broken => break,
+            NetworkEffect::Broken => break,
         }
     }
     for event in events {
         match validator.accept(progress, event) {
-            StreamAction::Deliver(text) => caller.text.push(text),
+            StreamAction::Deliver(text) => client.text.push(text),
             StreamAction::Ignore | StreamAction::AlreadyDelivered => {}
-            StreamAction::Finished(end) => {
-                assert_eq!(end.count, length);
-                caller.finished = true;
-                return AttemptOutcome::Finished;
+            StreamAction::Finished(summary) => {
+                assert_eq!(summary.count, length);
+                client.finished = true;
+                return AttemptEnd::Finished;
             }
-            StreamAction::Fail(_) => return AttemptOutcome::Left,
+            StreamAction::Fail(_) => return AttemptEnd::Abandoned,
         }
     }
-    AttemptOutcome::Left
+    AttemptEnd::Abandoned
 }
 
-fn whole_answer(length: u32) -> Vec<String> {
+fn complete_response(length: u32) -> Vec<String> {
     (0..length).map(word).collect()
 }
 
-/// Connections break, events come twice, late from an abandoned attempt, or not at all. A caller
-/// sees the words of its own answer, each once and in order, and an end only after the last.
+/// Connections break, and events are duplicated, lost or delayed from an abandoned attempt. The
+/// client must receive each token of its response once and in order, and the end only after the
+/// last token.
 #[test]
-fn whole_or_prefix() {
+fn complete_or_prefix() {
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the library hands values over"
+        reason = "quickcheck passes arguments by value"
     )]
-    fn property(length: u8, attempts: Vec<Vec<EventFate>>) -> TestResult {
+    fn property(length: u8, attempts: Vec<Vec<NetworkEffect>>) -> TestResult {
         let length = u32::from(length % 24);
-        let whole = whole_answer(length);
+        let complete = complete_response(length);
         let mut progress = ResponseProgress::default();
-        let mut caller = Caller::default();
-        for (number, fates) in attempts.iter().enumerate() {
-            if let AttemptOutcome::Finished =
-                run_attempt(number, length, fates, &mut progress, &mut caller)
+        let mut client = Client::default();
+        for (number, effects) in attempts.iter().enumerate() {
+            if let AttemptEnd::Finished =
+                run_attempt(number, length, effects, &mut progress, &mut client)
             {
                 break;
             }
-            if !whole.starts_with(&caller.text) {
-                return TestResult::error(format!("{:?}", caller.text));
+            if !complete.starts_with(&client.text) {
+                return TestResult::error(format!("{:?}", client.text));
             }
         }
-        if caller.finished {
-            return TestResult::from_bool(caller.text == whole);
+        if client.finished {
+            return TestResult::from_bool(client.text == complete);
         }
-        // An undisturbed attempt always finishes what is left.
-        run_attempt(attempts.len(), length, &[], &mut progress, &mut caller);
-        TestResult::from_bool(caller.finished && caller.text == whole)
+        // An undisturbed attempt always completes the response.
+        run_attempt(attempts.len(), length, &[], &mut progress, &mut client);
+        TestResult::from_bool(client.finished && client.text == complete)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(CASE_SIZE, SEED))
         .tests(CASES)
-        .quickcheck(property as fn(u8, Vec<Vec<EventFate>>) -> TestResult);
+        .quickcheck(property as fn(u8, Vec<Vec<NetworkEffect>>) -> TestResult);
 }
 
-/// The entry that began a stream dies; another one knows only how much the caller has and its
-/// digest. The caller gets the rest of the same answer, each word once.
+/// The entry that started a stream fails. Another entry only knows the number and the digest of the
+/// tokens that the client has received. The client must receive the rest of the same response, each
+/// token once.
 #[test]
-fn resumed_elsewhere() {
+fn resumed_at_another_entry() {
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the library hands values over"
+        reason = "quickcheck passes arguments by value"
     )]
-    fn property(length: u8, have: u8, attempts: Vec<Vec<EventFate>>) -> TestResult {
+    fn property(length: u8, received_count: u8, attempts: Vec<Vec<NetworkEffect>>) -> TestResult {
         let length = u32::from(length % 24) + 1;
-        let have = u32::from(have) % (length + 1);
-        let whole = whole_answer(length);
-        let offset = offset_of(&whole[..have as usize]);
+        let received_count = u32::from(received_count) % (length + 1);
+        let complete = complete_response(length);
+        let offset = offset_of(&complete[..received_count as usize]);
         let mut progress = ResponseProgress::resumed(offset);
-        let mut caller = Caller::default();
-        for (number, fates) in attempts.iter().enumerate() {
-            if let AttemptOutcome::Finished =
-                run_attempt(number, length, fates, &mut progress, &mut caller)
+        let mut client = Client::default();
+        for (number, effects) in attempts.iter().enumerate() {
+            if let AttemptEnd::Finished =
+                run_attempt(number, length, effects, &mut progress, &mut client)
             {
                 break;
             }
         }
-        if !caller.finished {
-            run_attempt(attempts.len(), length, &[], &mut progress, &mut caller);
+        if !client.finished {
+            run_attempt(attempts.len(), length, &[], &mut progress, &mut client);
         }
-        TestResult::from_bool(caller.finished && caller.text == whole[have as usize..])
+        TestResult::from_bool(client.finished && client.text == complete[received_count as usize..])
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(CASE_SIZE, SEED + 1))
         .tests(CASES)
-        .quickcheck(property as fn(u8, u8, Vec<Vec<EventFate>>) -> TestResult);
+        .quickcheck(property as fn(u8, u8, Vec<Vec<NetworkEffect>>) -> TestResult);
 }
 
 fn offset_of(tokens: &[String]) -> StreamOffset {
@@ -232,15 +232,15 @@
         digest = digest.extended(token);
     }
     StreamOffset {
-        count: u32::try_from(tokens.len()).expect("few"),
+        count: u32::try_from(tokens.len()).expect("a small number"),
         digest,
     }
 }
 
-/// A replica with other weights generates another text for the same request. A caller that goes
-/// on there would get an answer of two halves that don't fit; it must get an error instead.
+/// A replica with other weights generates different text for the same request. A client that
+/// resumes there must receive an error, since the two parts would not match.
 #[test]
-fn other_text() {
+fn regenerated_text_differs() {
     let offset = offset_of(&["other ".to_owned(), word(1)]);
     let mut progress = ResponseProgress::resumed(offset);
     let mut validator = StreamValidator::regenerating(attempt(0), IncarnationNumber(1));
@@ -250,10 +250,10 @@
     assert_eq!(second, StreamAction::Fail(StreamError::ContentMismatch));
 }
 
-/// A final mark comes though tokens are missing. Taken for the end, the caller would believe that
-/// half an answer is the whole.
+/// The final event arrives while tokens are missing. If it were accepted, the client would take a
+/// partial response for a complete one.
 #[test]
-fn early_mark() {
+fn premature_end() {
     let mut progress = ResponseProgress::default();
     let mut validator = StreamValidator::continuing(attempt(0), IncarnationNumber(1), &progress);
     let first = validator.accept(&mut progress, token(0, 1, 0, word(0)));
