--- a/crates/entry/tests/request_path/openai_compatibility.rs
+++ b/crates/entry/tests/request_path/openai_compatibility.rs
@@ -1,4 +1,4 @@
-//! Compatibility of responses with existing OpenAI clients.
+//! Compatibility of responses with existing `OpenAI` clients.
 
 use http::StatusCode;
 use serde_json::{Value, json};
