--- a/crates/spec/src/formation.rs
+++ b/crates/spec/src/formation.rs
@@ -140,10 +140,10 @@
             }
             OrderKind::Open if is_member && REPLICAS[order.replica][0] == order.host => {
                 let members = REPLICAS[order.replica];
-                let all = members
+                let all_joined = members
                     .iter()
                     .all(|member| state.joined[order.replica][*member]);
-                state.opened_incomplete |= !all;
+                state.opened_incomplete |= !all_joined;
                 state.hosts[order.host].accepted_orders += 1;
                 state.hosts[order.host].serves = true;
                 true
@@ -199,9 +199,9 @@
     fn next_open(&self, snapshot: &[HostState; HOSTS], replica: usize) -> Option<Order> {
         let [head, other] = REPLICAS[replica];
         let observed = |host: usize| snapshot[host].replica == Some(replica);
-        let all = observed(head)
+        let all_observed = observed(head)
             && (observed(other) || !self.enforces(FormationGuard::AllMembersObserved));
-        (all && !snapshot[head].serves).then_some(Order {
+        (all_observed && !snapshot[head].serves).then_some(Order {
             host: head,
             replica,
             kind: OrderKind::Open,
@@ -210,13 +210,13 @@
     }
 
     fn possible_orders(&self, node: usize, known: NodeState) -> Vec<Order> {
-        let own = node + 1;
+        let own_replica = node + 1;
         let Some(snapshot) = &known.snapshot else {
             return Vec::new();
         };
         let orders = [
-            self.next_join(snapshot, known.join_sent, own),
-            self.next_open(snapshot, own),
+            self.next_join(snapshot, known.join_sent, own_replica),
+            self.next_open(snapshot, own_replica),
             self.next_open(snapshot, 0),
         ];
         orders.into_iter().flatten().collect()
