--- a/tests/system/availability.rs
+++ b/tests/system/availability.rs
@@ -60,7 +60,7 @@
         }
         assert!(
             started.elapsed() < PATIENCE,
-            "entry {entry}: {outcome:?}, not {expected:?}"
+            "the last call to entry {entry}: {outcome:?}"
         );
         tokio::time::sleep(POLL).await;
     }
