--- a/crates/platform/tests/store_budget.rs
+++ b/crates/platform/tests/store_budget.rs
@@ -131,8 +131,8 @@
         let slot = usize::try_from((now - recovered).as_millis() / 100).expect("a small number");
         slots[slot.min(19)] += 1;
     }
-    let max = slots.iter().max().copied().unwrap_or(0);
-    assert!(max < 410 / 4, "{slots:?}");
+    let busiest = slots.iter().max().copied().unwrap_or(0);
+    assert!(busiest < 410 / 4, "{slots:?}");
 }
 
 /// A refusal for the rate limit shows that the store works, so it must not open the circuit.
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -22,13 +22,13 @@
 /// All violations, each with the setting to change.
 pub fn check_rules(settings: &NodeSettings) -> Result<(), FindingList> {
     let mut findings = FindingList::default();
-    let mut require_min = |path: &str, value: u64, min: u64, reason: &str| {
-        if value < min {
+    let mut require_min = |path: &str, value: u64, minimum: u64, reason: &str| {
+        if value < minimum {
             let problem = format!("{} is too short: {reason}", format_millis(value));
             findings.add(
                 path,
                 problem,
-                format!("write at least {}", format_millis(min)),
+                format!("write at least {}", format_millis(minimum)),
             );
         }
     };
