--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -13,7 +13,7 @@
 use web::client::json_request;
 use wire::engine::{EngineState, StreamRequest};
 
-use crate::stack::{CUSTOMER_KEY, PATIENCE, TestStack};
+use crate::stack::{CUSTOMER_KEY, TestStack, WAIT_TIMEOUT};
 
 const PROMPT: &str = "Which form renews a licence for a stall of four metres at Sandaga?";
 
@@ -46,7 +46,7 @@
         .uri(format!("http://{entry}/v1/completions"))
         .header("authorization", format!("Bearer {CUSTOMER_KEY}"))
         .body(full_body(body.to_string()))?;
-    checked(stack.client.send(entry, request, PATIENCE).await?).await
+    checked(stack.client.send(entry, request, WAIT_TIMEOUT).await?).await
 }
 
 /// Opens a stream at the leading engine of a replica.
@@ -76,7 +76,7 @@
     };
     let address = assignment.hosts[0].address;
     let request = json_request(Method::POST, address, "/streams", Some(&order))?;
-    checked(stack.client.send(address, request, PATIENCE).await?).await
+    checked(stack.client.send(address, request, WAIT_TIMEOUT).await?).await
 }
 
 async fn checked(answer: Response<Incoming>) -> eyre::Result<Response<Incoming>> {
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -144,7 +144,7 @@
 async fn read_nodes(stack: &TestStack) -> eyre::Result<Vec<NodeReading>> {
     let mut readings = Vec::new();
     for entry in &stack.entries {
-        let text = stack.metrics(entry.admin_now()).await?;
+        let text = stack.metrics(entry.admin_blocking()).await?;
         let sent = metric(&text, "bramleyspring_peer_sent_bytes").unwrap_or_default();
         let received = metric(&text, "bramleyspring_peer_received_bytes").unwrap_or_default();
         readings.push(NodeReading {
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -36,7 +36,7 @@
 const ROUND_TIME: Duration = Duration::from_secs(4);
 
 /// Longest wait for a connection on loopback, and for a replica to serve.
-const PATIENCE: Duration = Duration::from_secs(15);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A platform with one replica and one instance, in this process.
 struct MeasuredSite {
@@ -163,7 +163,7 @@
             // The registry tells of the replica a moment after it serves.
             tokio::time::sleep(Duration::from_secs(1)).await;
         };
-        tokio::time::timeout(PATIENCE, waiting)
+        tokio::time::timeout(WAIT_TIMEOUT, waiting)
             .await
             .wrap_err("no replica came to serve")?;
         Ok(Forwarder {
@@ -190,7 +190,7 @@
     let output = child.stdout.take().ok_or_eyre("no output")?;
     let output = tokio::process::ChildStdout::from_std(output)?;
     let mut lines = BufReader::new(output).lines();
-    let line = tokio::time::timeout(PATIENCE, lines.next_line())
+    let line = tokio::time::timeout(WAIT_TIMEOUT, lines.next_line())
         .await
         .wrap_err("the process does not say where it listens")??
         .ok_or_eyre("no first line")?;
@@ -268,7 +268,7 @@
 async fn measure_plain(forwarder: &Forwarder) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, PLAIN_CALLERS, |number, end| async move {
-        let mut link = HttpConnection::connect(address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut calls = 0;
         while Instant::now() < end {
             let answer = ask(&mut link, "/look/x", &format!("p{number}-{calls}")).await?;
@@ -283,7 +283,7 @@
 async fn measure_events(forwarder: &Forwarder) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, STREAM_CALLERS, |number, end| async move {
-        let mut link = HttpConnection::connect(address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut events = 0;
         while Instant::now() < end {
             let answer = ask(&mut link, "/chat/x", &format!("e{number}-{events}")).await?;
@@ -299,7 +299,7 @@
     let before = resident_kib(forwarder.child.id())?;
     let mut open: Vec<JoinHandle<()>> = Vec::new();
     for number in 0..OPEN_STREAMS {
-        let mut link = HttpConnection::connect(forwarder.address, PATIENCE).await?;
+        let mut link = HttpConnection::connect(forwarder.address, WAIT_TIMEOUT).await?;
         let answer = ask(&mut link, "/chat/x", &format!("m{number}")).await?;
         open.push(tokio::spawn(async move {
             // The connection must live as long as its answer is read.
--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -214,7 +214,7 @@
             name: process.name.clone(),
             base_url: format!("http://{}", process.address),
             openai_base_url: format!("http://{}/v1", process.address),
-            admin: process.admin_now().to_string(),
+            admin: process.admin_blocking().to_string(),
         })
         .collect();
     Ok(CallerSheet {
--- a/crates/standin/src/stack/caller.rs
+++ b/crates/standin/src/stack/caller.rs
@@ -8,7 +8,7 @@
 use web::body::full_body;
 use web::{ClientError, read_body};
 
-use super::{PATIENCE, POLL, TestStack};
+use super::{POLL, TestStack, WAIT_TIMEOUT};
 
 const MAX_BODY: usize = 16 << 20;
 
@@ -17,7 +17,7 @@
 
 /// An answer read whole.
 #[derive(Debug)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     /// Its status.
     pub status: StatusCode,
     /// When to come back.
@@ -26,7 +26,7 @@
     pub body: Vec<u8>,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     /// The body as JSON; null when it is none.
     #[must_use]
     pub fn json(&self) -> Value {
@@ -67,7 +67,7 @@
         let request = builder
             .body(full_body(body.to_string()))
             .expect("a request");
-        self.client.send(address, request, PATIENCE).await
+        self.client.send(address, request, WAIT_TIMEOUT).await
     }
 
     /// Calls an entry as the example customer and reads the whole answer.
@@ -81,7 +81,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &Value,
-    ) -> Result<CallerAnswer, ClientError> {
+    ) -> Result<CallerResponse, ClientError> {
         let answer = self.open(entry, path, headers, body).await?;
         let status = answer.status();
         let retry_after = answer
@@ -93,7 +93,7 @@
         let body = read_body(answer.into_body(), MAX_BODY)
             .await
             .map_err(|error| ClientError::InvalidResponse(address, error))?;
-        Ok(CallerAnswer {
+        Ok(CallerResponse {
             status,
             retry_after,
             body: body.to_vec(),
@@ -107,21 +107,21 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &Value,
-    ) -> CallerAnswer {
+    ) -> CallerResponse {
         self.try_call(entry, path, headers, body)
             .await
             .unwrap_or_else(|error| panic!("{path}: {error}"))
     }
 
     /// Asks an entry for a completion, not streamed.
-    pub async fn complete(&self, entry: usize, prompt: &str, max_tokens: u32) -> CallerAnswer {
+    pub async fn complete(&self, entry: usize, prompt: &str, max_tokens: u32) -> CallerResponse {
         let body =
             json!({ "model": self.callers.model, "prompt": prompt, "max_tokens": max_tokens });
         self.call(entry, "/v1/completions", &[], &body).await
     }
 
     /// Waits until an entry answers completions.
-    pub async fn wait_serving(&self, entry: usize) {
+    pub async fn wait_until_serving(&self, entry: usize) {
         let started = Instant::now();
         loop {
             let answer = self.complete(entry, "ready?", 1).await;
@@ -129,7 +129,7 @@
                 return;
             }
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "entry {entry} serves not: {}",
                 answer.text()
             );
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -11,7 +11,7 @@
 use wire::engine::EngineState;
 use wire::service::LookupBody;
 
-use super::{PATIENCE, TestStack};
+use super::{TestStack, WAIT_TIMEOUT};
 use crate::faults::{FAULTS_PATH, FaultPlan, FaultReport};
 
 /// Largest text of a node's metrics, in bytes.
@@ -21,7 +21,7 @@
     async fn get<A: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> A {
         let answer: JsonResponse<A> = self
             .client
-            .json(Method::GET, address, path, None::<&()>, PATIENCE)
+            .json(Method::GET, address, path, None::<&()>, WAIT_TIMEOUT)
             .await
             .unwrap_or_else(|error| panic!("GET {path}: {error}"));
         answer.value
@@ -34,7 +34,7 @@
     /// When the admin listener does not answer.
     pub async fn metrics(&self, admin: SocketAddr) -> eyre::Result<String> {
         let request = json_request(Method::GET, admin, "/metrics", None::<&()>)?;
-        let answer = self.client.send(admin, request, PATIENCE).await?;
+        let answer = self.client.send(admin, request, WAIT_TIMEOUT).await?;
         let body = read_body(answer.into_body(), MAX_METRICS).await?;
         Ok(String::from_utf8(body.to_vec())?)
     }
@@ -43,7 +43,7 @@
     pub async fn set_faults(&self, address: SocketAddr, plan: &FaultPlan) {
         let answer: JsonResponse<FaultReport> = self
             .client
-            .json(Method::POST, address, FAULTS_PATH, Some(plan), PATIENCE)
+            .json(Method::POST, address, FAULTS_PATH, Some(plan), WAIT_TIMEOUT)
             .await
             .unwrap_or_else(|error| panic!("faults are not taken: {error}"));
         assert!(answer.status.is_success(), "faults are not taken");
--- a/crates/standin/src/stack/mod.rs
+++ b/crates/standin/src/stack/mod.rs
@@ -21,12 +21,12 @@
 
 use crate::deployment::{CallerPlan, Deployment};
 
-pub use caller::{CUSTOMER_KEY, CallerAnswer};
-pub use plan::{StackPlace, StackPlan};
+pub use caller::{CUSTOMER_KEY, CallerResponse};
+pub use plan::{HostPlacement, StackPlan};
 pub use process::StackProcess;
 
 /// Generous bound on anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// The operators' key of a test's system.
 pub const OPERATOR_KEY: &str = "operators-of-the-test-stack";
@@ -69,7 +69,7 @@
     pub entries: Vec<StackProcess>,
     /// A caller's client.
     pub client: WebClient,
-    places: Vec<StackPlace>,
+    places: Vec<HostPlacement>,
     deployment: Deployment,
     callers: CallerPlan,
     entry_domains: Vec<String>,
@@ -84,7 +84,7 @@
     folder: &Path,
     deployment: Deployment,
     engines: &[StackProcess],
-    places: &[StackPlace],
+    places: &[HostPlacement],
     leaving: &[&str],
 ) {
     let region = deployment.region();
@@ -187,7 +187,7 @@
         std::fs::File::create(&path)
             .and_then(|mut file| file.write_all(records.to_string().as_bytes()))
             .expect("writable");
-        let mut command = self.operator();
+        let mut command = self.operator_command();
         command.args(["apply", &path.display().to_string()]);
         let status = command.status().expect("the client runs");
         assert!(status.success(), "the records are not accepted");
@@ -195,11 +195,11 @@
 
     /// The operators' client with its access to every entry; add a command and run it.
     #[must_use]
-    pub fn operator(&self) -> Command {
+    pub fn operator_command(&self) -> Command {
         let admins: Vec<String> = self
             .entries
             .iter()
-            .map(|entry| entry.admin_now().to_string())
+            .map(|entry| entry.admin_blocking().to_string())
             .collect();
         let mut command = Command::new(&self.product);
         command
--- a/crates/standin/src/stack/plan.rs
+++ b/crates/standin/src/stack/plan.rs
@@ -15,7 +15,7 @@
 
 /// Where a host stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StackPlace {
+pub struct HostPlacement {
     /// Its fabric domain.
     pub fabric: String,
     /// Its failure domain.
@@ -159,10 +159,10 @@
         self
     }
 
-    fn place(&self, engine: usize) -> StackPlace {
+    fn place(&self, engine: usize) -> HostPlacement {
         let run = self.engines.div_ceil(self.fabrics);
         let fabric = engine / run;
-        StackPlace {
+        HostPlacement {
             fabric: format!("f{fabric}"),
             domain: self.domains[fabric % self.domains.len()].clone(),
         }
@@ -170,17 +170,17 @@
 
     /// Starts everything, applies the records and waits until every entry serves.
     pub async fn start(self) -> TestStack {
-        let stack = self.clone().start_bare().await;
+        let stack = self.clone().start_without_records().await;
         let records = stack.records(self.replicas, self.hosts_per_replica);
         stack.apply(&records);
         for index in 0..self.entries {
-            stack.wait_serving(index).await;
+            stack.wait_until_serving(index).await;
         }
         stack
     }
 
     /// Starts everything without any record.
-    pub async fn start_bare(self) -> TestStack {
+    pub async fn start_without_records(self) -> TestStack {
         let permit = STACKS.acquire().await.expect("never closed");
         let folder = self.make_folder();
         let program = standin_program(&self.product);
--- a/crates/standin/src/stack/process.rs
+++ b/crates/standin/src/stack/process.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use super::{
-    OPERATOR_KEY, OPERATOR_VARIABLE, PATIENCE, PEER_KEY, PEER_VARIABLE, POLL, RESUME_KEY,
-    RESUME_VARIABLE,
+    OPERATOR_KEY, OPERATOR_VARIABLE, PEER_KEY, PEER_VARIABLE, POLL, RESUME_KEY, RESUME_VARIABLE,
+    WAIT_TIMEOUT,
 };
 
 /// One started process; killed when it is dropped.
@@ -61,14 +61,14 @@
 
     /// Where its admin listener is; blocks until the process says so.
     #[must_use]
-    pub fn admin_now(&self) -> SocketAddr {
+    pub fn admin_blocking(&self) -> SocketAddr {
         let started = Instant::now();
         loop {
             if let Some(address) = self.admin.get() {
                 return *address;
             }
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "{} names no admin address",
                 self.name
             );
@@ -85,7 +85,7 @@
             }
             let name = &self.name;
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "{name} names no admin address"
             );
             tokio::time::sleep(POLL).await;
--- a/tests/gateway/full_restart.rs
+++ b/tests/gateway/full_restart.rs
@@ -12,7 +12,7 @@
     let site = TestSite::start(5, 1);
     let first = site.node("n0").await;
     let second = site.node("n1").await;
-    site.wait_serving(1).await;
+    site.wait_until_serving(1).await;
     let before = site.groups.serving();
     drop((first, second));
     let node = site.node("n0").await;
--- a/tests/gateway/lost_hosts.rs
+++ b/tests/gateway/lost_hosts.rs
@@ -37,7 +37,7 @@
     assert_eq!(response.text, complete_stream(60));
     node.wait_log_line(&["stream_moved", "c-1"]).await;
     // The replica is formed again with the spare host.
-    site.wait_serving(2).await;
+    site.wait_until_serving(2).await;
     assert!(
         site.groups
             .serving()
@@ -57,7 +57,7 @@
     site.kill_engine(&head);
     site.groups.expire(&head);
     node.wait_log_line(&["target_gone", &head]).await;
-    site.wait_serving(1).await;
+    site.wait_until_serving(1).await;
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
 
@@ -83,7 +83,7 @@
     assert_eq!(site.groups.runs("c-1"), 0);
     // With a new host the replica serves again.
     site.add_engine("fresh");
-    site.wait_serving(1).await;
+    site.wait_until_serving(1).await;
 }
 
 /// A member starts draining. Its replica is closed and formed again with the spare.
--- a/tests/gateway/normal_operation.rs
+++ b/tests/gateway/normal_operation.rs
@@ -83,7 +83,7 @@
     let first = site.node("n0").await;
     let _second = site.node("n1").await;
     let _third = site.node("n2").await;
-    site.wait_serving(2).await;
+    site.wait_until_serving(2).await;
     drop(first);
     assert_eq!(site.groups.violations(), Vec::<String>::new());
 }
--- a/tests/gateway/poison_requests.rs
+++ b/tests/gateway/poison_requests.rs
@@ -31,7 +31,7 @@
         site.node("n1").await,
         site.node("n2").await,
     ];
-    site.wait_serving(6).await;
+    site.wait_until_serving(6).await;
     for node in &nodes {
         node.wait_replicas(6).await;
         node.wait_log_line(&["nodes_counted", "\"nodes\":3"]).await;
--- a/tests/gateway/site.rs
+++ b/tests/gateway/site.rs
@@ -250,7 +250,7 @@
     }
 
     /// Waits until `count` replicas serve, according to the engines.
-    pub async fn wait_serving(&self, count: usize) {
+    pub async fn wait_until_serving(&self, count: usize) {
         wait_for("serving replicas", || self.groups.serving().len() == count).await;
     }
 }
--- a/tests/system/availability.rs
+++ b/tests/system/availability.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 use serde_json::json;
-use standin::stack::{CallerAnswer, PATIENCE, TestStack};
+use standin::stack::{CallerResponse, TestStack, WAIT_TIMEOUT};
 use wire::caller::REQUEST_TIMEOUT_HEADER;
 
 const POLL: Duration = Duration::from_millis(20);
@@ -28,7 +28,7 @@
 }
 
 /// Whether the entry node found no replica for the call, either at once or within its timeout.
-fn is_refusal(response: &CallerAnswer) -> bool {
+fn is_refusal(response: &CallerResponse) -> bool {
     let error = &response.json()["error"];
     let code = error["code"].as_str().unwrap_or_default();
     let no_replica = ["no_replica", "deadline_exceeded"].contains(&code);
@@ -59,7 +59,7 @@
             return since.elapsed();
         }
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_TIMEOUT,
             "the last call to entry {entry}: {outcome:?}"
         );
         tokio::time::sleep(POLL).await;
@@ -85,7 +85,7 @@
     let started = Instant::now();
     while !condition().await {
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_TIMEOUT,
             "timed out waiting: {description}"
         );
         tokio::time::sleep(POLL).await;
--- a/tests/system/claim_batching.rs
+++ b/tests/system/claim_batching.rs
@@ -74,7 +74,7 @@
     let stack = StackPlan::new("claim-batching", BINARY)
         .engines(1)
         .entries(0)
-        .start_bare()
+        .start_without_records()
         .await;
     let limited = FaultPlan::builder()
         .max_writes(MAX_TRANSACTIONS)
--- a/tests/system/config_propagation.rs
+++ b/tests/system/config_propagation.rs
@@ -5,7 +5,7 @@
 use http::{Method, Request, StatusCode};
 use serde_json::{Value, json};
 use standin::faults::FaultPlan;
-use standin::stack::{CUSTOMER_KEY, PATIENCE, StackPlan, TestStack};
+use standin::stack::{CUSTOMER_KEY, StackPlan, TestStack, WAIT_TIMEOUT};
 use web::body::full_body;
 use web::read_body;
 
@@ -86,12 +86,15 @@
 pub async fn wait_granted(stack: &TestStack, entry: usize, adapter: &str) -> Duration {
     let started = Instant::now();
     loop {
-        if let EntryView::Serves(newest) = view_config(stack, entry, PATIENCE).await
+        if let EntryView::Serves(newest) = view_config(stack, entry, WAIT_TIMEOUT).await
             && newest == adapter
         {
             return started.elapsed();
         }
-        assert!(started.elapsed() < PATIENCE, "entry {entry}: no {adapter}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "entry {entry}: no {adapter}"
+        );
         tokio::time::sleep(POLL).await;
     }
 }
@@ -170,7 +173,7 @@
         let path = folder.join(format!("{number}.json"));
         let records = json!([customer(&format!("r{number}"))]);
         std::fs::write(&path, records.to_string()).expect("writable");
-        let mut command = stack.operator();
+        let mut command = stack.operator_command();
         command.args(["apply", &path.display().to_string()]);
         commands.push(command.spawn().expect("the client runs"));
     }
@@ -182,7 +185,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     assert!(accepted >= 1, "no amendment was accepted");
     let output = stack
-        .operator()
+        .operator_command()
         .args(["history", "customer", "sandaga-traders", "--format", "json"])
         .output()
         .expect("the client runs");
@@ -212,7 +215,7 @@
     stack.table_faults(&plan.build()).await;
     amend_and_wait(&stack, "after-loss").await;
     let output = stack
-        .operator()
+        .operator_command()
         .args(["history", "customer", "sandaga-traders", "--format", "json"])
         .output()
         .expect("the client runs");
--- a/tests/system/direct_engine.rs
+++ b/tests/system/direct_engine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::stack::{PATIENCE, TestStack};
+use standin::stack::{TestStack, WAIT_TIMEOUT};
 use target::engine::HttpStream;
 use target::{EngineClient, HttpEngineClient, StreamStart, TokenStream};
 use wire::engine::{EngineAddress, EngineAssignment, EngineOrder, StreamEvent, StreamRequest};
@@ -48,7 +48,7 @@
     };
     let engine = HttpEngineClient::default();
     engine
-        .order(assignment.hosts[rank].address, &order, PATIENCE)
+        .order(assignment.hosts[rank].address, &order, WAIT_TIMEOUT)
         .await
         .unwrap_or_else(|error| panic!("{}: {error}", stack.engines[rank].name));
 }
@@ -81,7 +81,7 @@
 ) -> Option<HttpStream> {
     let address = assignment.hosts[0].address;
     let started = HttpEngineClient::default()
-        .start(address, request, PATIENCE)
+        .start(address, request, WAIT_TIMEOUT)
         .await;
     match started.expect("a response") {
         StreamStart::Running(stream) => Some(stream),
--- a/tests/system/engine_queue_and_cache.rs
+++ b/tests/system/engine_queue_and_cache.rs
@@ -17,7 +17,7 @@
         .engines(1)
         .entries(0)
         .engine_options(options)
-        .start_bare()
+        .start_without_records()
         .await
 }
 
@@ -96,7 +96,7 @@
         .engines(1)
         .entries(0)
         .weights(&["--rate", "1000000", "--bytes", "1000000"])
-        .start_bare()
+        .start_without_records()
         .await;
     let ordered = Instant::now();
     let mut assignment = form_replica(&stack).await;
--- a/tests/system/engine_roles_and_faults.rs
+++ b/tests/system/engine_roles_and_faults.rs
@@ -25,7 +25,7 @@
         .engines(count)
         .entries(0)
         .engine_options(options)
-        .start_bare()
+        .start_without_records()
         .await
 }
 
--- a/tests/system/engine_streams.rs
+++ b/tests/system/engine_streams.rs
@@ -23,7 +23,7 @@
         .engines(hosts)
         .entries(0)
         .engine_options(options)
-        .start_bare()
+        .start_without_records()
         .await
 }
 
--- a/tests/system/fault_injection.rs
+++ b/tests/system/fault_injection.rs
@@ -20,7 +20,7 @@
         .engines(1)
         .entries(0)
         .services(2)
-        .start_bare()
+        .start_without_records()
         .await
 }
 
--- a/tests/system/graceful_shutdown.rs
+++ b/tests/system/graceful_shutdown.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use http::{Method, Request, StatusCode};
 use serde_json::json;
-use standin::stack::{PATIENCE, StackPlan, TestStack};
+use standin::stack::{StackPlan, TestStack, WAIT_TIMEOUT};
 use web::body::full_body;
 
 use crate::BINARY;
@@ -23,7 +23,7 @@
         .uri(format!("http://{address}/readyz"))
         .body(full_body(""))
         .expect("a request");
-    let response = stack.client.send(address, request, PATIENCE).await;
+    let response = stack.client.send(address, request, WAIT_TIMEOUT).await;
     response.ok().map(|response| response.status())
 }
 
@@ -62,7 +62,7 @@
         // The load balancer polls at an interval.
         let started = Instant::now();
         while readiness(shared, 0).await == Some(StatusCode::OK) {
-            assert!(started.elapsed() < PATIENCE, "the node stays ready");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the node stays ready");
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
         moved_away.store(true, Ordering::SeqCst);
@@ -114,13 +114,13 @@
     stack.entries[0].signal("TERM");
     let started = Instant::now();
     while readiness(&stack, 0).await == Some(StatusCode::OK) {
-        assert!(started.elapsed() < PATIENCE, "the node stays ready");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the node stays ready");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     stack.entries[0].signal("TERM");
     stack.entries[0].wait();
     assert!(
-        started.elapsed() < PATIENCE,
+        started.elapsed() < WAIT_TIMEOUT,
         "the process waited for the drain"
     );
 }
--- a/tests/system/host_draining.rs
+++ b/tests/system/host_draining.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use serde_json::json;
 use standin::faults::FaultPlan;
-use standin::stack::{CallerAnswer, StackPlan, TestStack};
+use standin::stack::{CallerResponse, StackPlan, TestStack};
 
 use crate::BINARY;
 use crate::availability::{print_time, wait_refused, wait_until};
@@ -46,7 +46,7 @@
         let second = wait_refused(stack, 1, since).await;
         print_time(&format!("{source} to no new requests"), first.max(second));
     };
-    let (response, ()): (CallerAnswer, ()) = tokio::join!(request, draining);
+    let (response, ()): (CallerResponse, ()) = tokio::join!(request, draining);
     assert_eq!(response.status, StatusCode::OK, "{}", response.text());
     let tokens = &response.json()["usage"]["completion_tokens"];
     assert_eq!(*tokens, json!(LONG_RESPONSE_TOKENS));
@@ -89,9 +89,9 @@
         stack.apply(&record);
     })
     .await;
-    let mut command: Command = stack.operator();
+    let mut command: Command = stack.operator_command();
     command.args(["delete", "drain", "repair-h01"]);
     assert!(command.status().expect("the client runs").success());
-    stack.wait_serving(0).await;
-    stack.wait_serving(1).await;
+    stack.wait_until_serving(0).await;
+    stack.wait_until_serving(1).await;
 }
--- a/tests/system/host_list_delay.rs
+++ b/tests/system/host_list_delay.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::Method;
-use standin::stack::{PATIENCE, StackPlan, TestStack};
+use standin::stack::{StackPlan, TestStack, WAIT_TIMEOUT};
 use web::client::JsonResponse;
 use wire::hostlist::HostListBody;
 
@@ -13,7 +13,7 @@
     let address = stack.hostlist.address;
     let list: JsonResponse<HostListBody> = stack
         .client
-        .json(Method::GET, address, "/hosts", None::<&()>, PATIENCE)
+        .json(Method::GET, address, "/hosts", None::<&()>, WAIT_TIMEOUT)
         .await
         .expect("a list");
     list.value.hosts.iter().any(|host| host.leaving)
@@ -26,12 +26,12 @@
         .engines(2)
         .entries(0)
         .hostlist_options(&["--lag-ms", "1500"])
-        .start_bare()
+        .start_without_records()
         .await;
     let marked = Instant::now();
     stack.set_leaving(&["h01"]);
     while !is_leaving(&stack).await {
-        assert!(marked.elapsed() < PATIENCE, "the mark is never shown");
+        assert!(marked.elapsed() < WAIT_TIMEOUT, "the mark is never shown");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert!(
--- a/tests/system/loss_under_load.rs
+++ b/tests/system/loss_under_load.rs
@@ -84,6 +84,6 @@
     assert_eq!(payments.ran, payments.offered, "{report}");
     assert_eq!((payments.lost, payments.doubled), (0, 0), "{report}");
     for entry in 0..stack.entries.len() {
-        stack.wait_serving(entry).await;
+        stack.wait_until_serving(entry).await;
     }
 }
--- a/tests/system/operator_commands.rs
+++ b/tests/system/operator_commands.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output};
 
 use serde_json::{Value, json};
-use standin::stack::{OPERATOR_KEY, PATIENCE, StackPlan, TestStack};
+use standin::stack::{OPERATOR_KEY, StackPlan, TestStack, WAIT_TIMEOUT};
 
 use crate::BINARY;
 
@@ -21,7 +21,7 @@
 
 fn run(stack: &TestStack, arguments: &[&str]) -> Output {
     stack
-        .operator()
+        .operator_command()
         .args(arguments)
         .output()
         .expect("the client runs")
@@ -147,7 +147,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_key_refused() {
     let stack = small_stack("wrong-key").await;
-    let mut command = stack.operator();
+    let mut command = stack.operator_command();
     command
         .env("BRAMLEYSPRING_KEY", "not-the-operators-key")
         .arg("status");
@@ -175,7 +175,7 @@
         assert!(shown.contains(step), "{step} is missing in {shown}");
     }
     let metrics = stack
-        .metrics(stack.entries[1].admin_now())
+        .metrics(stack.entries[1].admin_blocking())
         .await
         .expect("metrics");
     let gaps = "bramleyspring_request_token_gap_duration_seconds_count";
@@ -192,8 +192,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn missing_node_named() {
     let mut stack = small_stack("missing-node").await;
-    let gone = stack.entries[1].admin_now();
-    let mut command = stack.operator();
+    let gone = stack.entries[1].admin_blocking();
+    let mut command = stack.operator_command();
     stack.entries[1].signal("KILL");
     stack.entries[1].wait();
     let output = command
@@ -272,7 +272,7 @@
             return output;
         }
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_TIMEOUT,
             "{}{}",
             stdout(&output),
             stderr(&output)
--- a/tests/system/quickstart.rs
+++ b/tests/system/quickstart.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use standin::stack::PATIENCE;
+use standin::stack::WAIT_TIMEOUT;
 
 use crate::BINARY;
 
@@ -32,7 +32,7 @@
             if let Ok(bytes) = std::fs::read(self.folder.join(name)) {
                 return serde_json::from_slice(&bytes).expect("valid JSON");
             }
-            assert!(started.elapsed() < PATIENCE, "{name} was not written");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{name} was not written");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/tests/system/rolling_update.rs
+++ b/tests/system/rolling_update.rs
@@ -5,7 +5,7 @@
 
 use http::StatusCode;
 use serde_json::json;
-use standin::stack::{PATIENCE, StackPlan, TestStack};
+use standin::stack::{StackPlan, TestStack, WAIT_TIMEOUT};
 
 use crate::BINARY;
 
@@ -59,7 +59,7 @@
         let started = Instant::now();
         while assigned_versions(&stack).await != ["v2"; 4] {
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "{:?}",
                 assigned_versions(&stack).await
             );
--- a/tests/system/service_calls.rs
+++ b/tests/system/service_calls.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use serde_json::{Value, json};
 use standin::faults::{FaultPlan, OutageMode};
-use standin::stack::{CallerAnswer, StackPlan, TestStack};
+use standin::stack::{CallerResponse, StackPlan, TestStack};
 
 use crate::BINARY;
 
@@ -16,12 +16,12 @@
     json!({ "stall": "B-14", "trader": "A. Sow", "fee_xof": 15_000, "month": "2026-11" })
 }
 
-async fn pay(stack: &TestStack, entry: usize, key: &str) -> CallerAnswer {
+async fn pay(stack: &TestStack, entry: usize, key: &str) -> CallerResponse {
     let headers = [("idempotency-key", key)];
     stack.call(entry, PAY_PATH, &headers, &payment()).await
 }
 
-fn execution(response: &CallerAnswer) -> String {
+fn execution(response: &CallerResponse) -> String {
     let error = &response.json()["error"];
     error["execution"].as_str().unwrap_or("none").to_owned()
 }
