--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -10,11 +10,13 @@
 use serde_json::{Value, json};
 
 use super::groups::{EngineState, SiteGroups};
-use super::http::{LostWay, SiteAnswer, SiteRequest, SiteServer, json as json_response, plain};
-use super::run::Run;
+use super::http::{
+    ConnectionLossGuard, SiteAnswer, SiteRequest, SiteServer, json as json_response, plain,
+};
+use super::stream::StreamRun;
 
 /// What a request's body holds that ends the engine which begins to run it.
-pub const ENDING_BODY: &[u8] = b"ends what runs it";
+pub const CRASH_BODY: &[u8] = b"ends what runs it";
 
 /// One engine; dropped, its process is gone.
 #[derive(Debug)]
@@ -33,7 +35,7 @@
 
     /// Loses new connections on their way, as a link that loses packets, until what it returns is
     /// dropped.
-    pub async fn lose_connections(&self) -> LostWay {
+    pub async fn lose_connections(&self) -> ConnectionLossGuard {
         self.server.lose_connections().await
     }
 
@@ -64,7 +66,7 @@
             loaded: None,
             staged: None,
             group: None,
-            dark: false,
+            unresponsive: false,
             draining: false,
             listed: true,
             events: 12,
@@ -82,8 +84,8 @@
     }
 
     /// Lets an engine fall silent: its connections stand and nothing comes any more.
-    pub fn go_dark(&self, id: &str) {
-        self.with(id, |engine| engine.dark = true);
+    pub fn make_unresponsive(&self, id: &str) {
+        self.with(id, |engine| engine.unresponsive = true);
     }
 
     /// Takes an engine's entry out of the registry, as the platform does after its silence, or
@@ -93,11 +95,11 @@
         self.store.remove("servers", id);
     }
 
-    /// Ends an engine's process, as a request does whose body holds [`ENDING_BODY`]: connections break
+    /// Ends an engine's process, as a request does whose body holds [`CRASH_BODY`]: connections break
     /// and nobody listens any more.
     pub fn crash(&self, id: &str) {
         self.with(id, |engine| {
-            engine.dark = true;
+            engine.unresponsive = true;
             engine.crash.notify_one();
         });
         self.crashed.fetch_add(1, Ordering::Relaxed);
@@ -110,7 +112,7 @@
     }
 
     /// Puts an entry into the registry that knows nothing of the engine's replica.
-    pub fn write_old_entry(&self, id: &str) {
+    pub fn write_stale_entry(&self, id: &str) {
         let group = self.with(id, |engine| engine.group.take()).flatten();
         self.register(id);
         self.with(id, |engine| engine.group = group);
@@ -135,7 +137,7 @@
         let engines = self.lock();
         let open = engines.values().filter_map(|engine| {
             let group = engine.group.as_ref()?;
-            (group.rank == 0 && group.state == "open" && !engine.dark)
+            (group.rank == 0 && group.state == "open" && !engine.unresponsive)
                 .then(|| group.members.clone())
         });
         open.collect()
@@ -180,8 +182,8 @@
     }
 
     async fn answer(&self, id: &str, request: SiteRequest) -> SiteAnswer {
-        let dark = self.with(id, |engine| engine.dark).unwrap_or(true);
-        if dark {
+        let unresponsive = self.with(id, |engine| engine.unresponsive).unwrap_or(true);
+        if unresponsive {
             std::future::pending::<()>().await;
         }
         let expected = request.header("x-expect-instance");
@@ -226,13 +228,13 @@
         });
         let first: usize = request.header("last-event-id").parse().unwrap_or(0);
         let events = self.with(id, |engine| engine.events).unwrap_or(0);
-        let run = Run {
+        let run = StreamRun {
             groups: self.clone(),
             id: id.to_owned(),
             group,
             next: first + 1,
             last: events,
-            ends_engine: holds(&request.body, ENDING_BODY),
+            ends_engine: holds(&request.body, CRASH_BODY),
             began: false,
         };
         let frames = stream::unfold(run, |mut run| async move {
--- a/crates/standin/src/site/groups.rs
+++ b/crates/standin/src/site/groups.rs
@@ -27,7 +27,7 @@
     /// Models on its host; it keeps the last one.
     pub staged: Option<String>,
     pub group: Option<Group>,
-    pub dark: bool,
+    pub unresponsive: bool,
     pub draining: bool,
     /// Whether the registry names it.
     pub listed: bool,
@@ -88,7 +88,7 @@
     pub(super) fn is_whole(&self, group: &Group) -> bool {
         let engines = self.lock();
         group.members.iter().all(|member| {
-            let engine = engines.get(member).filter(|engine| !engine.dark);
+            let engine = engines.get(member).filter(|engine| !engine.unresponsive);
             let own = engine.and_then(|engine| engine.group.as_ref());
             own.is_some_and(|own| own.name == group.name)
         })
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -64,12 +64,12 @@
 
 /// New connections to a server are lost until it is dropped.
 #[derive(Debug)]
-pub struct LostWay {
+pub struct ConnectionLossGuard {
     paused: watch::Sender<bool>,
     _queued: Vec<TcpStream>,
 }
 
-impl Drop for LostWay {
+impl Drop for ConnectionLossGuard {
     fn drop(&mut self) {
         self.paused.send_replace(false);
     }
@@ -141,7 +141,7 @@
 
     /// Loses new connections on their way, for as long as what it returns is held: nobody takes
     /// them, and the queue is full. Those that are open go on.
-    pub async fn lose_connections(&self) -> LostWay {
+    pub async fn lose_connections(&self) -> ConnectionLossGuard {
         self.paused.send_replace(true);
         let mut queued = Vec::new();
         loop {
@@ -151,7 +151,7 @@
                 Ok(Err(_)) | Err(_) => break,
             }
         }
-        LostWay {
+        ConnectionLossGuard {
             paused: self.paused.clone(),
             _queued: queued,
         }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -8,11 +8,11 @@
 mod http;
 mod orders;
 mod plain;
-mod run;
 mod store;
+mod stream;
 
-pub use engine::{ENDING_BODY, SiteEngine};
+pub use engine::{CRASH_BODY, SiteEngine};
 pub use groups::SiteGroups;
-pub use http::LostWay;
-pub use plain::{PlainMode, SiteInstance};
+pub use http::ConnectionLossGuard;
+pub use plain::{ServiceMode, SiteInstance};
 pub use store::{SiteStore, StoreMode};
--- a/crates/standin/src/site/orders.rs
+++ b/crates/standin/src/site/orders.rs
@@ -42,7 +42,7 @@
         let head = &group.members[0];
         let state = self.with(head, |head| {
             let same = head.group.as_ref().filter(|own| own.name == group.name);
-            same.is_some_and(|own| matches!(own.state, "open" | "closing")) && !head.dark
+            same.is_some_and(|own| matches!(own.state, "open" | "closing")) && !head.unresponsive
         });
         state.unwrap_or(false)
     }
--- a/crates/standin/src/site/plain.rs
+++ b/crates/standin/src/site/plain.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-use super::engine::{ENDING_BODY, holds};
+use super::engine::{CRASH_BODY, holds};
 use super::http::{CloseAfter, SiteAnswer, SiteRequest, SiteServer, plain};
 use super::store::SiteStore;
 
@@ -17,26 +17,26 @@
 
 /// How an instance behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlainMode {
+pub enum ServiceMode {
     /// It answers.
-    Sound,
+    Healthy,
     /// It answers after [`SLOW_TIME`].
     Slow,
     /// It says that it is full.
-    Full,
+    Overloaded,
     /// It runs a call and its answer never comes.
-    Mute,
+    Unresponsive,
     /// It fails each call after it ran.
     Failing,
     /// It answers as if another request had been asked for.
-    Crossed,
+    WrongRequestId,
     /// It answers and closes the connection a moment later, without saying so.
-    Closing,
+    ClosesConnection,
 }
 
 #[derive(Debug)]
 struct InstanceState {
-    mode: PlainMode,
+    mode: ServiceMode,
     ran: Vec<String>,
     seen: Vec<String>,
     /// Ends its process.
@@ -58,7 +58,7 @@
     /// Its port can't be opened.
     pub fn start(store: &SiteStore, id: &str, zone: &str) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(InstanceState {
-            mode: PlainMode::Sound,
+            mode: ServiceMode::Healthy,
             ran: Vec::new(),
             seen: Vec::new(),
             crash: None,
@@ -90,7 +90,7 @@
     }
 
     /// Changes how it behaves.
-    pub fn set_mode(&self, mode: PlainMode) {
+    pub fn set_mode(&self, mode: ServiceMode) {
         self.with(|state| state.mode = mode);
     }
 
@@ -119,37 +119,37 @@
     let mode = {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
         state.seen.push(format!("{:?}", request.headers));
-        if state.mode != PlainMode::Full {
+        if state.mode != ServiceMode::Overloaded {
             state.ran.push(id.clone());
         }
         state.mode
     };
-    if holds(&request.body, ENDING_BODY) {
+    if holds(&request.body, CRASH_BODY) {
         end_process(state);
         std::future::pending::<()>().await;
     }
     let mut answer = match mode {
-        PlainMode::Sound | PlainMode::Crossed | PlainMode::Closing => {
+        ServiceMode::Healthy | ServiceMode::WrongRequestId | ServiceMode::ClosesConnection => {
             plain(StatusCode::OK, "receipt")
         }
-        PlainMode::Slow => {
+        ServiceMode::Slow => {
             tokio::time::sleep(SLOW_TIME).await;
             plain(StatusCode::OK, "receipt")
         }
-        PlainMode::Full => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
-        PlainMode::Mute => std::future::pending().await,
-        PlainMode::Failing => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        ServiceMode::Overloaded => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
+        ServiceMode::Unresponsive => std::future::pending().await,
+        ServiceMode::Failing => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
     };
-    if mode == PlainMode::Closing {
+    if mode == ServiceMode::ClosesConnection {
         answer.extensions_mut().insert(CloseAfter);
     }
     let headers = answer.headers_mut();
-    if mode == PlainMode::Full {
+    if mode == ServiceMode::Overloaded {
         headers.insert("x-not-executed", HeaderValue::from_static("1"));
     } else {
         headers.insert("x-response-signature", HeaderValue::from_static("signed"));
     }
-    let echo = if mode == PlainMode::Crossed {
+    let echo = if mode == ServiceMode::WrongRequestId {
         "another"
     } else {
         &id
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -17,11 +17,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
     /// As it should.
-    Sound,
+    Healthy,
     /// Not at all.
-    Silent,
+    Unresponsive,
     /// With 503.
-    Busy,
+    Unavailable,
 }
 
 /// A row's table and key; all rows stand in the empty part.
@@ -52,7 +52,7 @@
                 rows: BTreeMap::new(),
                 version: 1,
                 forgotten: 0,
-                mode: StoreMode::Sound,
+                mode: StoreMode::Healthy,
                 calls: 0,
             })),
             changed: Arc::default(),
@@ -136,9 +136,9 @@
             state.mode
         });
         match mode {
-            StoreMode::Sound => {}
-            StoreMode::Silent => std::future::pending().await,
-            StoreMode::Busy => return plain(StatusCode::SERVICE_UNAVAILABLE, ""),
+            StoreMode::Healthy => {}
+            StoreMode::Unresponsive => std::future::pending().await,
+            StoreMode::Unavailable => return plain(StatusCode::SERVICE_UNAVAILABLE, ""),
         }
         match request.path.as_str() {
             "/rows-get" => self.get(&request),
@@ -173,7 +173,7 @@
         loop {
             let changed = self.changed.notified();
             let (forgotten, mode) = self.with(|state| (state.forgotten, state.mode));
-            if mode == StoreMode::Silent {
+            if mode == StoreMode::Unresponsive {
                 std::future::pending::<()>().await;
             }
             if after < forgotten {
--- a/crates/standin/src/site/run.rs
+++ b/crates/standin/src/site/stream.rs
@@ -14,7 +14,7 @@
 const STALL_TIME: Duration = Duration::from_secs(4);
 
 /// A stream in progress.
-pub(super) struct Run {
+pub(super) struct StreamRun {
     pub groups: SiteGroups,
     pub id: String,
     pub group: Group,
@@ -26,7 +26,7 @@
     pub began: bool,
 }
 
-impl Run {
+impl StreamRun {
     pub async fn event(&mut self) -> Option<Result<Frame<Bytes>, std::io::Error>> {
         if self.next > self.last {
             return None;
@@ -59,7 +59,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for StreamRun {
     fn drop(&mut self) {
         self.groups.end_run(&self.id);
     }
--- a/tests/gateway/failure_diagnosis.rs
+++ b/tests/gateway/failure_diagnosis.rs
@@ -1,7 +1,7 @@
 //! Diagnosing a failed request by its id, from the log alone.
 
 use http::StatusCode;
-use standin::site::PlainMode;
+use standin::site::ServiceMode;
 
 use crate::request::{TestRequest, read_response};
 use crate::site::TestSite;
@@ -61,7 +61,7 @@
 async fn lost_payment_response() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Crossed);
+    site.instances[0].set_mode(ServiceMode::WrongRequestId);
     let response = TestRequest::new("/pay/fee", "failed-3").send(&node).await;
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     let attempt = node
--- a/tests/gateway/plain_services.rs
+++ b/tests/gateway/plain_services.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use standin::site::PlainMode;
+use standin::site::ServiceMode;
 
 use crate::request::TestRequest;
 use crate::site::TestSite;
@@ -14,7 +14,7 @@
 async fn full_targets() {
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
-    site.set_modes(PlainMode::Full);
+    site.set_modes(ServiceMode::Overloaded);
     let response = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.headers.contains_key("retry-after"));
@@ -26,7 +26,7 @@
 async fn payment_without_response() {
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
-    site.set_modes(PlainMode::Mute);
+    site.set_modes(ServiceMode::Unresponsive);
     let request = TestRequest::new("/pay/fee", "p-1").header("x-deadline-ms", "600");
     let response = request.send(&node).await;
     assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
@@ -38,7 +38,7 @@
 async fn hanging_lookup_retried() {
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Mute);
+    site.instances[0].set_mode(ServiceMode::Unresponsive);
     for number in 0..8 {
         let response = TestRequest::new("/look/x", &format!("l-{number}"))
             .send(&node)
@@ -53,10 +53,10 @@
 async fn error_after_execution() {
     let site = TestSite::start(0, 2);
     let node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Failing);
+    site.instances[0].set_mode(ServiceMode::Failing);
     let lookup = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(lookup.status, StatusCode::OK);
-    site.instances[1].set_mode(PlainMode::Failing);
+    site.instances[1].set_mode(ServiceMode::Failing);
     let payment = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(payment.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(payment.headers["x-response-signature"], "signed");
@@ -69,7 +69,7 @@
 async fn mismatched_response() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Crossed);
+    site.instances[0].set_mode(ServiceMode::WrongRequestId);
     let response = TestRequest::new("/pay/fee", "p-1").send(&node).await;
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     assert!(response.text.is_empty());
@@ -81,7 +81,7 @@
 async fn closed_idle_connection() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Closing);
+    site.instances[0].set_mode(ServiceMode::ClosesConnection);
     for number in 0..8 {
         let id = format!("p-{number}");
         let payment = TestRequest::new("/pay/fee", &id).send(&node).await;
--- a/tests/gateway/poison_requests.rs
+++ b/tests/gateway/poison_requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use standin::site::ENDING_BODY;
+use standin::site::CRASH_BODY;
 
 use crate::node::{TestNode, wait_for};
 use crate::request::{TestRequest, TestResponse, complete_stream, read_response};
@@ -16,7 +16,7 @@
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 fn crashing(id: &str) -> TestRequest {
-    TestRequest::chat(id).body(ENDING_BODY.to_vec())
+    TestRequest::chat(id).body(CRASH_BODY.to_vec())
 }
 
 /// Sends a request and reads what comes; the connection may break.
@@ -149,7 +149,7 @@
     let node = site.node("n0").await;
     let lookup = |id: &str, body: &[u8]| TestRequest::new("/look/x", id).body(body.to_vec());
     for index in 0..2 {
-        let response = lookup(&format!("x-{index}"), ENDING_BODY).send(&node).await;
+        let response = lookup(&format!("x-{index}"), CRASH_BODY).send(&node).await;
         assert_eq!(
             response.status,
             StatusCode::BAD_GATEWAY,
@@ -158,7 +158,7 @@
         );
     }
     node.wait_log_line(&["request_barred"]).await;
-    let response = lookup("x-2", ENDING_BODY).send(&node).await;
+    let response = lookup("x-2", CRASH_BODY).send(&node).await;
     assert_eq!(response.status, StatusCode::BAD_REQUEST);
     for index in 0..4 {
         let response = lookup(&format!("y-{index}"), b"{}").send(&node).await;
@@ -178,7 +178,7 @@
         let id = format!("x-{index}");
         let (_connection, response) = TestRequest::chat(&id).begin(&node).await;
         let head = site.replica_running(&id)[0].clone();
-        site.groups.go_dark(&head);
+        site.groups.make_unresponsive(&head);
         let response = read_response(response).await;
         assert_eq!(response.status, StatusCode::OK);
         wait_for("the target to be suspected", || {
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 
-use standin::site::PlainMode;
+use standin::site::ServiceMode;
 
 use crate::request::{TestRequest, complete_stream, read_response};
 use crate::site::TestSite;
@@ -98,7 +98,7 @@
 async fn last_request_answered() {
     let site = TestSite::start(0, 1);
     let mut node = site.node("n0").await;
-    site.instances[0].set_mode(PlainMode::Slow);
+    site.instances[0].set_mode(ServiceMode::Slow);
     node.signal("TERM");
     for number in 0.. {
         if !node.is_running() {
--- a/tests/gateway/site.rs
+++ b/tests/gateway/site.rs
@@ -8,7 +8,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use serde_json::{Value, json};
-use standin::site::{LostWay, PlainMode, SiteEngine, SiteGroups, SiteInstance, SiteStore};
+use standin::site::{
+    ConnectionLossGuard, ServiceMode, SiteEngine, SiteGroups, SiteInstance, SiteStore,
+};
 
 use crate::BINARY;
 use crate::node::{TestNode, wait_for};
@@ -109,7 +111,7 @@
     }
 
     /// Sets the behavior of all instances.
-    pub fn set_modes(&self, mode: PlainMode) {
+    pub fn set_modes(&self, mode: ServiceMode) {
         for instance in &self.instances {
             instance.set_mode(mode);
         }
@@ -135,7 +137,7 @@
 
     /// Makes an engine unresponsive without removing its registry entry.
     pub fn kill_engine(&mut self, id: &str) {
-        self.groups.go_dark(id);
+        self.groups.make_unresponsive(id);
         self.engines.retain(|engine| engine.id != id);
     }
 
@@ -146,7 +148,7 @@
     }
 
     /// Drops new connections to an engine until the returned guard is dropped.
-    pub async fn lose_connections(&self, id: &str) -> LostWay {
+    pub async fn lose_connections(&self, id: &str) -> ConnectionLossGuard {
         let engine = self.engines.iter().find(|engine| engine.id == id);
         engine.expect("engine exists").lose_connections().await
     }
--- a/tests/gateway/store_faults.rs
+++ b/tests/gateway/store_faults.rs
@@ -13,12 +13,12 @@
 async fn unresponsive_store() {
     let site = TestSite::start(0, 1);
     let node = site.node("n0").await;
-    site.store.set_mode(StoreMode::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     node.wait_log_line(&["store_lost"]).await;
     let response = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(response.status, StatusCode::OK);
     site.configure(&configuration(8));
-    site.store.set_mode(StoreMode::Sound);
+    site.store.set_mode(StoreMode::Healthy);
     node.wait_log_line(&["store_regained"]).await;
     node.wait_log_line(&["config_applied", "\"revision\":8"])
         .await;
@@ -29,13 +29,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_store() {
     let site = TestSite::start(0, 1);
-    site.store.set_mode(StoreMode::Busy);
+    site.store.set_mode(StoreMode::Unavailable);
     let node = site.unready_node("n0").await;
     node.wait_log_line(&["store_lost"]).await;
     assert!(!node.is_ready().await);
     let response = TestRequest::new("/look/x", "l-1").send(&node).await;
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
-    site.store.set_mode(StoreMode::Sound);
+    site.store.set_mode(StoreMode::Healthy);
     node.wait_ready(true).await;
 }
 
@@ -64,7 +64,7 @@
     let mut site = TestSite::start(5, 0);
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
-    site.store.set_mode(StoreMode::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     node.wait_log_line(&["store_lost", "servers"]).await;
     let member = site.groups.serving()[0][1].clone();
     site.kill_engine(&member);
@@ -91,7 +91,7 @@
     first.wait_replicas(1).await;
     let serving = site.groups.serving();
     drop(first);
-    site.groups.write_old_entry(&serving[0][2]);
+    site.groups.write_stale_entry(&serving[0][2]);
     let node = site.restarted_node("n1").await;
     node.wait_replicas(1).await;
     // Give the planner several rounds to act on the outdated entry.
@@ -108,7 +108,7 @@
     let node = site.node("n0").await;
     node.wait_replicas(1).await;
     let serving = site.groups.serving();
-    site.groups.write_old_entry(&serving[0][0]);
+    site.groups.write_stale_entry(&serving[0][0]);
     wait_for("a plan based on the entry", || {
         node.log_lines(&["step_taken", "form helper"]).len() > 1
     })
