--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -145,7 +145,7 @@
 
     /// How often a request ran.
     #[must_use]
-    pub fn runs(&self, request: &str) -> usize {
+    pub fn execution_count(&self, request: &str) -> usize {
         let engines = self.lock();
         let ran = engines.values().flat_map(|engine| &engine.ran);
         ran.filter(|id| *id == request).count()
--- a/crates/standin/src/site/plain.rs
+++ b/crates/standin/src/site/plain.rs
@@ -96,13 +96,13 @@
 
     /// How often a request ran here.
     #[must_use]
-    pub fn runs(&self, request: &str) -> usize {
+    pub fn execution_count(&self, request: &str) -> usize {
         self.with(|state| state.ran.iter().filter(|id| *id == request).count())
     }
 
     /// Headers of the requests that came, one text each.
     #[must_use]
-    pub fn seen(&self) -> Vec<String> {
+    pub fn received_headers(&self) -> Vec<String> {
         self.with(|state| state.seen.clone())
     }
 }
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -55,29 +55,29 @@
     }
 
     /// Replaces the table's faults.
-    pub async fn table_faults(&self, plan: &FaultPlan) {
+    pub async fn set_table_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.table.address, plan).await;
     }
 
     /// Replaces the object store's faults.
-    pub async fn objects_faults(&self, plan: &FaultPlan) {
+    pub async fn set_objects_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.objects.address, plan).await;
     }
 
     /// Replaces the host list's faults.
-    pub async fn hostlist_faults(&self, plan: &FaultPlan) {
+    pub async fn set_hostlist_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.hostlist.address, plan).await;
     }
 
     /// Replaces the faults of every instance of the service.
-    pub async fn service_faults(&self, plan: &FaultPlan) {
+    pub async fn set_service_faults(&self, plan: &FaultPlan) {
         for service in &self.services {
             self.set_faults(service.address, plan).await;
         }
     }
 
     /// Replaces the faults of one engine.
-    pub async fn engine_faults(&self, engine: usize, plan: &FaultPlan) {
+    pub async fn set_engine_faults(&self, engine: usize, plan: &FaultPlan) {
         self.set_faults(self.engines[engine].address, plan).await;
     }
 
--- a/tests/gateway/lost_hosts.rs
+++ b/tests/gateway/lost_hosts.rs
@@ -80,7 +80,7 @@
         .parse()
         .expect("Retry-After in seconds");
     assert!(wait > 0.0 && wait < 5.0);
-    assert_eq!(site.groups.runs("c-1"), 0);
+    assert_eq!(site.groups.execution_count("c-1"), 0);
     // With a new host the replica serves again.
     site.add_engine("fresh");
     site.wait_until_serving(1).await;
--- a/tests/gateway/normal_operation.rs
+++ b/tests/gateway/normal_operation.rs
@@ -25,7 +25,7 @@
     let runs: usize = site
         .instances
         .iter()
-        .map(|instance| instance.runs("p-1"))
+        .map(|instance| instance.execution_count("p-1"))
         .sum();
     assert_eq!(runs, 1);
     assert_eq!(site.groups.violations(), Vec::<String>::new());
@@ -49,7 +49,7 @@
     );
     let lookup = TestRequest::new("/look/x", "r-4").header("x-tenant", "somebody-else");
     assert_eq!(lookup.send(&node).await.status, StatusCode::OK);
-    let seen = site.instances[0].seen().join("\n");
+    let seen = site.instances[0].received_headers().join("\n");
     assert!(seen.contains("\"x-tenant\": \"desk\""), "{seen}");
     assert!(!seen.contains("x-credential"), "{seen}");
 }
--- a/tests/gateway/plain_services.rs
+++ b/tests/gateway/plain_services.rs
@@ -86,7 +86,7 @@
         let id = format!("p-{number}");
         let payment = TestRequest::new("/pay/fee", &id).send(&node).await;
         assert_eq!(payment.status, StatusCode::OK, "payment {number}");
-        assert_eq!(site.instances[0].runs(&id), 1);
+        assert_eq!(site.instances[0].execution_count(&id), 1);
         // The instance has closed the previous connection by then.
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -109,7 +109,7 @@
         let request = TestRequest::new("/pay/x", &id).header("x-deadline-ms", "1000");
         let Some((_connection, response)) = request.try_begin(&node).await else {
             assert_eq!(
-                site.instances[0].runs(&id),
+                site.instances[0].execution_count(&id),
                 0,
                 "{id} was executed without a response"
             );
--- a/tests/gateway/site.rs
+++ b/tests/gateway/site.rs
@@ -121,7 +121,7 @@
     pub fn plain_runs(&self, id: &str) -> usize {
         self.instances
             .iter()
-            .map(|instance| instance.runs(id))
+            .map(|instance| instance.execution_count(id))
             .sum()
     }
 
--- a/tests/system/claim_batching.rs
+++ b/tests/system/claim_batching.rs
@@ -80,7 +80,7 @@
         .max_writes(MAX_TRANSACTIONS)
         .latency_ms(2)
         .build();
-    stack.table_faults(&limited).await;
+    stack.set_table_faults(&limited).await;
     let unbatched = LedgerSettings::builder().batch_rows(1).flights(128).build();
     let single = claim_rate(&stack, "single", unbatched).await;
     let batched = claim_rate(&stack, "batched", LedgerSettings::default()).await;
--- a/tests/system/config_faults.rs
+++ b/tests/system/config_faults.rs
@@ -15,7 +15,7 @@
 
 async fn take_table_down(stack: &TestStack) {
     let plan = FaultPlan::builder().outage(OutageMode::Refuse);
-    stack.table_faults(&plan.build()).await;
+    stack.set_table_faults(&plan.build()).await;
 }
 
 /// Polls an entry node for some time. It may be not ready but must not serve another adapter;
@@ -51,7 +51,7 @@
         let served = expect_only_adapter(&stack, entry, "before", Duration::from_secs(2)).await;
         assert!(served > 0, "entry {entry} stopped serving");
     }
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     amend_and_wait(&stack, "after").await;
 }
 
@@ -65,7 +65,7 @@
     stack.entries[2].kill();
     stack.add_entry("late");
     wait_granted(&stack, 3, "before").await;
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     stack.entries.remove(2);
     amend_and_wait(&stack, "after").await;
 }
--- a/tests/system/config_propagation.rs
+++ b/tests/system/config_propagation.rs
@@ -212,7 +212,7 @@
 async fn lost_response_settled() {
     let stack = short_timeout_plan("config-response-lost").start().await;
     let plan = FaultPlan::builder().lose_next(2).match_body("config/head");
-    stack.table_faults(&plan.build()).await;
+    stack.set_table_faults(&plan.build()).await;
     amend_and_wait(&stack, "after-loss").await;
     let output = stack
         .operator_command()
--- a/tests/system/engine_roles_and_faults.rs
+++ b/tests/system/engine_roles_and_faults.rs
@@ -158,7 +158,7 @@
     let mut stream = start_stream(&assignment, &request).await.expect("running");
     read_tokens(&mut stream, 3).await;
     let slowdown = FaultPlan::builder().slow_factor(40.0).build();
-    stack.engine_faults(0, &slowdown).await;
+    stack.set_engine_faults(0, &slowdown).await;
     read_tokens(&mut stream, 2).await;
     let started = Instant::now();
     read_tokens(&mut stream, 3).await;
--- a/tests/system/engine_streams.rs
+++ b/tests/system/engine_streams.rs
@@ -150,7 +150,7 @@
     let stack = start_engines("stream-failed", 1, &[]).await;
     let assignment = form_replica(&stack).await;
     let fault = FaultPlan::builder().fail_streams(true).build();
-    stack.engine_faults(0, &fault).await;
+    stack.set_engine_faults(0, &fault).await;
     let request = stream_request(&assignment, "a.1", 5);
     let mut stream = start_stream(&assignment, &request).await.expect("accepted");
     let event = stream.next_event(EVENT_TIMEOUT).await.expect("an event");
--- a/tests/system/fault_injection.rs
+++ b/tests/system/fault_injection.rs
@@ -55,7 +55,7 @@
 async fn response_lost_after_write() {
     let stack = bare_stack("response-lost").await;
     let plan = FaultPlan::builder().lose_next(1).match_body("affected-row");
-    stack.table_faults(&plan.build()).await;
+    stack.set_table_faults(&plan.build()).await;
     let other = put_row(&stack, "other", SHORT_TIMEOUT * 10).await;
     assert_eq!(other.expect("not affected"), StatusCode::OK);
     let lost = put_row(&stack, "affected-row", SHORT_TIMEOUT * 10).await;
@@ -72,10 +72,10 @@
 async fn write_applied_after_timeout() {
     let stack = bare_stack("write-late").await;
     let slow = FaultPlan::builder().latency_ms(1_500).build();
-    stack.table_faults(&slow).await;
+    stack.set_table_faults(&slow).await;
     let timed_out = put_row(&stack, "late", SHORT_TIMEOUT).await;
     assert!(matches!(timed_out, Err(ClientError::TimedOut(_))));
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     assert_eq!(row_status(&stack, "late").await, StatusCode::NOT_FOUND);
     let started = Instant::now();
     while row_status(&stack, "late").await != StatusCode::OK {
@@ -93,24 +93,24 @@
 async fn outage_applies_no_write() {
     let stack = bare_stack("store-down").await;
     let refuse = FaultPlan::builder().outage(OutageMode::Refuse).build();
-    stack.table_faults(&refuse).await;
+    stack.set_table_faults(&refuse).await;
     let refused = put_row(&stack, "down", SHORT_TIMEOUT).await;
     assert_eq!(
         refused.expect("a response"),
         StatusCode::SERVICE_UNAVAILABLE
     );
     let throttle = FaultPlan::builder().max_writes(0).build();
-    stack.table_faults(&throttle).await;
+    stack.set_table_faults(&throttle).await;
     let throttled = put_row(&stack, "down", SHORT_TIMEOUT).await;
     assert_eq!(
         throttled.expect("a response"),
         StatusCode::TOO_MANY_REQUESTS
     );
     let hang = FaultPlan::builder().outage(OutageMode::Hang).build();
-    stack.table_faults(&hang).await;
+    stack.set_table_faults(&hang).await;
     let timed_out = put_row(&stack, "down", SHORT_TIMEOUT).await;
     assert!(matches!(timed_out, Err(ClientError::TimedOut(_))));
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     assert_eq!(row_status(&stack, "down").await, StatusCode::NOT_FOUND);
 }
 
@@ -122,7 +122,7 @@
     let flaky = FaultPlan::builder().lose_share(0.5).seed(5).build();
     let mut runs = Vec::new();
     for _ in 0..2 {
-        stack.table_faults(&flaky).await;
+        stack.set_table_faults(&flaky).await;
         let mut lost = Vec::new();
         for _ in 0..40 {
             lost.push(put_row(&stack, "flaky", SHORT_TIMEOUT * 10).await.is_err());
@@ -140,7 +140,7 @@
 async fn executions_counted() {
     let stack = bare_stack("execution-counted").await;
     let lossy = FaultPlan::builder().lose_next(1).build();
-    stack.service_faults(&lossy).await;
+    stack.set_service_faults(&lossy).await;
     let address = stack.services[1].address;
     let call = json!({ "stall": "B-14" });
     for _ in 0..2 {
@@ -167,7 +167,7 @@
 async fn restart_clears_faults() {
     let mut stack = bare_stack("engine-restarted").await;
     let leaving = FaultPlan::builder().leaving(true).build();
-    stack.engine_faults(0, &leaving).await;
+    stack.set_engine_faults(0, &leaving).await;
     let before = stack.engine_state(0).await;
     assert!(before.leaving);
     stack.restart_engine(0);
--- a/tests/system/host_draining.rs
+++ b/tests/system/host_draining.rs
@@ -72,7 +72,7 @@
     let stack = one_replica("engine-leaving").await;
     expect_graceful_drain(&stack, "engine's report", async |stack| {
         let plan = FaultPlan::builder().leaving(true).build();
-        stack.engine_faults(1, &plan).await;
+        stack.set_engine_faults(1, &plan).await;
     })
     .await;
 }
--- a/tests/system/payment_stress.rs
+++ b/tests/system/payment_stress.rs
@@ -70,8 +70,8 @@
         .services(3);
     let stack = plan.start().await;
     let lossy = FaultPlan::builder().lose_share(0.05).seed(11).build();
-    stack.service_faults(&lossy).await;
-    stack.table_faults(&lossy).await;
+    stack.set_service_faults(&lossy).await;
+    stack.set_table_faults(&lossy).await;
     let shared = &stack;
     let clients = (0..CLIENTS).map(|client| async move {
         let mut outcomes = Vec::new();
@@ -83,8 +83,8 @@
         outcomes
     });
     let (outcomes, ()) = join(join_all(clients), disrupt_entries(shared)).await;
-    stack.service_faults(&FaultPlan::default()).await;
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_service_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     let mut unknown = Vec::new();
     let mut made = Vec::new();
     for (key, succeeded) in outcomes.into_iter().flatten() {
--- a/tests/system/replica_recovery.rs
+++ b/tests/system/replica_recovery.rs
@@ -106,7 +106,7 @@
     })
     .await;
     let slow = FaultPlan::builder().latency_ms(300).build();
-    stack.table_faults(&slow).await;
+    stack.set_table_faults(&slow).await;
     for engine in [2, 3] {
         stack.engines[engine].kill();
     }
@@ -128,14 +128,14 @@
 async fn host_lost_during_table_outage() {
     let mut stack = one_replica("table-down", 4).await;
     let down = FaultPlan::builder().outage(OutageMode::Refuse).build();
-    stack.table_faults(&down).await;
+    stack.set_table_faults(&down).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     wait_served(&stack, 0, Instant::now()).await;
     let lost = engine_of_rank(&stack, 1).await;
     stack.engines[lost].kill();
     let refused = wait_refused(&stack, 0, Instant::now()).await;
     print_time("host lost to no dispatch, table down", refused);
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
     let back = Instant::now();
     let served = wait_served(&stack, 0, back).await;
     print_time("table back to service", served);
@@ -147,7 +147,7 @@
 async fn replaces_host_despite_lost_responses() {
     let mut stack = one_replica("responses-lost", 4).await;
     let losing = FaultPlan::builder().lose_share(0.3).seed(7).build();
-    stack.table_faults(&losing).await;
+    stack.set_table_faults(&losing).await;
     let lost = engine_of_rank(&stack, 1).await;
     stack.engines[lost].kill();
     let since = Instant::now();
--- a/tests/system/service_calls.rs
+++ b/tests/system/service_calls.rs
@@ -76,7 +76,7 @@
 async fn lost_response_found() {
     let stack = StackPlan::new("response-lost", BINARY).start().await;
     let fault = FaultPlan::builder().lose_next(1).build();
-    stack.service_faults(&fault).await;
+    stack.set_service_faults(&fault).await;
     let lost = pay(&stack, 0, "lost-1").await;
     assert_eq!(execution(&lost), "unknown", "{}", lost.text());
     assert!(lost.retry_after.is_some());
@@ -94,7 +94,7 @@
 async fn missing_execution_stays_unknown() {
     let stack = StackPlan::new("missing-execution", BINARY).start().await;
     let fault = FaultPlan::builder().drop_next(1).build();
-    stack.service_faults(&fault).await;
+    stack.set_service_faults(&fault).await;
     let lost = pay(&stack, 0, "dropped-1").await;
     assert_eq!(execution(&lost), "unknown", "{}", lost.text());
     let again = pay(&stack, 1, "dropped-1").await;
@@ -117,7 +117,7 @@
         FaultPlan::builder().lose_next(1).build(),
         FaultPlan::builder().refuse_next(1).build(),
     ] {
-        stack.service_faults(&fault).await;
+        stack.set_service_faults(&fault).await;
         let found = stack
             .call(0, FIND_PATH, &[], &json!({ "stall": "B-14" }))
             .await;
@@ -133,7 +133,7 @@
     for outage in [OutageMode::Refuse, OutageMode::Hang] {
         let key = format!("store-{outage:?}");
         let fault = FaultPlan::builder().outage(outage).build();
-        stack.table_faults(&fault).await;
+        stack.set_table_faults(&fault).await;
         let refused = pay(&stack, 0, &key).await;
         assert_eq!(
             refused.status,
@@ -151,7 +151,7 @@
         let response = stack.complete(0, "Which form?", 5).await;
         assert_eq!(response.status, StatusCode::OK, "{}", response.text());
     }
-    stack.table_faults(&FaultPlan::default()).await;
+    stack.set_table_faults(&FaultPlan::default()).await;
 }
 
 /// At the address of the service, a socket accepts connections and never responds. Its process may
