--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -31,7 +31,7 @@
 /// Who calls what in a deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CallerPlan {
+pub struct CallerConfig {
     /// The model.
     pub model: String,
     /// The plain service.
@@ -41,13 +41,13 @@
     /// Path of a call that may be repeated, below the service.
     pub repeatable: String,
     /// The customers.
-    pub customers: Vec<CustomerPlan>,
+    pub customers: Vec<CustomerConfig>,
 }
 
 /// One customer.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CustomerPlan {
+pub struct CustomerConfig {
     /// Its name in the records.
     pub name: String,
     /// Its bearer key.
@@ -56,7 +56,7 @@
     pub weight: u32,
 }
 
-impl CallerPlan {
+impl CallerConfig {
     /// Path of the non-repeatable call at an entry.
     #[must_use]
     pub fn non_repeatable_path(&self) -> String {
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// When the example is broken.
-    pub fn callers(self) -> eyre::Result<CallerPlan> {
+    pub fn callers(self) -> eyre::Result<CallerConfig> {
         let text = match self {
             Self::Ndiaye => include_str!("../../../examples/ndiaye/callers.json"),
             Self::Agency => include_str!("../../../examples/agency/callers.json"),
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -16,7 +16,7 @@
 use super::loading::{LoadNeed, LoadedWeights, load, load_need};
 use super::pool::{KvCache, StreamPool};
 use super::report::LoadReport;
-use crate::faults::{FaultSwitch, OutageMode};
+use crate::faults::{FaultInjector, OutageMode};
 use crate::options::EngineOptions;
 
 /// Pause of a batch that can't step.
@@ -31,7 +31,7 @@
     pub client: WebClient,
     host: HostId,
     boot: BootNumber,
-    faults: Arc<FaultSwitch>,
+    faults: Arc<FaultInjector>,
     wake: Notify,
     inner: Mutex<EngineInner>,
 }
@@ -50,7 +50,7 @@
 impl EngineCore {
     /// An engine without an assignment, with a new boot number.
     #[must_use]
-    pub fn new(host: HostId, options: EngineOptions, faults: Arc<FaultSwitch>) -> Self {
+    pub fn new(host: HostId, options: EngineOptions, faults: Arc<FaultInjector>) -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -25,7 +25,7 @@
 use wire::engine::ResumeRequest;
 
 use crate::engine::core::EngineCore;
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::EngineOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
@@ -37,7 +37,7 @@
 pub async fn run(options: EngineOptions) -> eyre::Result<()> {
     let host: HostId = options.host.parse().wrap_err("--host")?;
     let listen = options.listen;
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     let core = Arc::new(EngineCore::new(host, options, Arc::clone(&faults)));
     tokio::spawn(core::run_batch(Arc::clone(&core)));
     tokio::spawn(peers::watch_peers(Arc::clone(&core)));
@@ -100,7 +100,7 @@
 }
 
 impl StandinHandler for EngineServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
+    async fn handle(&self, request: Request<Bytes>) -> WebResponse {
         let method = request.method().clone();
         let uri = request.uri().clone();
         let body = request.into_body();
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -53,9 +53,9 @@
     pub max_reads: Option<u32>,
     /// Most writes a second; those above get 429.
     pub max_writes: Option<u32>,
-    /// Only paths that begin so are touched.
+    /// Only paths that begin so are affected.
     pub match_path: Option<String>,
-    /// Only requests whose body holds this text are touched.
+    /// Only requests whose body holds this text are affected.
     pub match_body: Option<String>,
     /// Engine: its steps take so many times as long; 0 counts as 1.
     #[builder(default)]
@@ -105,7 +105,7 @@
 
 /// What becomes of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FaultCourse {
+pub enum FaultDecision {
     /// It is run.
     Run {
         /// Wait before.
@@ -127,13 +127,13 @@
 
 /// The switches of one stand-in.
 #[derive(Debug)]
-pub struct FaultSwitch {
-    state: Mutex<SwitchState>,
+pub struct FaultInjector {
+    state: Mutex<InjectorState>,
     running: AtomicU32,
 }
 
 #[derive(Debug)]
-struct SwitchState {
+struct InjectorState {
     report: FaultReport,
     random: StdRng,
     window: Instant,
@@ -141,10 +141,10 @@
     writes: u32,
 }
 
-impl Default for FaultSwitch {
+impl Default for FaultInjector {
     fn default() -> Self {
         Self {
-            state: Mutex::new(SwitchState {
+            state: Mutex::new(InjectorState {
                 report: FaultReport::default(),
                 random: StdRng::seed_from_u64(0),
                 window: Instant::now(),
@@ -156,24 +156,24 @@
     }
 }
 
-impl FaultSwitch {
+impl FaultInjector {
     /// Requests that run now.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Counts a request that runs until [`FaultSwitch::end`].
+    /// Counts a request that runs until [`FaultInjector::end`].
     pub fn begin(&self) {
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Ends what [`FaultSwitch::begin`] counted.
+    /// Ends what [`FaultInjector::begin`] counted.
     pub fn end(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 
-    fn state(&self) -> MutexGuard<'_, SwitchState> {
+    fn state(&self) -> MutexGuard<'_, InjectorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Answers a request to [`FAULTS_PATH`].
-    pub fn answer(&self, request: &Request<Bytes>) -> WebResponse {
+    pub fn handle(&self, request: &Request<Bytes>) -> WebResponse {
         if request.method() == Method::GET {
             return json_response(StatusCode::OK, &self.state().report);
         }
@@ -199,49 +199,49 @@
     }
 
     /// Decides what becomes of a request, and counts it.
-    pub fn decide(&self, request: &Request<Bytes>) -> FaultCourse {
+    pub fn decide(&self, request: &Request<Bytes>) -> FaultDecision {
         let mut state = self.state();
         let write = request.method() != Method::GET;
-        let course = state.decide(request, write);
+        let decision = state.decide(request, write);
         let counts = &mut state.report.counts;
         if write {
             counts.writes += 1;
         } else {
             counts.reads += 1;
         }
-        match course {
-            FaultCourse::Run { lost: true, .. } => counts.lost += 1,
-            FaultCourse::Run { lost: false, .. } => {}
+        match decision {
+            FaultDecision::Run { lost: true, .. } => counts.lost += 1,
+            FaultDecision::Run { lost: false, .. } => {}
             _ => counts.unrun += 1,
         }
-        course
+        decision
     }
 }
 
-impl SwitchState {
-    fn decide(&mut self, request: &Request<Bytes>, write: bool) -> FaultCourse {
+impl InjectorState {
+    fn decide(&mut self, request: &Request<Bytes>, write: bool) -> FaultDecision {
         let throttled = self.count_rate(write);
-        if !touches(&self.report.plan, request) {
-            return run_plainly();
+        if !matches_request(&self.report.plan, request) {
+            return run_without_faults();
         }
         match self.report.plan.outage {
             OutageMode::None => {}
-            OutageMode::Refuse => return FaultCourse::Refuse,
-            OutageMode::Hang => return FaultCourse::Hang,
+            OutageMode::Refuse => return FaultDecision::Refuse,
+            OutageMode::Hang => return FaultDecision::Hang,
         }
         if throttled {
-            return FaultCourse::Throttle;
+            return FaultDecision::Throttle;
         }
         let plan = &mut self.report.plan;
-        if write && take_one(&mut plan.refuse_next) {
-            return FaultCourse::Refuse;
+        if write && decrement(&mut plan.refuse_next) {
+            return FaultDecision::Refuse;
         }
-        if write && take_one(&mut plan.drop_next) {
-            return FaultCourse::Drop;
+        if write && decrement(&mut plan.drop_next) {
+            return FaultDecision::Drop;
         }
         let share = plan.lose_share.clamp(0.0, 1.0);
-        let lost = write && (take_one(&mut plan.lose_next) || self.random.random_bool(share));
-        FaultCourse::Run {
+        let lost = write && (decrement(&mut plan.lose_next) || self.random.random_bool(share));
+        FaultDecision::Run {
             latency: Duration::from_millis(plan.latency_ms),
             answer_latency: Duration::from_millis(plan.answer_latency_ms),
             lost,
@@ -264,15 +264,15 @@
     }
 }
 
-fn run_plainly() -> FaultCourse {
-    FaultCourse::Run {
+fn run_without_faults() -> FaultDecision {
+    FaultDecision::Run {
         latency: Duration::ZERO,
         answer_latency: Duration::ZERO,
         lost: false,
     }
 }
 
-fn take_one(left: &mut u64) -> bool {
+fn decrement(left: &mut u64) -> bool {
     if *left == 0 {
         return false;
     }
@@ -280,7 +280,7 @@
     true
 }
 
-fn touches(plan: &FaultPlan, request: &Request<Bytes>) -> bool {
+fn matches_request(plan: &FaultPlan, request: &Request<Bytes>) -> bool {
     let path = plan
         .match_path
         .as_ref()
--- a/crates/standin/src/hostlist.rs
+++ b/crates/standin/src/hostlist.rs
@@ -11,11 +11,11 @@
 use web::{WebResponse, json_response, parse_json, text_response};
 use wire::hostlist::HostListBody;
 
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::HostlistOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
-const READ_PERIOD: Duration = Duration::from_millis(50);
+const READ_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the host list.
 ///
@@ -23,14 +23,14 @@
 ///
 /// When the file can't be read or the address can't be bound.
 pub async fn run(options: HostlistOptions) -> eyre::Result<()> {
-    let first = load(&options.hosts)?;
+    let first = read_list(&options.hosts)?;
     let server = Arc::new(HostListServer {
         path: options.hosts,
         lag: Duration::from_millis(options.lag_ms),
-        past: Mutex::new(VecDeque::from([(Instant::now(), first)])),
+        history: Mutex::new(VecDeque::from([(Instant::now(), first)])),
     });
     tokio::spawn(read_forever(Arc::clone(&server)));
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     serve_standin("hostlist", options.listen, server, faults).await
 }
 
@@ -39,45 +39,47 @@
 pub struct HostListServer {
     path: PathBuf,
     lag: Duration,
-    past: Mutex<VecDeque<(Instant, HostListBody)>>,
+    history: Mutex<VecDeque<(Instant, HostListBody)>>,
 }
 
 impl HostListServer {
     fn read_file(&self) {
         // A file that is just being replaced is read at the next turn.
-        let Ok(list) = load(&self.path) else { return };
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        if past.back().is_none_or(|(_, newest)| *newest != list) {
-            past.push_back((Instant::now(), list));
+        let Ok(list) = read_list(&self.path) else {
+            return;
+        };
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        if history.back().is_none_or(|(_, newest)| *newest != list) {
+            history.push_back((Instant::now(), list));
         }
     }
 
-    fn shown(&self) -> Option<HostListBody> {
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        while let Some((at, _)) = past.get(1)
+    fn delayed_list(&self) -> Option<HostListBody> {
+        let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
+        while let Some((at, _)) = history.get(1)
             && at.elapsed() >= self.lag
         {
-            past.pop_front();
+            history.pop_front();
         }
-        past.front().map(|(_, list)| list.clone())
+        history.front().map(|(_, list)| list.clone())
     }
 }
 
-fn load(path: &Path) -> eyre::Result<HostListBody> {
+fn read_list(path: &Path) -> eyre::Result<HostListBody> {
     let bytes = std::fs::read(path).wrap_err_with(|| format!("can't read {}", path.display()))?;
     parse_json(&bytes).wrap_err_with(|| format!("can't use {}", path.display()))
 }
 
 async fn read_forever(server: Arc<HostListServer>) {
     loop {
-        tokio::time::sleep(READ_PERIOD).await;
+        tokio::time::sleep(READ_INTERVAL).await;
         server.read_file();
     }
 }
 
 impl StandinHandler for HostListServer {
-    async fn answer(&self, _request: Request<Bytes>) -> WebResponse {
-        match self.shown() {
+    async fn handle(&self, _request: Request<Bytes>) -> WebResponse {
+        match self.delayed_list() {
             Some(list) => json_response(StatusCode::OK, &list),
             None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no list yet"),
         }
--- a/crates/standin/src/interrupt.rs
+++ b/crates/standin/src/interrupt.rs
@@ -4,12 +4,12 @@
 
 /// Signals that end a command in order, with everything that it started.
 #[derive(Debug)]
-pub struct StopSignals {
+pub struct ShutdownSignals {
     interrupt: tokio::signal::unix::Signal,
     terminate: tokio::signal::unix::Signal,
 }
 
-impl StopSignals {
+impl ShutdownSignals {
     /// Catches the signals from now on.
     ///
     /// # Errors
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -13,16 +13,16 @@
 use wire::caller::{ErrorBody, ExecutionState};
 use wire::service::IDEMPOTENCY_KEY_HEADER;
 
-use super::plan::{LoadPlan, LoadRequest, LoadWork};
-use crate::deployment::CallerPlan;
+use super::plan::{LoadPlan, LoadRequest, RequestKind};
+use crate::deployment::CallerConfig;
 
 /// Longest wait for the head of an answer.
 const HEAD_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Longest silence within an answer.
-const SILENCE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// What became of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,18 +39,18 @@
     /// A chat.
     Chat {
         /// How it ended.
-        end: ChatEnd,
+        status: ChatStatus,
         /// From when it was due until the first token.
-        first: Option<Duration>,
+        first_token: Option<Duration>,
         /// Between tokens.
-        gaps: Vec<Duration>,
+        token_gaps: Vec<Duration>,
     },
     /// A non-repeatable call.
     Payment {
         /// Its idempotency key.
         key: String,
         /// What the caller was told.
-        told: PaymentTold,
+        reported: ReportedExecution,
         /// From when it was due until its answer.
         time: Duration,
     },
@@ -58,20 +58,20 @@
 
 /// How a chat ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChatEnd {
+pub enum ChatStatus {
     /// Whole, with as many tokens as asked for.
-    Whole,
+    Completed,
     /// Refused without being run.
     Refused,
     /// An explicit error.
     Failed,
     /// Ended silently, or with another count of tokens: what never may be.
-    Cut,
+    Truncated,
 }
 
 /// What a caller was told of its non-repeatable call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PaymentTold {
+pub enum ReportedExecution {
     /// It was run.
     Ran,
     /// It was not run.
@@ -85,7 +85,7 @@
 pub struct LoadCaller {
     client: WebClient,
     entries: Vec<SocketAddr>,
-    callers: CallerPlan,
+    callers: CallerConfig,
     key_prefix: String,
 }
 
@@ -107,11 +107,11 @@
 
     /// Sends a request that is due at a time, and waits for its end.
     pub async fn send(&self, request: &LoadRequest, due: Instant) -> LoadOutcome {
-        let result = match &request.work {
-            LoadWork::Chat { prompt, max_tokens } => {
+        let result = match &request.kind {
+            RequestKind::Chat { prompt, max_tokens } => {
                 self.chat(request, prompt, *max_tokens, due).await
             }
-            LoadWork::Payment { body } => self.pay(request, body, due).await,
+            RequestKind::Payment { body } => self.pay(request, body, due).await,
         };
         LoadOutcome {
             customer: request.customer.name.clone(),
@@ -150,44 +150,44 @@
             "model": self.callers.model, "stream": true, "max_tokens": max_tokens,
             "messages": [{ "role": "user", "content": prompt }],
         });
-        let ended = |end| LoadResult::Chat {
-            end,
-            first: None,
-            gaps: Vec::new(),
+        let without_tokens = |status| LoadResult::Chat {
+            status,
+            first_token: None,
+            token_gaps: Vec::new(),
         };
         let answer = match self
             .open(request, "/v1/chat/completions", None, &body)
             .await
         {
             Ok(answer) => answer,
-            Err(error) if error.is_unsent() => return ended(ChatEnd::Refused),
-            Err(_) => return ended(ChatEnd::Failed),
+            Err(error) if error.is_unsent() => return without_tokens(ChatStatus::Refused),
+            Err(_) => return without_tokens(ChatStatus::Failed),
         };
         if answer.status().is_success() {
             return read_chat(answer.into_body(), max_tokens, due).await;
         }
         match read_execution(answer.into_body()).await {
-            Some(ExecutionState::NotRun) => ended(ChatEnd::Refused),
-            _ => ended(ChatEnd::Failed),
+            Some(ExecutionState::NotRun) => without_tokens(ChatStatus::Refused),
+            _ => without_tokens(ChatStatus::Failed),
         }
     }
 
     async fn pay(&self, request: &LoadRequest, body: &Value, due: Instant) -> LoadResult {
         let key = format!("{}-{}", self.key_prefix, request.number);
         let path = self.callers.non_repeatable_path();
-        let told = match self.open(request, &path, Some(&key), body).await {
-            Ok(answer) if answer.status().is_success() => PaymentTold::Ran,
+        let reported = match self.open(request, &path, Some(&key), body).await {
+            Ok(answer) if answer.status().is_success() => ReportedExecution::Ran,
             Ok(answer) => match read_execution(answer.into_body()).await {
-                Some(ExecutionState::Ran) => PaymentTold::Ran,
-                Some(ExecutionState::NotRun) => PaymentTold::NotRun,
-                Some(ExecutionState::Unknown) | None => PaymentTold::Unknown,
+                Some(ExecutionState::Ran) => ReportedExecution::Ran,
+                Some(ExecutionState::NotRun) => ReportedExecution::NotRun,
+                Some(ExecutionState::Unknown) | None => ReportedExecution::Unknown,
             },
-            Err(error) if error.is_unsent() => PaymentTold::NotRun,
-            Err(_) => PaymentTold::Unknown,
+            Err(error) if error.is_unsent() => ReportedExecution::NotRun,
+            Err(_) => ReportedExecution::Unknown,
         };
         LoadResult::Payment {
             key,
-            told,
+            reported,
             time: due.elapsed(),
         }
     }
@@ -214,7 +214,7 @@
 }
 
 async fn read_execution(body: Incoming) -> Option<ExecutionState> {
-    let bytes = read_body(body, MAX_ANSWER).await.ok()?;
+    let bytes = read_body(body, MAX_RESPONSE_BYTES).await.ok()?;
     let error: ErrorBody = serde_json::from_slice(&bytes).ok()?;
     Some(error.error.execution)
 }
@@ -225,8 +225,8 @@
     let mut first = None;
     let mut gaps = Vec::new();
     let mut last = due;
-    let mut end = ChatEnd::Cut;
-    while let Ok(Some(Ok(frame))) = tokio::time::timeout(SILENCE_LIMIT, body.frame()).await {
+    let mut status = ChatStatus::Truncated;
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE_TIMEOUT, body.frame()).await {
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -234,7 +234,7 @@
         while let Some(length) = buffer.iter().position(|byte| *byte == b'\n') {
             let line = buffer.split_to(length);
             buffer.advance(1);
-            match judge_line(&line) {
+            match parse_chat_line(&line) {
                 ChatLine::Token => {
                     let now = Instant::now();
                     if first.is_none() {
@@ -244,17 +244,21 @@
                     }
                     last = now;
                 }
-                ChatLine::Done => end = ChatEnd::Whole,
-                ChatLine::Error => end = ChatEnd::Failed,
+                ChatLine::Done => status = ChatStatus::Completed,
+                ChatLine::Error => status = ChatStatus::Failed,
                 ChatLine::Other => {}
             }
         }
     }
     let tokens = gaps.len() + usize::from(first.is_some());
-    if end == ChatEnd::Whole && tokens != max_tokens as usize {
-        end = ChatEnd::Cut;
+    if status == ChatStatus::Completed && tokens != max_tokens as usize {
+        status = ChatStatus::Truncated;
+    }
+    LoadResult::Chat {
+        status,
+        first_token: first,
+        token_gaps: gaps,
     }
-    LoadResult::Chat { end, first, gaps }
 }
 
 enum ChatLine {
@@ -264,7 +268,7 @@
     Other,
 }
 
-fn judge_line(line: &[u8]) -> ChatLine {
+fn parse_chat_line(line: &[u8]) -> ChatLine {
     if line == b"data: [DONE]" {
         return ChatLine::Done;
     }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,12 +1,12 @@
 //! An open-loop load tool: requests come when they come, however slow the answers are.
 //!
 //! [`plan`] decides beforehand from a seed who asks what when, [`call`] sends one request,
-//! [`tally`] counts outcomes and [`report`] shows them.
+//! [`stats`] counts outcomes and [`report`] shows them.
 
 pub mod call;
 pub mod plan;
 pub mod report;
-pub mod tally;
+pub mod stats;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -25,7 +25,7 @@
 use call::LoadCaller;
 use plan::LoadPlan;
 use report::LoadReport;
-use tally::LoadTally;
+use stats::LoadStats;
 
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(10);
 const OUTCOME_BUFFER: usize = 1_024;
@@ -36,7 +36,7 @@
 ///
 /// When no entry is known or the service does not tell its executions.
 pub async fn run(options: LoadOptions) -> eyre::Result<()> {
-    let (entries, service) = find_targets(&options)?;
+    let (entries, service) = find_addresses(&options)?;
     let plan = LoadPlan::builder()
         .deployment(options.deployment)
         .entries(entries)
@@ -66,7 +66,7 @@
     let started = Instant::now();
     let service = plan.service;
     let duration = plan.duration;
-    let mut tally = LoadTally::new(plan.late_after);
+    let mut stats = LoadStats::new(plan.late_after);
     let (sender, mut outcomes) = mpsc::channel(OUTCOME_BUFFER);
     let caller = Arc::new(LoadCaller::new(plan)?);
     tokio::spawn(async move {
@@ -82,13 +82,13 @@
         }
     });
     while let Some(outcome) = outcomes.recv().await {
-        tally.add(outcome);
+        stats.add(outcome);
     }
     if let Some(service) = service {
         let executions = read_executions(service).await?;
-        tally.reckon(&executions);
+        stats.reconcile(&executions);
     }
-    Ok(tally.report(duration))
+    Ok(stats.report(duration))
 }
 
 async fn read_executions(service: SocketAddr) -> eyre::Result<Vec<LookupBody>> {
@@ -106,19 +106,19 @@
 }
 
 /// Entries and service from the command line, else from the sheets of a kept quickstart.
-fn find_targets(options: &LoadOptions) -> eyre::Result<(Vec<SocketAddr>, Option<SocketAddr>)> {
+fn find_addresses(options: &LoadOptions) -> eyre::Result<(Vec<SocketAddr>, Option<SocketAddr>)> {
     if !options.entry.is_empty() {
         return Ok((options.entry.clone(), options.service));
     }
-    let sheet = options.folder.join("processes.json");
-    let entries = addresses_of(&sheet, "entry")
+    let file = options.folder.join("processes.json");
+    let entries = read_addresses(&file, "entry")
         .wrap_err("name --entry, or run scripts/quickstart --keep beside")?;
-    let services = addresses_of(&sheet, "service")?;
+    let services = read_addresses(&file, "service")?;
     Ok((entries, services.first().copied()))
 }
 
-fn addresses_of(sheet: &Path, role: &str) -> eyre::Result<Vec<SocketAddr>> {
-    let bytes = std::fs::read(sheet).wrap_err_with(|| format!("can't read {}", sheet.display()))?;
+fn read_addresses(file: &Path, role: &str) -> eyre::Result<Vec<SocketAddr>> {
+    let bytes = std::fs::read(file).wrap_err_with(|| format!("can't read {}", file.display()))?;
     let processes: Vec<Value> = serde_json::from_slice(&bytes)?;
     let mut addresses = Vec::new();
     for process in processes {
@@ -126,7 +126,7 @@
             continue;
         }
         let text = process["address"].as_str().unwrap_or_default();
-        addresses.push(text.parse().wrap_err("an address in the sheet")?);
+        addresses.push(text.parse().wrap_err("an address in the file")?);
     }
     Ok(addresses)
 }
--- a/crates/standin/src/load/plan.rs
+++ b/crates/standin/src/load/plan.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
 
-use crate::deployment::{CustomerPlan, Deployment};
+use crate::deployment::{CustomerConfig, Deployment};
 
 /// Share of the questions that want a long answer.
 const LONG_SHARE: f64 = 0.2;
@@ -56,14 +56,14 @@
     /// Index of the entry.
     pub entry: usize,
     /// Who sends it.
-    pub customer: CustomerPlan,
+    pub customer: CustomerConfig,
     /// What it asks for.
-    pub work: LoadWork,
+    pub kind: RequestKind,
 }
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum LoadWork {
+pub enum RequestKind {
     /// A streamed chat.
     Chat {
         /// The question.
@@ -100,13 +100,13 @@
             if at >= self.duration {
                 return Ok(requests);
             }
-            let work = if random.random_bool(self.payment_share.clamp(0.0, 1.0)) {
+            let kind = if random.random_bool(self.payment_share.clamp(0.0, 1.0)) {
                 let body = calls[random.random_range(0..calls.len())].clone();
-                LoadWork::Payment { body }
+                RequestKind::Payment { body }
             } else {
-                LoadWork::Chat {
+                RequestKind::Chat {
                     prompt: prompts[random.random_range(0..prompts.len())],
-                    max_tokens: answer_tokens(&mut random),
+                    max_tokens: choose_max_tokens(&mut random),
                 }
             };
             requests.push(LoadRequest {
@@ -114,13 +114,13 @@
                 at,
                 entry: random.random_range(0..self.entries.len()),
                 customer: choose_customer(&mut random, &customers).clone(),
-                work,
+                kind,
             });
         }
     }
 }
 
-fn answer_tokens(random: &mut StdRng) -> u32 {
+fn choose_max_tokens(random: &mut StdRng) -> u32 {
     if random.random_bool(LONG_SHARE) {
         random.random_range(LONG_TOKENS)
     } else {
@@ -130,8 +130,8 @@
 
 fn choose_customer<'plan>(
     random: &mut StdRng,
-    customers: &'plan [CustomerPlan],
-) -> &'plan CustomerPlan {
+    customers: &'plan [CustomerConfig],
+) -> &'plan CustomerConfig {
     let total: u32 = customers.iter().map(|customer| customer.weight).sum();
     let mut left = random.random_range(0..total.max(1));
     for customer in customers {
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::call::ChatEnd;
+use super::call::ChatStatus;
 
 /// What a load showed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -48,22 +48,22 @@
 
 impl ChatCounts {
     /// Counts one chat.
-    pub fn add(&mut self, end: ChatEnd, late: bool, tokens: usize) {
+    pub fn add(&mut self, status: ChatStatus, late: bool, tokens: usize) {
         self.offered += 1;
         self.tokens += tokens as u64;
-        match end {
-            ChatEnd::Whole => {
+        match status {
+            ChatStatus::Completed => {
                 self.whole += 1;
                 self.late += u64::from(late);
             }
-            ChatEnd::Refused => self.refused += 1,
-            ChatEnd::Failed => self.failed += 1,
-            ChatEnd::Cut => self.cut += 1,
+            ChatStatus::Refused => self.refused += 1,
+            ChatStatus::Failed => self.failed += 1,
+            ChatStatus::Truncated => self.cut += 1,
         }
     }
 }
 
-/// Non-repeatable calls by what callers were told, reckoned with what the service ran.
+/// Non-repeatable calls by what callers were told, reconciled with what the service ran.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PaymentCounts {
     /// Sent.
--- a/crates/standin/src/load/tally.rs
+++ b/crates/standin/src/load/stats.rs
@@ -6,18 +6,18 @@
 use hdrhistogram::Histogram;
 use wire::service::LookupBody;
 
-use super::call::{LoadOutcome, LoadResult, PaymentTold};
+use super::call::{LoadOutcome, LoadResult, ReportedExecution};
 use super::report::{ChatCounts, LoadReport, PaymentCounts, TimeSummary};
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Longest time of the histograms in microseconds; a longer one counts as this.
-const LONGEST_MICROS: u64 = 600_000_000;
+const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
 /// Outcomes so far.
 #[derive(Debug)]
-pub struct LoadTally {
+pub struct LoadStats {
     late_after: Duration,
     chats: ChatCounts,
     customers: BTreeMap<String, ChatCounts>,
@@ -25,10 +25,10 @@
     gaps: Histogram<u64>,
     payment_times: Histogram<u64>,
     payments: PaymentCounts,
-    told: BTreeMap<String, PaymentTold>,
+    reported: BTreeMap<String, ReportedExecution>,
 }
 
-impl LoadTally {
+impl LoadStats {
     /// Nothing yet; a first token after `late_after` counts as late.
     ///
     /// # Panics
@@ -36,7 +36,9 @@
     /// Never: the histograms' settings are sound.
     #[must_use]
     pub fn new(late_after: Duration) -> Self {
-        let histogram = || Histogram::new_with_max(LONGEST_MICROS, DIGITS).expect("sound bounds");
+        let histogram = || {
+            Histogram::new_with_max(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS).expect("sound bounds")
+        };
         Self {
             late_after,
             chats: ChatCounts::default(),
@@ -45,54 +47,62 @@
             gaps: histogram(),
             payment_times: histogram(),
             payments: PaymentCounts::default(),
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
         }
     }
 
     /// Counts an outcome.
     pub fn add(&mut self, outcome: LoadOutcome) {
         match outcome.result {
-            LoadResult::Chat { end, first, gaps } => {
-                let late = first.is_some_and(|time| time > self.late_after);
-                let tokens = gaps.len() + usize::from(first.is_some());
-                self.chats.add(end, late, tokens);
+            LoadResult::Chat {
+                status,
+                first_token,
+                token_gaps,
+            } => {
+                let late = first_token.is_some_and(|time| time > self.late_after);
+                let tokens = token_gaps.len() + usize::from(first_token.is_some());
+                self.chats.add(status, late, tokens);
                 let customer = self.customers.entry(outcome.customer).or_default();
-                customer.add(end, late, tokens);
-                if let Some(time) = first {
+                customer.add(status, late, tokens);
+                if let Some(time) = first_token {
                     record(&mut self.first, time);
                 }
-                for gap in gaps {
+                for gap in token_gaps {
                     record(&mut self.gaps, gap);
                 }
             }
-            LoadResult::Payment { key, told, time } => {
+            LoadResult::Payment {
+                key,
+                reported,
+                time,
+            } => {
                 self.payments.offered += 1;
-                match told {
-                    PaymentTold::Ran => self.payments.ran += 1,
-                    PaymentTold::NotRun => self.payments.not_run += 1,
-                    PaymentTold::Unknown => self.payments.unknown += 1,
+                match reported {
+                    ReportedExecution::Ran => self.payments.ran += 1,
+                    ReportedExecution::NotRun => self.payments.not_run += 1,
+                    ReportedExecution::Unknown => self.payments.unknown += 1,
                 }
                 record(&mut self.payment_times, time);
-                self.told.insert(key, told);
+                self.reported.insert(key, reported);
             }
         }
     }
 
     /// Compares what callers were told with what the service ran.
-    pub fn reckon(&mut self, executions: &[LookupBody]) {
+    pub fn reconcile(&mut self, executions: &[LookupBody]) {
         let counts: BTreeMap<&str, u64> = executions
             .iter()
             .map(|entry| (entry.key.as_str(), entry.executions))
             .collect();
-        for (key, told) in &self.told {
+        for (key, reported) in &self.reported {
             let ran = counts.get(key.as_str()).copied().unwrap_or(0);
             if ran > 1 {
                 self.payments.doubled += 1;
             }
-            match (told, ran) {
-                (PaymentTold::Ran, 0) => self.payments.lost += 1,
-                (PaymentTold::NotRun, 1..) => self.payments.run_though_denied += 1,
-                (PaymentTold::Unknown, 1..) => self.payments.unknown_but_run += 1,
+            match (reported, ran) {
+                (ReportedExecution::Ran, 0) => self.payments.lost += 1,
+                (ReportedExecution::NotRun, 1..) => self.payments.run_though_denied += 1,
+                (ReportedExecution::Unknown, 1..) => self.payments.unknown_but_run += 1,
                 _ => {}
             }
         }
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -14,7 +14,7 @@
 
 use eyre::WrapErr;
 
-use crate::interrupt::StopSignals;
+use crate::interrupt::ShutdownSignals;
 use crate::options::MeasureOptions;
 
 /// Runs all measurements and prints them.
@@ -24,7 +24,7 @@
 /// When the product is not built beside this program, or a call fails.
 pub async fn run(options: MeasureOptions) -> eyre::Result<()> {
     let product = product_path()?;
-    let mut signals = StopSignals::catch()?;
+    let mut signals = ShutdownSignals::catch()?;
     tokio::select! {
         measured = measure(&product, options.rounds) => measured,
         () = signals.wait() => eyre::bail!("interrupted"),
@@ -43,7 +43,7 @@
 /// When the product is not built beside this program, or a call fails.
 pub async fn run_gateway(options: MeasureOptions) -> eyre::Result<()> {
     let product = product_path()?;
-    let mut signals = StopSignals::catch()?;
+    let mut signals = ShutdownSignals::catch()?;
     tokio::select! {
         measured = gateway::run(&product, options.rounds) => measured,
         () = signals.wait() => eyre::bail!("interrupted"),
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -8,7 +8,7 @@
 use web::response::bytes_response;
 use web::{WebResponse, text_response};
 
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::TableOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
@@ -19,7 +19,7 @@
 /// When the address can't be bound.
 pub async fn run(options: TableOptions) -> eyre::Result<()> {
     let server = Arc::new(ObjectServer::default());
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     serve_standin("objects", options.listen, server, faults).await
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl StandinHandler for ObjectServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
+    async fn handle(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         let Some(key) = path.strip_prefix("/objects/") else {
             return text_response(StatusCode::NOT_FOUND, "no such call");
--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::deployment::{CallerPlan, Deployment};
-use crate::interrupt::StopSignals;
+use crate::deployment::{CallerConfig, Deployment};
+use crate::interrupt::ShutdownSignals;
 use crate::options::QuickstartOptions;
 use crate::stack::{OPERATOR_KEY, StackPlan, StackProcess, TestStack};
 
@@ -55,7 +55,7 @@
 ///
 /// When the product is not built beside this program, or a call fails.
 pub async fn run(options: QuickstartOptions) -> eyre::Result<()> {
-    let mut signals = StopSignals::catch()?;
+    let mut signals = ShutdownSignals::catch()?;
     let deployment = options.deployment;
     let mut stack = tokio::select! {
         stack = start(deployment) => stack?,
@@ -107,7 +107,7 @@
 async fn try_calls(
     stack: &TestStack,
     deployment: Deployment,
-    callers: &CallerPlan,
+    callers: &CallerConfig,
 ) -> eyre::Result<()> {
     let prompts = deployment.prompts();
     let prompt = prompts.first().ok_or_eyre("no example prompt")?;
@@ -155,7 +155,7 @@
 fn write_sheets(
     folder: &Path,
     stack: &TestStack,
-    callers: &CallerPlan,
+    callers: &CallerConfig,
 ) -> eyre::Result<[PathBuf; 2]> {
     std::fs::create_dir_all(folder).wrap_err_with(|| format!("can't make {}", folder.display()))?;
     let processes = folder.join(PROCESSES);
@@ -202,7 +202,7 @@
     entries
 }
 
-fn caller_sheet(stack: &TestStack, callers: &CallerPlan) -> eyre::Result<CallerSheet> {
+fn caller_sheet(stack: &TestStack, callers: &CallerConfig) -> eyre::Result<CallerSheet> {
     let customer = callers
         .customers
         .first()
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -25,10 +25,10 @@
 use crate::options::RelayOptions;
 
 /// Longest wait for a connection on loopback.
-const CONNECT_LIMIT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Idle connections to the server.
-type LinkStore = Rc<RefCell<Vec<HttpConnection>>>;
+type ConnectionPool = Rc<RefCell<Vec<HttpConnection>>>;
 
 /// Relays until the process is ended, and says on standard output where.
 ///
@@ -48,16 +48,16 @@
 async fn relay(server: SocketAddr) -> eyre::Result<()> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     println!("relay listens on {}", listener.local_addr()?);
-    let links = LinkStore::default();
+    let pool = ConnectionPool::default();
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
-        spawn_local(serve(stream, server, Rc::clone(&links)));
+        spawn_local(serve(stream, server, Rc::clone(&pool)));
     }
 }
 
-async fn serve(stream: TcpStream, server: SocketAddr, links: LinkStore) {
-    let service = service_fn(move |request| pass_on(request, server, Rc::clone(&links)));
+async fn serve(stream: TcpStream, server: SocketAddr, pool: ConnectionPool) {
+    let service = service_fn(move |request| forward(request, server, Rc::clone(&pool)));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     // The caller sees how its connection ends.
     drop(connection.await);
@@ -72,31 +72,31 @@
     Server(#[from] ConnectionError),
 }
 
-async fn pass_on(
+async fn forward(
     request: Request<Incoming>,
     server: SocketAddr,
-    links: LinkStore,
+    pool: ConnectionPool,
 ) -> Result<Response<impl Body<Data = Bytes, Error = hyper::Error>>, RelayError> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let kept = links.borrow_mut().pop().filter(HttpConnection::is_open);
-    let mut link = match kept {
-        Some(link) => link,
-        None => HttpConnection::connect(server, CONNECT_LIMIT).await?,
+    let idle = pool.borrow_mut().pop().filter(HttpConnection::is_open);
+    let mut connection = match idle {
+        Some(connection) => connection,
+        None => HttpConnection::connect(server, CONNECT_TIMEOUT).await?,
     };
-    let answer = link
+    let answer = connection
         .send(Request::from_parts(head, Full::new(body)))
         .await?;
     let (head, body) = answer.into_parts();
-    let frames = stream::unfold(Some((body, link)), move |state| {
-        let links = Rc::clone(&links);
+    let frames = stream::unfold(Some((body, connection)), move |state| {
+        let pool = Rc::clone(&pool);
         async move {
-            let (mut body, link) = state?;
+            let (mut body, connection) = state?;
             match body.frame().await {
-                Some(Ok(frame)) => Some((Ok(data_only(frame)), Some((body, link)))),
+                Some(Ok(frame)) => Some((Ok(without_trailers(frame)), Some((body, connection)))),
                 Some(Err(error)) => Some((Err(error), None)),
                 None => {
-                    links.borrow_mut().push(link);
+                    pool.borrow_mut().push(connection);
                     None
                 }
             }
@@ -105,6 +105,6 @@
     Ok(Response::from_parts(head, StreamBody::new(frames)))
 }
 
-fn data_only(frame: Frame<Bytes>) -> Frame<Bytes> {
+fn without_trailers(frame: Frame<Bytes>) -> Frame<Bytes> {
     Frame::data(frame.into_data().unwrap_or_default())
 }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -14,20 +14,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use web::{WebResponse, read_body, text_response};
 
-use crate::faults::{FAULTS_PATH, FaultCourse, FaultSwitch};
+use crate::faults::{FAULTS_PATH, FaultDecision, FaultInjector};
 
 const MAX_REQUEST_BYTES: usize = 64 << 20;
 
 /// Answers whole requests.
 pub trait StandinHandler: Send + Sync + 'static {
     /// Answers one request; every failure is an answer too.
-    fn answer(&self, request: Request<Bytes>) -> impl Future<Output = WebResponse> + Send;
+    fn handle(&self, request: Request<Bytes>) -> impl Future<Output = WebResponse> + Send;
 }
 
 /// The connection is closed without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the answer is lost on purpose")]
-pub struct AnswerLost;
+pub struct ResponseDropped;
 
 /// Serves a stand-in until the process is interrupted, and says on standard output where.
 ///
@@ -38,7 +38,7 @@
     name: &str,
     address: Option<SocketAddr>,
     handler: Arc<H>,
-    faults: Arc<FaultSwitch>,
+    faults: Arc<FaultInjector>,
 ) -> eyre::Result<()> {
     let address = address.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
     let listener = TcpListener::bind(address)
@@ -54,7 +54,7 @@
 async fn accept_forever<H: StandinHandler>(
     listener: TcpListener,
     handler: Arc<H>,
-    faults: Arc<FaultSwitch>,
+    faults: Arc<FaultInjector>,
 ) -> eyre::Result<()> {
     loop {
         let (stream, _) = listener.accept().await?;
@@ -70,7 +70,7 @@
 async fn serve_connection<H: StandinHandler>(
     stream: TcpStream,
     handler: Arc<H>,
-    faults: Arc<FaultSwitch>,
+    faults: Arc<FaultInjector>,
 ) {
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
@@ -85,8 +85,8 @@
 async fn respond<H: StandinHandler>(
     request: Request<Incoming>,
     handler: Arc<H>,
-    faults: Arc<FaultSwitch>,
-) -> Result<WebResponse, AnswerLost> {
+    faults: Arc<FaultInjector>,
+) -> Result<WebResponse, ResponseDropped> {
     let (head, body) = request.into_parts();
     let bytes = match read_body(body, MAX_REQUEST_BYTES).await {
         Ok(bytes) => bytes,
@@ -94,17 +94,17 @@
     };
     let request = Request::from_parts(head, bytes);
     if request.uri().path() == FAULTS_PATH {
-        return Ok(faults.answer(&request));
+        return Ok(faults.handle(&request));
     }
     match faults.decide(&request) {
-        FaultCourse::Hang => std::future::pending().await,
-        FaultCourse::Drop => Err(AnswerLost),
-        FaultCourse::Refuse => Ok(text_response(
+        FaultDecision::Hang => std::future::pending().await,
+        FaultDecision::Drop => Err(ResponseDropped),
+        FaultDecision::Refuse => Ok(text_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "out of order",
         )),
-        FaultCourse::Throttle => Ok(throttled()),
-        FaultCourse::Run {
+        FaultDecision::Throttle => Ok(throttled()),
+        FaultDecision::Run {
             latency,
             answer_latency,
             lost,
@@ -114,13 +114,17 @@
             let running = tokio::spawn(async move {
                 faults.begin();
                 tokio::time::sleep(latency).await;
-                let answer = handler.answer(request).await;
+                let answer = handler.handle(request).await;
                 tokio::time::sleep(answer_latency).await;
                 faults.end();
                 answer
             });
-            let answer = running.await.map_err(|_| AnswerLost)?;
-            if lost { Err(AnswerLost) } else { Ok(answer) }
+            let answer = running.await.map_err(|_| ResponseDropped)?;
+            if lost {
+                Err(ResponseDropped)
+            } else {
+                Ok(answer)
+            }
         }
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -18,7 +18,7 @@
 use web::{WebResponse, json_response, parse_json, text_response};
 use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_KEY_HEADER, LookupBody, ServiceLoad};
 
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::ServiceOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
@@ -30,9 +30,9 @@
 ///
 /// When the book can't be opened or the address can't be bound.
 pub async fn run(options: ServiceOptions) -> eyre::Result<()> {
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     let server = Arc::new(PlainService {
-        book: Mutex::new(ExecutionBook::open(options.book.as_deref())?),
+        log: Mutex::new(ExecutionLog::open(options.book.as_deref())?),
         faults: Arc::clone(&faults),
     });
     serve_standin("service", options.listen, server, faults).await
@@ -41,27 +41,27 @@
 /// The service.
 #[derive(Debug)]
 pub struct PlainService {
-    book: Mutex<ExecutionBook>,
-    faults: Arc<FaultSwitch>,
+    log: Mutex<ExecutionLog>,
+    faults: Arc<FaultInjector>,
 }
 
 /// Executions by key. Instances of one service share them by a file, as real ones share a
 /// database: a look-up at one instance must tell what another one ran.
 #[derive(Debug)]
-struct ExecutionBook {
+struct ExecutionLog {
     file: Option<File>,
-    read_up_to: u64,
-    entries: BTreeMap<CallName, LookupBody>,
+    offset: u64,
+    entries: BTreeMap<CallId, LookupBody>,
 }
 
 /// What names a call: two customers may use the same key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct CallName {
+struct CallId {
     key: String,
     customer: Option<CustomerId>,
 }
 
-impl CallName {
+impl CallId {
     fn new(key: &str, request: &Request<Bytes>) -> Self {
         let customer = request
             .headers()
@@ -74,7 +74,7 @@
         }
     }
 
-    fn absent(&self) -> LookupBody {
+    fn never_executed(&self) -> LookupBody {
         LookupBody {
             key: self.key.clone(),
             customer: self.customer.clone(),
@@ -84,7 +84,7 @@
     }
 }
 
-impl ExecutionBook {
+impl ExecutionLog {
     fn open(path: Option<&Path>) -> eyre::Result<Self> {
         let file = match path {
             Some(path) => Some(
@@ -99,71 +99,74 @@
         };
         Ok(Self {
             file,
-            read_up_to: 0,
+            offset: 0,
             entries: BTreeMap::new(),
         })
     }
 
     /// Notes one execution. A line is one write in append mode, so lines never mix.
-    fn note(&mut self, name: CallName, answer: Value) -> std::io::Result<()> {
+    fn record(&mut self, id: CallId, answer: Value) -> std::io::Result<()> {
         let Some(file) = &mut self.file else {
-            self.count(name, answer);
+            self.count(id, answer);
             return Ok(());
         };
-        let line = format!("{}\n", json!([name, answer]));
+        let line = format!("{}\n", json!([id, answer]));
         file.write_all(line.as_bytes())
     }
 
-    fn count(&mut self, name: CallName, answer: Value) {
-        let absent = name.absent();
-        let entry = self.entries.entry(name).or_insert(absent);
+    fn count(&mut self, id: CallId, answer: Value) {
+        let entry = id.never_executed();
+        let entry = self.entries.entry(id).or_insert(entry);
         entry.executions += 1;
         entry.answer = Some(answer);
     }
 
     /// Reads what other instances noted since the last time.
-    fn catch_up(&mut self) -> std::io::Result<()> {
+    fn read_new_lines(&mut self) -> std::io::Result<()> {
         let Some(file) = &mut self.file else {
             return Ok(());
         };
         let mut text = String::new();
-        file.seek(SeekFrom::Start(self.read_up_to))?;
+        file.seek(SeekFrom::Start(self.offset))?;
         file.read_to_string(&mut text)?;
-        let whole = text.rfind('\n').map_or(0, |end| end + 1);
-        self.read_up_to += whole as u64;
-        for line in text[..whole].lines() {
-            let Ok((name, answer)) = serde_json::from_str::<(CallName, Value)>(line) else {
+        let complete = text.rfind('\n').map_or(0, |end| end + 1);
+        self.offset += complete as u64;
+        for line in text[..complete].lines() {
+            let Ok((id, answer)) = serde_json::from_str::<(CallId, Value)>(line) else {
                 continue;
             };
-            self.count(name, answer);
+            self.count(id, answer);
         }
         Ok(())
     }
 }
 
-fn broken(error: &std::io::Error) -> WebResponse {
+fn storage_error(error: &std::io::Error) -> WebResponse {
     text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string())
 }
 
 impl PlainService {
-    fn read_book<A>(&self, read: impl FnOnce(&ExecutionBook) -> A) -> std::io::Result<A> {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        book.catch_up()?;
-        Ok(read(&book))
+    fn read_log<A>(&self, read: impl FnOnce(&ExecutionLog) -> A) -> std::io::Result<A> {
+        let mut log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+        log.read_new_lines()?;
+        Ok(read(&log))
     }
 
-    fn lookup(&self, name: &CallName) -> WebResponse {
-        let found = self.read_book(|book| book.entries.get(name).cloned());
+    fn lookup(&self, id: &CallId) -> WebResponse {
+        let found = self.read_log(|log| log.entries.get(id).cloned());
         match found {
-            Ok(entry) => json_response(StatusCode::OK, &entry.unwrap_or_else(|| name.absent())),
-            Err(error) => broken(&error),
+            Ok(entry) => json_response(
+                StatusCode::OK,
+                &entry.unwrap_or_else(|| id.never_executed()),
+            ),
+            Err(error) => storage_error(&error),
         }
     }
 
     fn list(&self) -> WebResponse {
-        match self.read_book(|book| book.entries.values().cloned().collect::<Vec<_>>()) {
+        match self.read_log(|log| log.entries.values().cloned().collect::<Vec<_>>()) {
             Ok(entries) => json_response(StatusCode::OK, &entries),
-            Err(error) => broken(&error),
+            Err(error) => storage_error(&error),
         }
     }
 
@@ -175,9 +178,9 @@
         let input: Value = parse_json(request.body()).unwrap_or(Value::Null);
         let receipt = json!({ "call": path, "key": key, "input": input, "done": true });
         if let Some(key) = key {
-            let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-            if let Err(error) = book.note(CallName::new(key, request), receipt.clone()) {
-                return broken(&error);
+            let mut log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
+            if let Err(error) = log.record(CallId::new(key, request), receipt.clone()) {
+                return storage_error(&error);
             }
         }
         json_response(StatusCode::OK, &receipt)
@@ -192,10 +195,10 @@
 }
 
 impl StandinHandler for PlainService {
-    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
+    async fn handle(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         if let Some(key) = path.strip_prefix("/executions/") {
-            return self.lookup(&CallName::new(key, &request));
+            return self.lookup(&CallId::new(key, &request));
         }
         match (request.method().clone(), path.as_str()) {
             (Method::GET, "/load") => json_response(StatusCode::OK, &self.load()),
--- a/crates/standin/src/stack/mod.rs
+++ b/crates/standin/src/stack/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::SemaphorePermit;
 use web::WebClient;
 
-use crate::deployment::{CallerPlan, Deployment};
+use crate::deployment::{CallerConfig, Deployment};
 
 pub use caller::{CUSTOMER_KEY, CallerResponse};
 pub use plan::{HostPlacement, StackPlan};
@@ -71,7 +71,7 @@
     pub client: WebClient,
     places: Vec<HostPlacement>,
     deployment: Deployment,
-    callers: CallerPlan,
+    callers: CallerConfig,
     entry_domains: Vec<String>,
     settings: Map<String, Value>,
     peer_addresses: Vec<SocketAddr>,
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -13,7 +13,7 @@
     WRITE_TOKEN_HEADER,
 };
 
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::TableOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
@@ -24,7 +24,7 @@
 /// When the address can't be bound.
 pub async fn run(options: TableOptions) -> eyre::Result<()> {
     let server = Arc::new(TableServer::default());
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     serve_standin("table", options.listen, server, faults).await
 }
 
@@ -162,7 +162,7 @@
 }
 
 impl StandinHandler for TableServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
+    async fn handle(&self, request: Request<Bytes>) -> WebResponse {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         if let Some(key) = path.strip_prefix("/rows/")
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -10,7 +10,7 @@
 use web::body::channel_body;
 use web::{WebResponse, text_response};
 
-use crate::faults::FaultSwitch;
+use crate::faults::FaultInjector;
 use crate::options::WeightsOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
@@ -25,12 +25,12 @@
 pub async fn run(options: WeightsOptions) -> eyre::Result<()> {
     let server = Arc::new(WeightServer {
         bytes: options.bytes,
-        rate: Arc::new(SharedRate {
+        rate: Arc::new(RateLimiter {
             bytes_per_second: options.rate.max(1),
-            free_at: Mutex::new(Instant::now()),
+            next_free: Mutex::new(Instant::now()),
         }),
     });
-    let faults = Arc::new(FaultSwitch::default());
+    let faults = Arc::new(FaultInjector::default());
     serve_standin("weights", options.listen, server, faults).await
 }
 
@@ -38,43 +38,46 @@
 #[derive(Debug)]
 pub struct WeightServer {
     bytes: usize,
-    rate: Arc<SharedRate>,
+    rate: Arc<RateLimiter>,
 }
 
 #[derive(Debug)]
-struct SharedRate {
+struct RateLimiter {
     bytes_per_second: u32,
-    free_at: Mutex<Instant>,
+    next_free: Mutex<Instant>,
 }
 
-impl SharedRate {
+impl RateLimiter {
     /// Waits for the turn of so many bytes; turns of all downloads form one line.
-    async fn take(&self, bytes: usize) {
+    async fn acquire(&self, bytes: usize) {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         let time = Duration::from_secs_f64(f64::from(bytes) / f64::from(self.bytes_per_second));
         let until = {
-            let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
-            *free_at = (*free_at).max(Instant::now()) + time;
-            *free_at
+            let mut next_free = self
+                .next_free
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            *next_free = (*next_free).max(Instant::now()) + time;
+            *next_free
         };
         tokio::time::sleep_until(until.into()).await;
     }
 }
 
-async fn send_weights(rate: Arc<SharedRate>, mut left: usize, sender: mpsc::Sender<Bytes>) {
+async fn send_weights(rate: Arc<RateLimiter>, mut remaining: usize, sender: mpsc::Sender<Bytes>) {
     let chunk = Bytes::from(vec![0; CHUNK_BYTES]);
-    while left > 0 {
-        let piece = chunk.slice(..left.min(CHUNK_BYTES));
-        left -= piece.len();
-        rate.take(piece.len()).await;
-        if sender.send(piece).await.is_err() {
+    while remaining > 0 {
+        let part = chunk.slice(..remaining.min(CHUNK_BYTES));
+        remaining -= part.len();
+        rate.acquire(part.len()).await;
+        if sender.send(part).await.is_err() {
             return;
         }
     }
 }
 
 impl StandinHandler for WeightServer {
-    async fn answer(&self, request: Request<Bytes>) -> WebResponse {
+    async fn handle(&self, request: Request<Bytes>) -> WebResponse {
         if !request.uri().path().starts_with("/weights/") {
             return text_response(StatusCode::NOT_FOUND, "no such call");
         }
--- a/crates/standin/tests/load_plan.rs
+++ b/crates/standin/tests/load_plan.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use standin::load::call::{LoadOutcome, LoadResult, PaymentTold};
-use standin::load::plan::{LoadPlan, LoadWork};
-use standin::load::tally::LoadTally;
+use standin::load::call::{LoadOutcome, LoadResult, ReportedExecution};
+use standin::load::plan::{LoadPlan, RequestKind};
+use standin::load::stats::LoadStats;
 use wire::service::LookupBody;
 
 fn plan(seed: u64) -> LoadPlan {
@@ -32,8 +32,8 @@
         "{}",
         requests.len()
     );
-    let paying = |work: &LoadWork| matches!(work, LoadWork::Payment { .. });
-    let payments = requests.iter().filter(|one| paying(&one.work)).count();
+    let paying = |kind: &RequestKind| matches!(kind, RequestKind::Payment { .. });
+    let payments = requests.iter().filter(|one| paying(&one.kind)).count();
     assert!(payments.abs_diff(expected / 5) < 200, "{payments}");
     let largest = requests
         .iter()
@@ -43,8 +43,8 @@
 
 #[test]
 fn payments_reckoned() {
-    use PaymentTold::{NotRun, Ran, Unknown};
-    let mut tally = LoadTally::new(Duration::from_secs(1));
+    use ReportedExecution::{NotRun, Ran, Unknown};
+    let mut stats = LoadStats::new(Duration::from_secs(1));
     let cases = [
         ("fine", Ran, 1),
         ("lost", Ran, 0),
@@ -55,14 +55,14 @@
         ("unknown-too", Unknown, 0),
     ];
     let mut book = Vec::new();
-    for (key, told, executions) in cases {
+    for (key, reported, executions) in cases {
         let result = LoadResult::Payment {
             key: key.to_owned(),
-            told,
+            reported,
             time: Duration::from_millis(5),
         };
         let customer = "sandaga-traders".to_owned();
-        tally.add(LoadOutcome { customer, result });
+        stats.add(LoadOutcome { customer, result });
         if executions > 0 {
             book.push(LookupBody {
                 key: key.to_owned(),
@@ -72,8 +72,8 @@
             });
         }
     }
-    tally.reckon(&book);
-    let report = tally.report(Duration::from_secs(1));
+    stats.reconcile(&book);
+    let report = stats.report(Duration::from_secs(1));
     let counts = report.payments;
     assert_eq!((counts.offered, counts.ran), (7, 3));
     assert_eq!((counts.not_run, counts.unknown), (2, 2));
