--- a/crates/admin/src/records.rs
+++ b/crates/admin/src/records.rs
@@ -20,10 +20,10 @@
     body: &AmendRequest,
 ) -> Result<ReviewReport, FindingList> {
     let mut findings = FindingList::default();
-    let Some(frame) = &body.record else {
+    let Some(envelope) = &body.record else {
         return Ok(review_delete(view, body.kind, &body.name));
     };
-    if frame.kind != body.kind || frame.name != body.name {
+    if envelope.kind != body.kind || envelope.name != body.name {
         findings.add(
             "record",
             "kind or name differ from those of the request",
@@ -31,9 +31,9 @@
         );
         return Err(findings);
     }
-    match RecordSpec::try_from(frame.clone()) {
+    match RecordSpec::try_from(envelope.clone()) {
         Ok(record) => Ok(review_record(view, &record, None)),
-        Err(RecordError::Invalid(found)) => Err(found),
+        Err(RecordError::Invalid(invalid)) => Err(invalid),
         Err(error) => {
             findings.add(
                 "schema",
@@ -106,7 +106,7 @@
             cause,
         }) => AmendResponse::Unsettled {
             revision,
-            reason: format!("{cause}; look for token {token} in the history"),
+            reason: format!("{cause}; search the history for token {token}"),
         },
         Err(error) => AmendResponse::Unavailable {
             reason: error.to_string(),
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -23,7 +23,7 @@
     WriteBatch,
 };
 
-/// Rows a page of a scan.
+/// Number of rows per page of a scan.
 const SCAN_PAGE_ROWS: usize = 1_000;
 
 /// Delay before the next try when a 429 response has no `Retry-After` header.
--- a/crates/settings/src/catalogue/peers.rs
+++ b/crates/settings/src/catalogue/peers.rs
@@ -23,7 +23,7 @@
         "settle",
         FieldKind::Duration(SECOND, MINUTE),
         Some("12s"),
-        "Time for which a starting node must hear a majority of the members before it serves while the store is down.",
+        "Time for which a starting node must receive heartbeats from a majority of the members before it serves while the store is down.",
     ),
     field(
         "config",
--- a/src/client.rs
+++ b/src/client.rs
@@ -46,7 +46,7 @@
     /// The server at the address doesn't serve the admin API.
     #[error(
         "{0} is no admin listener. A gateway has none: its configuration is in the platform's \
-         store, and its log and its metrics address tell the rest (docs/OPERATIONS.md)"
+         store, and its state is shown in its log and at its metrics address (docs/OPERATIONS.md)"
     )]
     NotAdminListener(SocketAddr),
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -23,14 +23,14 @@
 pub struct PeerListener {
     listener: TcpListener,
     membership: SharedMembership,
-    members: MemberTableSync<NodeTable>,
+    member_sync: MemberTableSync<NodeTable>,
     config: ConfigHandle,
 }
 
 /// The running tasks of membership and links.
 pub struct PeerTasks {
     gossip: GossipState<StoreEvidence>,
-    members: MemberTableSync<NodeTable>,
+    member_sync: MemberTableSync<NodeTable>,
 }
 
 /// Timeout of announcing to peers that the node leaves.
@@ -57,7 +57,7 @@
     };
     let membership =
         SharedMembership::new(MemberState::new(local_member, settings.members.timeouts()));
-    let members = MemberTableSync::builder()
+    let member_sync = MemberTableSync::builder()
         .table(context.table.clone())
         .membership(membership.clone())
         .recorder(context.recorder.clone())
@@ -72,7 +72,7 @@
     Ok(PeerListener {
         listener,
         membership,
-        members,
+        member_sync,
         config,
     })
 }
@@ -134,9 +134,9 @@
             .settings(settings.config)
             .build();
         tokio::spawn(poll_config(poller));
-        tokio::spawn(self.members.clone().run_row_writes());
-        tokio::spawn(self.members.clone().run_heartbeats());
-        tokio::spawn(self.members.clone().run_listings());
+        tokio::spawn(self.member_sync.clone().run_row_writes());
+        tokio::spawn(self.member_sync.clone().run_heartbeats());
+        tokio::spawn(self.member_sync.clone().run_listings());
         let gossip = GossipState {
             config: self.config,
             membership: self.membership,
@@ -157,7 +157,7 @@
         }
         Ok(PeerTasks {
             gossip,
-            members: self.members,
+            member_sync: self.member_sync,
         })
     }
 }
@@ -182,7 +182,7 @@
     pub async fn leave(&self) {
         tokio::join!(
             self.gossip.announce_leave(LEAVE_TIMEOUT),
-            self.members.leave()
+            self.member_sync.leave()
         );
     }
 }
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -41,6 +41,7 @@
     totals: Arc<Mutex<DowntimeTotals>>,
 }
 
+/// Totals since the process started, and the hosts that are stranded now.
 #[derive(Debug, Default)]
 struct DowntimeTotals {
     stranded_hosts: Vec<HostId>,
