--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -46,7 +46,7 @@
         .get(&hash)
         .and_then(|name| view.customers.get(name))
         .ok_or_else(unknown)?;
-    if holds_hash(customer, &hash) {
+    if matches_stored_hash(customer, &hash) {
         return Ok(customer);
     }
     Err(unknown())
@@ -68,11 +68,11 @@
     Ok(key.trim_ascii())
 }
 
-fn holds_hash(customer: &CustomerRecord, hash: &str) -> bool {
-    let mut held = false;
+fn matches_stored_hash(customer: &CustomerRecord, hash: &str) -> bool {
+    let mut matches = false;
     for known in &customer.key_hashes {
         let known = known.to_ascii_lowercase();
-        held |= bool::from(known.as_bytes().ct_eq(hash.as_bytes()));
+        matches |= bool::from(known.as_bytes().ct_eq(hash.as_bytes()));
     }
-    held
+    matches
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -88,9 +88,9 @@
             .recorder
             .record(EventCode::RequestResumed, subject, detail);
         if let Some(target) = self.resumable_target(token)
-            && let Ok(end) = self.attempt(&target, AttemptKind::Resume, None, sink).await
+            && let Ok(result) = self.attempt(&target, AttemptKind::Resume, None, sink).await
         {
-            return end;
+            return result;
         }
         self.run_attempts(sink).await
     }
@@ -130,9 +130,9 @@
             let result = self
                 .attempt(&target, AttemptKind::Start, Some(&mut slot), sink)
                 .await;
-            slot.end(self.slot_outcome(&result));
+            slot.release(self.slot_outcome(&result));
             let error = match result {
-                Ok(end) => return end,
+                Ok(result) => return result,
                 Err(error) => error,
             };
             if let Err(error) = self.prepare_next_attempt(&error).await {
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -67,9 +67,9 @@
     pub fn new(node: &NodeId) -> Self {
         let process = rand::random::<u64>();
         // Ids are ASCII, so every byte offset is a character boundary.
-        let name = &node.as_str()[..node.as_str().len().min(MAX_NODE_ID_BYTES)];
+        let node_prefix = &node.as_str()[..node.as_str().len().min(MAX_NODE_ID_BYTES)];
         let counter = IdCounters {
-            prefix: format!("{name}.{process:016x}"),
+            prefix: format!("{node_prefix}.{process:016x}"),
             process,
             requests: AtomicU64::new(0),
             attempts: AtomicU64::new(0),
--- a/crates/entry/src/dispatch/index.rs
+++ b/crates/entry/src/dispatch/index.rs
@@ -96,10 +96,10 @@
     }
 
     fn properties(&self, replica: &ReplicaView) -> TargetProperties {
-        let near = self.local_domain.is_none() || replica.domain == self.local_domain;
+        let is_local = self.local_domain.is_none() || replica.domain == self.local_domain;
         TargetProperties {
             slots: replica.load.map_or(0, |(load, _)| load.slots),
-            round_trip: if near {
+            round_trip: if is_local {
                 Duration::ZERO
             } else {
                 CROSS_DOMAIN_ROUND_TRIP
@@ -133,7 +133,7 @@
             adapter: request.adapter.as_ref(),
         };
         let (views, limit) = (&self.views, self.max_evidence_age);
-        let fits = |key: TargetKey| {
+        let is_suitable = |key: TargetKey| {
             views.get(&key).is_some_and(|view| {
                 let version = request.version.as_ref();
                 version.is_none_or(|version| view.plan.version == *version)
@@ -144,12 +144,12 @@
             let tried = views
                 .get(&key)
                 .is_some_and(|view| request.tried.contains(&view.plan.id));
-            !tried && fits(key)
+            !tried && is_suitable(key)
         };
         let pool = &mut self.pool;
         let choice = pool
             .choose(candidates, &placement, now, untried, &mut self.rng)
-            .or_else(|| pool.choose(candidates, &placement, now, fits, &mut self.rng))?;
+            .or_else(|| pool.choose(candidates, &placement, now, is_suitable, &mut self.rng))?;
         let view = Arc::clone(views.get(&choice.target)?);
         pool.record_sent(&choice, &placement, now);
         Some((choice, view))
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -182,7 +182,7 @@
     }
 
     /// Releases the slot with the given outcome. A slot dropped without it counts as cancelled.
-    pub fn end(mut self, outcome: SlotOutcome) {
+    pub fn release(mut self, outcome: SlotOutcome) {
         self.outcome = outcome;
     }
 }
--- a/crates/entry/src/dispatch/state.rs
+++ b/crates/entry/src/dispatch/state.rs
@@ -176,11 +176,11 @@
                 outcome,
                 duration,
                 first_token,
-            } => self.end(at, &info, outcome, duration, first_token),
+            } => self.release_slot(at, &info, outcome, duration, first_token),
         }
     }
 
-    fn end(
+    fn release_slot(
         &mut self,
         at: DispatchTime,
         info: &SlotInfo,
@@ -203,13 +203,13 @@
         if outcome.outcome == AttemptOutcome::Full {
             model_queue.share.record_full(at.now);
         }
-        let work = FinishedRequest::builder()
+        let finished = FinishedRequest::builder()
             .customer(info.customer)
             .predicted_cost(info.predicted_cost)
             .actual_cost(outcome.actual_cost)
             .maybe_first_token(first_token)
             .build();
-        model_queue.queue.record_finished(at.now, work);
+        model_queue.queue.record_finished(at.now, finished);
         model_queue.dispatch_ready(&mut self.index, at, &self.events);
     }
 
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -127,13 +127,13 @@
                 .map_or_else(String::new, MessageContent::text);
             lines.push(format!("{}: {text}", message.role));
         }
-        let newer = body
+        let chat_limit = body
             .max_completion_tokens
             .map(|limit| (limit, "max_completion_tokens"));
         Ok(Self {
             model: body.model,
             prompt: lines.join("\n"),
-            max_tokens: newer.or(body.max_tokens.map(|limit| (limit, "max_tokens"))),
+            max_tokens: chat_limit.or(body.max_tokens.map(|limit| (limit, "max_tokens"))),
             seed: body.seed,
             format: ResponseFormat::Chat,
             stream: body.stream.unwrap_or(false),
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -26,9 +26,9 @@
     };
     let limit = settings.max_request_timeout();
     let seconds: Option<f64> = text.trim().parse().ok();
-    let wait = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    match wait {
-        Some(wait) if !wait.is_zero() && wait <= limit => Ok(now + wait),
+    let timeout = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    match timeout {
+        Some(timeout) if !timeout.is_zero() && timeout <= limit => Ok(now + timeout),
         _ => {
             let message = format!(
                 "must be a number of seconds greater than 0 and at most {}",
@@ -61,8 +61,8 @@
     let Some(key) = header_text(headers, IDEMPOTENCY_KEY_HEADER)? else {
         return Ok(None);
     };
-    let fits = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len());
-    if fits && key.bytes().all(|byte| byte.is_ascii_graphic()) {
+    let has_valid_length = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len());
+    if has_valid_length && key.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Ok(Some(key));
     }
     let message =
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -145,13 +145,14 @@
             }
             let started = Instant::now();
             self.record(EventCode::CallSent, call, &address.to_string());
-            let limit = self.settings.call_timeout();
-            let outcome = self.service.call(address, &call.request, limit).await;
-            let ended = match &outcome {
+            let timeout = self.settings.call_timeout();
+            let outcome = self.service.call(address, &call.request, timeout).await;
+            let call_outcome = match &outcome {
                 Ok(_) => CallOutcome::Answered,
                 Err(_) => CallOutcome::Failed,
             };
-            self.pool.record_ended(address, started.elapsed(), ended);
+            self.pool
+                .record_ended(address, started.elapsed(), call_outcome);
             match outcome {
                 Ok(response) => return SendOutcome::Answered(response),
                 Err(ServiceError::ResponseLost(error)) => {
@@ -205,9 +206,9 @@
     fn settle_later(&self, claim_key: &ClaimKey, claim: &CallClaim, state: ClaimState) {
         let ledger = self.ledger.clone();
         let (claim_key, claim) = (claim_key.clone(), claim.clone());
-        let wait = self.settings.call_timeout() + CLAIMANT_GRACE;
+        let delay = self.settings.call_timeout() + CLAIMANT_GRACE;
         tokio::spawn(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             // If the store is unavailable, the next request with this key repeats the lookup.
             let settled = ledger.settle_from_lookup(&claim_key, &claim, state).await;
             log_skipped("settle claim", settled);
@@ -225,9 +226,9 @@
             key: key.to_owned(),
             customer: call.resolved.customer.name.clone(),
         };
-        let limit = self.settings.call_timeout().min(call.remaining());
+        let timeout = self.settings.call_timeout().min(call.remaining());
         for address in &call.resolved.service.targets {
-            let Ok(found) = self.service.lookup(*address, &lookup, limit).await else {
+            let Ok(found) = self.service.lookup(*address, &lookup, timeout).await else {
                 continue;
             };
             let is_own = found.customer.as_ref() == Some(&lookup.customer);
--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -47,15 +47,16 @@
             tried.insert(address);
             number += 1;
             let started = Instant::now();
-            let limit = self.settings.call_timeout().min(call.remaining());
+            let timeout = self.settings.call_timeout().min(call.remaining());
             self.record(EventCode::CallSent, call, &address.to_string());
-            let outcome = self.service.call(address, &call.request, limit).await;
-            let ended = match &outcome {
+            let outcome = self.service.call(address, &call.request, timeout).await;
+            let call_outcome = match &outcome {
                 Ok(response) if !is_instance_failure(response.status) => CallOutcome::Answered,
                 Ok(_) | Err(_) => CallOutcome::Failed,
             };
-            self.pool.record_ended(address, started.elapsed(), ended);
-            if let (Ok(response), CallOutcome::Answered) = (&outcome, ended) {
+            self.pool
+                .record_ended(address, started.elapsed(), call_outcome);
+            if let (Ok(response), CallOutcome::Answered) = (&outcome, call_outcome) {
                 return Ok(response_from_service(response));
             }
             may_have_run |= !matches!(&outcome, Err(ServiceError::Unsent(_)));
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -50,12 +50,12 @@
     ) -> Option<SocketAddr> {
         let now = self.now();
         let mut state = self.state();
-        let known: Vec<InstanceStats> = addresses
+        let candidates: Vec<InstanceStats> = addresses
             .iter()
             .map(|address| state.instances.get(address).cloned().unwrap_or_default())
             .collect();
         let usable = |index: usize| !tried.contains(&addresses[index]);
-        let index = choose_instance(&known, now, usable, &mut rand::rng())?;
+        let index = choose_instance(&candidates, now, usable, &mut rand::rng())?;
         let address = addresses[index];
         state.instances.entry(address).or_default().record_sent();
         Some(address)
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -62,18 +62,18 @@
 impl ShutdownWatcher {
     /// Completes when a shutdown has started.
     pub async fn stopping(&mut self) {
-        self.reach(ShutdownPhase::Draining).await;
+        self.wait_until(ShutdownPhase::Draining).await;
     }
 
     /// Completes when streams must be handed over.
     pub async fn handing_over(&mut self) {
-        self.reach(ShutdownPhase::HandingOver).await;
+        self.wait_until(ShutdownPhase::HandingOver).await;
     }
 
-    async fn reach(&mut self, wanted: ShutdownPhase) {
+    async fn wait_until(&mut self, min_phase: ShutdownPhase) {
         let reached = self
             .receiver
-            .wait_for(|phase| *phase >= wanted)
+            .wait_for(|phase| *phase >= min_phase)
             .await
             .is_ok();
         if !reached {
--- a/crates/entry/src/token.rs
+++ b/crates/entry/src/token.rs
@@ -129,7 +129,7 @@
         let bytes = URL_SAFE_NO_PAD
             .decode(text)
             .map_err(|_| TokenError::Malformed)?;
-        let split = bytes
+        let prefix_len = bytes
             .len()
             .checked_sub(TAIL_BYTES)
             .ok_or(TokenError::Malformed)?;
@@ -139,11 +139,11 @@
         // The comparison is constant-time, so that its duration reveals nothing to a forger.
         mac.verify_truncated_left(signature)
             .map_err(|_| TokenError::InvalidSignature)?;
-        let (prefix, tail) = signed.split_at(split);
-        let (scope, used): (TokenScope, usize) =
+        let (prefix, tail) = signed.split_at(prefix_len);
+        let (scope, consumed): (TokenScope, usize) =
             bincode::serde::decode_from_slice(prefix, bincode::config::standard())
                 .map_err(|_| TokenError::Malformed)?;
-        if used != prefix.len() {
+        if consumed != prefix.len() {
             return Err(TokenError::Malformed);
         }
         let offset = read_offset(tail).ok_or(TokenError::Malformed)?;
--- a/crates/entry/tests/request_path/attempt_errors.rs
+++ b/crates/entry/tests/request_path/attempt_errors.rs
@@ -138,7 +138,7 @@
         .build();
     let entry = FakeEntry::start("e0", settings, FakeTable::default(), FakeService::default());
     entry.engine.script(&[EngineBehavior::StallAfter(3)]);
-    let lost = async {
+    let lose_host = async {
         while entry.engine.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -157,7 +157,7 @@
     };
     let started = Instant::now();
     let request = body(true);
-    let (response, ()) = tokio::join!(entry.post(TEXT, &[], &request), lost);
+    let (response, ()) = tokio::join!(entry.post(TEXT, &[], &request), lose_host);
     assert_eq!(streamed_text(&response.data()), response_text(TOKENS));
     assert!(
         started.elapsed() < Duration::from_mins(1),
--- a/crates/entry/tests/request_path/claimed_calls.rs
+++ b/crates/entry/tests/request_path/claimed_calls.rs
@@ -84,11 +84,11 @@
     let withholding_table = table.withholding();
     let suspended = start_entry("e0", &withholding_table, &service);
     let headers = [("idempotency-key", "k3"), ("x-request-timeout", "0.1")];
-    let late = async {
+    let late_release = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         withholding_table.release();
     };
-    let (response, ()) = tokio::join!(suspended.post(PAY, &headers, "{}"), late);
+    let (response, ()) = tokio::join!(suspended.post(PAY, &headers, "{}"), late_release);
     assert_eq!(response.error("execution"), "not_run", "{}", response.text);
     assert_eq!(service.send_count(), 0);
     let other = start_entry("e1", &table, &service);
--- a/crates/entry/tests/request_path/queue_limits.rs
+++ b/crates/entry/tests/request_path/queue_limits.rs
@@ -59,11 +59,11 @@
     let entry = FakeEntry::new();
     entry.targets.send_replace(target_view(Vec::new()));
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let back = async {
+    let recovery = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         entry.targets.send_replace(target_view(vec![replica(1)]));
     };
-    let (response, ()) = tokio::join!(entry.post(TEXT, &[], BODY), back);
+    let (response, ()) = tokio::join!(entry.post(TEXT, &[], BODY), recovery);
     assert_eq!(response.status, StatusCode::OK, "{}", response.text);
 }
 
@@ -141,13 +141,13 @@
     entry.targets.send_replace(target_view(Vec::new()));
     tokio::time::sleep(Duration::from_millis(50)).await;
     let waiting = (0..4).map(|_| entry.post(TEXT, &[], BODY));
-    let back = async {
+    let recovery = async {
         tokio::time::sleep(Duration::from_secs(2)).await;
         entry
             .targets
             .send_replace(target_view(vec![replica(1), replica(2)]));
     };
-    futures::future::join(futures::future::join_all(waiting), back).await;
+    futures::future::join(futures::future::join_all(waiting), recovery).await;
     let long = r#"{"model": "help", "prompt": "p", "max_tokens": 2000}"#;
     let calls = (0..20).map(|_| entry.post(TEXT, &[], long));
     for response in futures::future::join_all(calls).await {
