--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Request path of an entry: from a client's HTTP request to a target and back.
+//! Request path of an entry: from a client request to a target and back.
 
 pub mod attempt;
 pub mod auth;
