--- a/crates/web/src/tls.rs
+++ b/crates/web/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS on a listener, from files that may be replaced while it serves.
+//! TLS for listeners, with certificate files that can be replaced without a restart.
 
 use std::path::PathBuf;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -8,35 +8,35 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use tokio_rustls::TlsAcceptor;
 
-/// Protocols that are offered, the preferred one first.
-const PROTOCOLS: [&[u8]; 2] = [b"h2", b"http/1.1"];
+/// ALPN protocols in order of preference.
+const ALPN_PROTOCOLS: [&[u8]; 2] = [b"h2", b"http/1.1"];
 
-/// Where a certificate and its key are, both as PEM.
+/// Paths of a certificate and its private key, both in PEM format.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The certificate, followed by those between it and its root.
+    /// Certificate chain: the server's certificate, followed by the intermediate ones.
     pub certificate: PathBuf,
-    /// The private key.
+    /// Private key of the server's certificate.
     pub key: PathBuf,
 }
 
-/// Why a certificate can't be used.
+/// Why a certificate or its key can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file can't be read or is no PEM.
-    #[error("{path} can't be used: {problem}")]
+    /// A file can't be read or is not in PEM format.
+    #[error("failed to load {path}: {problem}")]
     File {
-        /// The path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Description of the error.
         problem: String,
     },
-    /// Certificate and key don't belong together.
+    /// The key is unsupported or does not match the certificate.
     #[error("certificate and key can't be used together: {0}")]
     InvalidPair(String),
 }
 
-/// The certificate in use. Clones share it.
+/// The TLS configuration of a listener, which can be reloaded from its files. Clones share it.
 #[derive(Debug, Clone)]
 pub struct ReloadableTlsConfig {
     inner: Arc<SharedTlsConfig>,
@@ -56,11 +56,11 @@
 }
 
 impl ReloadableTlsConfig {
-    /// Loads a certificate.
+    /// Loads the certificate and the key.
     ///
     /// # Errors
     ///
-    /// [`TlsError`].
+    /// [`TlsError`] if a file can't be read, or if certificate and key don't match.
     pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
         let current = RwLock::new(load_certificate(&files)?);
         Ok(Self {
@@ -68,29 +68,29 @@
         })
     }
 
-    /// Loads the files again; returns whether they changed.
+    /// Reloads the files and returns whether they changed.
     ///
-    /// While files are being replaced they may be broken or not belong together for a moment. The
-    /// certificate in use then stays, or every new caller would be turned away.
+    /// While the files are being replaced, they may be incomplete or not match for a moment. The
+    /// certificate in use is kept then, because otherwise all new connections would fail.
     ///
     /// # Errors
     ///
-    /// [`TlsError`]; the certificate in use stays.
+    /// [`TlsError`]; the certificate in use is kept.
     pub fn reload(&self) -> Result<bool, TlsError> {
-        let pair = load_certificate(&self.inner.files)?;
+        let loaded = load_certificate(&self.inner.files)?;
         let mut current = self
             .inner
             .current
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        if pair.certificate == current.certificate && pair.key == current.key {
+        if loaded.certificate == current.certificate && loaded.key == current.key {
             return Ok(false);
         }
-        *current = pair;
+        *current = loaded;
         Ok(true)
     }
 
-    /// Accepts connections with the certificate in use now.
+    /// Returns an acceptor that uses the current certificate.
     #[must_use]
     pub fn acceptor(&self) -> TlsAcceptor {
         let current = self
@@ -112,7 +112,7 @@
     let chain: Vec<CertificateDer<'static>> = CertificateDer::pem_slice_iter(&certificate)
         .collect::<Result<_, _>>()
         .map_err(|error| file_error(&files.certificate, error.to_string()))?;
-    let private = PrivateKeyDer::from_pem_slice(&key)
+    let private_key = PrivateKeyDer::from_pem_slice(&key)
         .map_err(|error| file_error(&files.key, error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let pair_error = |error: rustls::Error| TlsError::InvalidPair(error.to_string());
@@ -120,9 +120,9 @@
         .with_safe_default_protocol_versions()
         .map_err(pair_error)?
         .with_no_client_auth()
-        .with_single_cert(chain, private)
+        .with_single_cert(chain, private_key)
         .map_err(pair_error)?;
-    config.alpn_protocols = PROTOCOLS.iter().map(|name| name.to_vec()).collect();
+    config.alpn_protocols = ALPN_PROTOCOLS.iter().map(|name| name.to_vec()).collect();
     Ok(LoadedCertificate {
         certificate,
         key,
--- a/crates/web/tests/tls_reload.rs
+++ b/crates/web/tests/tls_reload.rs
@@ -1,4 +1,4 @@
-//! A listener with TLS whose certificate is replaced while it serves.
+//! TLS listeners whose certificate files are replaced while they serve.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -16,25 +16,25 @@
     text_response,
 };
 
-const NAME: &str = "entry.test";
+const SERVER_NAME: &str = "entry.test";
 
-struct Greeter;
+struct FixedResponse;
 
-impl WebHandler for Greeter {
+impl WebHandler for FixedResponse {
     async fn handle(&self, _: WebRequest) -> WebResponse {
-        text_response(StatusCode::OK, "whole")
+        text_response(StatusCode::OK, "ok")
     }
 }
 
-struct TlsFolder {
+struct CertificateDirectory {
     path: PathBuf,
 }
 
-impl TlsFolder {
+impl CertificateDirectory {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("bramleyspring-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("created directory");
         Self { path }
     }
 
@@ -45,107 +45,114 @@
         }
     }
 
-    /// Writes a new certificate and returns it for a caller's roots.
+    /// Writes a new certificate and key, and returns the certificate for a client's root store.
     fn renew(&self) -> CertificateDer<'static> {
         let CertifiedKey { cert, signing_key } =
-            generate_simple_self_signed(vec![NAME.to_owned()]).expect("a certificate");
+            generate_simple_self_signed(vec![SERVER_NAME.to_owned()])
+                .expect("generated certificate");
         let files = self.files();
-        std::fs::write(files.certificate, cert.pem()).expect("writable");
-        std::fs::write(files.key, signing_key.serialize_pem()).expect("writable");
+        std::fs::write(files.certificate, cert.pem()).expect("file written");
+        std::fs::write(files.key, signing_key.serialize_pem()).expect("file written");
         cert.der().clone()
     }
 
-    fn spoil(file: &Path) {
-        std::fs::write(file, "-----BEGIN CERT").expect("writable");
+    fn truncate(file: &Path) {
+        std::fs::write(file, "-----BEGIN CERT").expect("file written");
     }
 }
 
-impl Drop for TlsFolder {
+impl Drop for CertificateDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.path);
     }
 }
 
-async fn start(source: &ReloadableTlsConfig) -> std::net::SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("bound");
-    let never = std::future::pending();
+async fn start_server(tls_config: &ReloadableTlsConfig) -> std::net::SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("bound listener");
+    let address = listener.local_addr().expect("local address");
+    let no_shutdown = std::future::pending();
     tokio::spawn(serve_with_acceptor(
         listener,
-        source.clone(),
-        Arc::new(Greeter),
-        never,
+        tls_config.clone(),
+        Arc::new(FixedResponse),
+        no_shutdown,
     ));
     address
 }
 
-/// Asks over TLS, trusting one certificate only; none when the handshake fails.
-async fn ask(address: std::net::SocketAddr, root: &CertificateDer<'static>) -> Option<StatusCode> {
+/// Sends a request over TLS, trusting only `root`, and returns the response status; none if the
+/// handshake fails.
+async fn request_status(
+    address: std::net::SocketAddr,
+    root: &CertificateDer<'static>,
+) -> Option<StatusCode> {
     let mut roots = RootCertStore::empty();
-    roots.add(root.clone()).expect("a root");
+    roots.add(root.clone()).expect("valid root certificate");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .expect("versions")
+        .expect("protocol versions")
         .with_root_certificates(roots)
         .with_no_client_auth();
-    let stream = TcpStream::connect(address).await.expect("connected");
-    let name = ServerName::try_from(NAME).expect("a name");
+    let stream = TcpStream::connect(address).await.expect("TCP connection");
+    let name = ServerName::try_from(SERVER_NAME).expect("valid server name");
     let stream = TlsConnector::from(Arc::new(config))
         .connect(name, stream)
         .await
         .ok()?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream));
-    let (mut sender, connection) = handshake.await.expect("HTTP");
+    let (mut sender, connection) = handshake.await.expect("HTTP handshake");
     tokio::spawn(connection);
     let request = Request::builder()
         .uri("/")
         .body(full_body(""))
-        .expect("a request");
+        .expect("valid request");
     Some(
         sender
             .send_request(request)
             .await
-            .expect("an answer")
+            .expect("response")
             .status(),
     )
 }
 
 #[tokio::test]
-async fn new_certificate_used() {
-    let folder = TlsFolder::new("tls-renewed");
-    let first = folder.renew();
-    let source = ReloadableTlsConfig::load(folder.files()).expect("a pair");
-    let address = start(&source).await;
-    assert_eq!(ask(address, &first).await, Some(StatusCode::OK));
-    assert!(!source.reload().expect("the same pair"));
-
-    let second = folder.renew();
-    assert!(source.reload().expect("another pair"));
-    assert_eq!(ask(address, &second).await, Some(StatusCode::OK));
-    assert_eq!(ask(address, &first).await, None);
+async fn reload_uses_new_certificate() {
+    let directory = CertificateDirectory::new("tls-renewed");
+    let first = directory.renew();
+    let tls_config = ReloadableTlsConfig::load(directory.files()).expect("certificate loaded");
+    let address = start_server(&tls_config).await;
+    assert_eq!(request_status(address, &first).await, Some(StatusCode::OK));
+    assert!(!tls_config.reload().expect("unchanged files"));
+
+    let second = directory.renew();
+    assert!(tls_config.reload().expect("replaced files"));
+    assert_eq!(request_status(address, &second).await, Some(StatusCode::OK));
+    assert_eq!(request_status(address, &first).await, None);
 }
 
-/// The files are replaced one after the other, and the node looks in between. Every new caller
-/// would be turned away if it took what it finds; it must stay with the certificate that it has.
+/// The files are replaced one after the other, and the node reloads them in between. If it used the
+/// incomplete files, all new connections would fail; it must keep the certificate in use.
 #[tokio::test]
-async fn broken_files_kept_out() {
-    let folder = TlsFolder::new("tls-broken");
-    let first = folder.renew();
-    let source = ReloadableTlsConfig::load(folder.files()).expect("a pair");
-    let address = start(&source).await;
-    TlsFolder::spoil(&folder.files().certificate);
-    assert!(source.reload().is_err());
-    assert_eq!(ask(address, &first).await, Some(StatusCode::OK));
+async fn reload_of_incomplete_files_keeps_certificate() {
+    let directory = CertificateDirectory::new("tls-broken");
+    let first = directory.renew();
+    let tls_config = ReloadableTlsConfig::load(directory.files()).expect("certificate loaded");
+    let address = start_server(&tls_config).await;
+    CertificateDirectory::truncate(&directory.files().certificate);
+    assert!(tls_config.reload().is_err());
+    assert_eq!(request_status(address, &first).await, Some(StatusCode::OK));
 }
 
 #[tokio::test]
-async fn foreign_key_refused() {
-    let folder = TlsFolder::new("tls-foreign");
-    folder.renew();
-    let certificate = std::fs::read(folder.files().certificate).expect("readable");
-    folder.renew();
-    std::fs::write(folder.files().certificate, certificate).expect("writable");
-    let problem = ReloadableTlsConfig::load(folder.files()).expect_err("no pair");
-    assert!(problem.to_string().contains("together"), "{problem}");
+async fn key_of_other_certificate_is_rejected() {
+    let directory = CertificateDirectory::new("tls-foreign");
+    directory.renew();
+    let certificate = std::fs::read(directory.files().certificate).expect("file read");
+    directory.renew();
+    std::fs::write(directory.files().certificate, certificate).expect("file written");
+    let error = ReloadableTlsConfig::load(directory.files()).expect_err("mismatched files");
+    assert!(error.to_string().contains("together"), "{error}");
 }
