--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -197,7 +197,7 @@
         BodyError::TooLarge(_) => {
             RequestError::not_run(ErrorCode::BodyTooLarge, message).with_param("body")
         }
-        BodyError::Broken(_) => {
+        BodyError::Incomplete(_) => {
             RequestError::not_run(ErrorCode::InvalidRequest, message).with_param("body")
         }
         BodyError::Json { place, .. } => {
--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: reading them within a limit, parsing JSON with the place of an error, streaming.
+//! Message bodies: size-limited reading, JSON parsing that reports the path of an error, streaming.
 
 use std::convert::Infallible;
 
@@ -8,35 +8,36 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-/// The body of an answer or of a client's request.
+/// Body of a server's response or a client's request.
 pub type WebBody = UnsyncBoxBody<Bytes, Infallible>;
 
-/// Why a body could not be used.
+/// Why a body could not be read or parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// The body is larger than the reader's limit.
-    #[error("the body has more than {0} bytes")]
+    /// The body exceeds the reader's limit, given in bytes.
+    #[error("the body exceeds {0} bytes")]
     TooLarge(usize),
-    /// The connection broke off inside the body.
-    #[error("the body broke off: {0}")]
-    Broken(String),
-    /// The body is no JSON of the expected shape.
+    /// The connection failed before the end of the body.
+    #[error("incomplete body: {0}")]
+    Incomplete(String),
+    /// The body is not JSON of the expected type.
     #[error("at {place}: {problem}")]
     Json {
-        /// JSON path of the error.
+        /// Path of the invalid value within the JSON document.
         place: String,
-        /// What is wrong there, with line and column.
+        /// Description of the error, with line and column.
         problem: String,
     },
 }
 
-/// A body that is there whole.
+/// Creates a body from bytes that are available at once.
 #[must_use]
 pub fn full_body(bytes: impl Into<Bytes>) -> WebBody {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// A body that is fed by a channel; it ends when the sender is dropped.
+/// Creates a body that streams the chunks sent to a channel. The body ends when the sender is
+/// dropped.
 #[must_use]
 pub fn channel_body(capacity: usize) -> (mpsc::Sender<Bytes>, WebBody) {
     let (sender, receiver) = mpsc::channel(capacity);
@@ -61,11 +62,11 @@
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// [`BodyError::TooLarge`] or [`BodyError::Broken`].
+/// [`BodyError::TooLarge`] or [`BodyError::Incomplete`].
 pub async fn read_body<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
@@ -74,15 +75,15 @@
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge(limit)),
-        Err(error) => Err(BodyError::Broken(error.to_string())),
+        Err(error) => Err(BodyError::Incomplete(error.to_string())),
     }
 }
 
-/// Parses JSON.
+/// Parses a complete JSON document.
 ///
 /// # Errors
 ///
-/// [`BodyError::Json`] with the path of the first error.
+/// [`BodyError::Json`] with the path of the first invalid value.
 pub fn parse_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BodyError> {
     let mut source = serde_json::Deserializer::from_slice(bytes);
     let value = serde_path_to_error::deserialize(&mut source).map_err(|error| BodyError::Json {
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! A client with a connection pool.
+//! HTTP client with a connection pool.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +14,34 @@
 
 use crate::body::{BodyError, WebBody, full_body, parse_json, read_body};
 
-/// Largest answer that is read whole, in bytes: a whole scan of the table at letter 1's size.
+/// Maximum size of a response body in bytes, which allows a complete scan of the table at the deployment
+/// size that the system is designed for.
 pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Longest wait for a TCP connection; a host that is gone answers nothing at all.
+/// Timeout for a TCP connection. A host that is down doesn't even refuse the connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections are closed after this time, before a server closes them under a request.
+/// Idle connections are closed after this time, before the server closes them while a request is
+/// being sent.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request brought no answer.
+/// Why a request has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The connection was never made: no byte of the request reached the server.
-    #[error("no connection to {0}")]
+    /// The connection was not established, so no byte of the request reached the server.
+    #[error("failed to connect to {0}")]
     NotConnected(SocketAddr),
-    /// The server's host refused the connection: nothing listens there.
+    /// The server's host refused the connection, so no process listens at the address.
     #[error("{0} refuses connections")]
     Refused(SocketAddr),
-    /// The request may have reached the server; no answer came in time.
-    #[error("no answer from {0} in time")]
+    /// There was no response within the timeout; the request may have reached the server.
+    #[error("{0} did not respond in time")]
     TimedOut(SocketAddr),
-    /// The request may have reached the server; the connection broke.
-    #[error("the connection to {0} broke: {1}")]
+    /// The connection failed; the request may have reached the server.
+    #[error("the connection to {0} failed: {1}")]
     Broken(SocketAddr, String),
-    /// The answer's body can't be used.
-    #[error("the answer of {0} can't be used: {1}")]
+    /// The response body is malformed.
+    #[error("invalid response from {0}: {1}")]
     InvalidResponse(SocketAddr, BodyError),
 }
 
@@ -51,16 +53,16 @@
     }
 }
 
-/// A status with its JSON body.
+/// A response with a JSON body.
 #[derive(Debug)]
 pub struct JsonResponse<T> {
-    /// The status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// The body.
+    /// Parsed body.
     pub value: T,
 }
 
-/// A client of servers on known addresses. Cheap to clone; clones share the pool.
+/// An HTTP client for servers with known addresses. Cheap to clone; clones share the connection pool.
 #[derive(Debug, Clone)]
 pub struct WebClient {
     client: Client<HttpConnector, WebBody>,
@@ -73,34 +75,34 @@
 }
 
 impl WebClient {
-    /// A client that makes a connection for each request.
+    /// Creates a client that opens a new connection for each request.
     ///
-    /// A server may close an idle connection at the moment at which a request is written to it.
-    /// The sender can't tell then whether the request was read. For a payment that doubt would
-    /// end as `unknown`, which costs the caller more than the milliseconds of a new connection.
+    /// A server may close an idle connection while a request is being written to it. The sender
+    /// can't tell then whether the server read the request. A payment would end with execution
+    /// state `unknown`, which costs the caller more than the milliseconds of a new connection.
     #[must_use]
     pub fn unpooled() -> Self {
         Self::with_idle_connections(0)
     }
 
-    fn with_idle_connections(count: usize) -> Self {
+    fn with_idle_connections(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
-            .pool_max_idle_per_host(count)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and returns the answer's head with its body still streaming.
+    /// Sends a request and returns the response as soon as its head arrives.
     ///
     /// # Errors
     ///
-    /// [`ClientError`]; `NotConnected` only when no byte can have been sent.
+    /// [`ClientError`]; [`ClientError::NotConnected`] only if no byte was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -108,7 +110,7 @@
         timeout: Duration,
     ) -> Result<Response<Incoming>, ClientError> {
         match tokio::time::timeout(timeout, self.client.request(request)).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if is_refused(&error) => Err(ClientError::Refused(address)),
             Ok(Err(error)) if error.is_connect() => Err(ClientError::NotConnected(address)),
             Ok(Err(error)) => Err(ClientError::Broken(address, error.to_string())),
@@ -116,60 +118,60 @@
         }
     }
 
-    /// Sends a JSON body, or none, and reads the whole answer as JSON.
+    /// Sends a JSON body, or none, and reads the complete response as JSON.
     ///
     /// # Errors
     ///
-    /// As [`WebClient::send`], and [`ClientError::InvalidResponse`].
-    pub async fn json<Q: Serialize, A: DeserializeOwned>(
+    /// The errors of [`WebClient::send`], and [`ClientError::InvalidResponse`].
+    pub async fn json<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
         body: Option<&Q>,
         timeout: Duration,
-    ) -> Result<JsonResponse<A>, ClientError> {
-        let call = async {
+    ) -> Result<JsonResponse<R>, ClientError> {
+        let exchange = async {
             let request = json_request(method, address, path, body)?;
-            let answer = self.send(address, request, timeout).await?;
-            let status = answer.status();
-            let bytes = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
+            let response = self.send(address, request, timeout).await?;
+            let status = response.status();
+            let bytes = read_body(response.into_body(), MAX_RESPONSE_BYTES)
                 .await
                 .map_err(|error| ClientError::Broken(address, error.to_string()))?;
             let value =
                 parse_json(&bytes).map_err(|error| ClientError::InvalidResponse(address, error))?;
             Ok(JsonResponse { status, value })
         };
-        match tokio::time::timeout(timeout, call).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(ClientError::TimedOut(address)),
         }
     }
 }
 
-/// Whether the other host itself answered that nothing listens there.
+/// Whether the server's host refused the connection.
 fn is_refused(error: &hyper_util::client::legacy::Error) -> bool {
     if !error.is_connect() {
         return false;
     }
-    let mut cause = std::error::Error::source(error);
-    while let Some(source) = cause {
+    let mut next = std::error::Error::source(error);
+    while let Some(source) = next {
         let kind = source
             .downcast_ref::<std::io::Error>()
             .map(std::io::Error::kind);
         if kind == Some(std::io::ErrorKind::ConnectionRefused) {
             return true;
         }
-        cause = source.source();
+        next = source.source();
     }
     false
 }
 
-/// Builds a request with a JSON body, or with none.
+/// Builds a request with a JSON body, or with an empty one.
 ///
 /// # Errors
 ///
-/// [`ClientError::Broken`] when the path is no URI or the value can't be written as JSON.
+/// [`ClientError::Broken`] if the path is not a valid URI or the value can't be serialized.
 pub fn json_request<Q: Serialize>(
     method: Method,
     address: SocketAddr,
--- a/crates/web/src/connection.rs
+++ b/crates/web/src/connection.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection to a server, for callers that keep their own pool.
+//! A single HTTP/1.1 connection to a server, for users that manage their own connection pool.
 //!
-//! A general pool hides which connection an answer came on, whether a request was written at all,
-//! and when a connection is dropped. Where a request must not run twice, all three matter.
+//! A general-purpose pool hides which connection a response arrived on, whether a request was written
+//! at all, and when a connection is dropped. All three matter for requests that must not run twice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,71 +15,71 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Why a connection brought no answer.
+/// Why a connection could not be established or returned no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// Nothing listens at the address.
+    /// The server's host refused the connection, so no process listens at the address.
     #[error("the connection was refused")]
     Refused,
-    /// No connection within the limit.
+    /// The connection was not established within this timeout.
     #[error("no connection within {0:?}")]
     NotConnected(Duration),
-    /// The connection had ended before a byte of the request was written.
-    #[error("the connection had ended before the request was written")]
+    /// The connection was closed before any byte of the request was written.
+    #[error("the connection was closed before the request was written")]
     Unsent,
-    /// The request may have reached the server; the connection broke.
-    #[error("the connection broke: {0}")]
+    /// The connection failed; the request may have reached the server.
+    #[error("the connection failed: {0}")]
     Broken(String),
 }
 
 impl ConnectionError {
-    /// Whether it is certain that the server did not get the request.
+    /// Whether it is certain that the server did not receive the request.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         !matches!(self, Self::Broken(_))
     }
 }
 
-/// One connection. It carries one request at a time.
+/// An open connection, which carries one request at a time.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
 }
 
 impl HttpConnection {
-    /// Connects.
+    /// Opens a connection within `timeout`.
     ///
     /// # Errors
     ///
     /// [`ConnectionError::Refused`] or [`ConnectionError::NotConnected`].
-    pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, ConnectionError> {
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectionError> {
         let connecting = TcpStream::connect(address);
-        let stream = match tokio::time::timeout(limit, connecting).await {
+        let stream = match tokio::time::timeout(timeout, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 return Err(ConnectionError::Refused);
             }
-            Ok(Err(_)) | Err(_) => return Err(ConnectionError::NotConnected(limit)),
+            Ok(Err(_)) | Err(_) => return Err(ConnectionError::NotConnected(timeout)),
         };
-        // Only a delay is lost where the option can't be set.
+        // If the option can't be set, the connection still works but may add latency.
         drop(stream.set_nodelay(true));
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| ConnectionError::NotConnected(limit))?;
+            .map_err(|_| ConnectionError::NotConnected(timeout))?;
         tokio::spawn(async move {
-            // Its end shows at the sender, with the request that it concerns.
+            // Errors of the connection are also reported to the sender of the affected request.
             drop(connection.await);
         });
         Ok(Self { sender })
     }
 
-    /// Whether the connection still stands, as far as is known.
+    /// Whether the connection is not known to be closed.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and returns the answer's head.
+    /// Sends a request and returns the response as soon as its head arrives.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
             return Err(ConnectionError::Unsent);
         }
         match self.sender.try_send_request(request).await {
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(mut error) => match error.take_message() {
                 Some(_) => Err(ConnectionError::Unsent),
                 None => Err(ConnectionError::Broken(error.into_error().to_string())),
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by servers and clients, on `hyper` on both sides.
+//! HTTP infrastructure shared by servers and clients, based on `hyper`.
 
 pub mod body;
 pub mod client;
--- a/crates/web/src/query.rs
+++ b/crates/web/src/query.rs
@@ -1,7 +1,9 @@
-//! Values of query strings.
+//! Query string parsing.
 
-/// A value of a query string, as it stands there: the protocols of this system put only names and
-/// numbers there, which need no escapes.
+/// Returns the value of a parameter in a query string.
+///
+/// Percent-encoding is not decoded, because the protocols of this system use only names and numbers
+/// as values, which need no escaping.
 #[must_use]
 pub fn query_value<'query>(query: &'query str, name: &str) -> Option<&'query str> {
     for pair in query.split('&') {
--- a/crates/web/src/response.rs
+++ b/crates/web/src/response.rs
@@ -1,14 +1,14 @@
-//! Answers of a server.
+//! Constructors for a server's responses.
 
 use http::{HeaderValue, StatusCode, header};
 use serde::Serialize;
 
 use crate::body::{WebBody, full_body};
 
-/// An answer whose body may be a stream.
+/// A response whose body may be a stream.
 pub type WebResponse = http::Response<WebBody>;
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body, or a 500 response if the value can't be serialized.
 #[must_use]
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     match serde_json::to_vec(value) {
@@ -17,7 +17,7 @@
     }
 }
 
-/// An answer with a plain text body.
+/// Builds a response with a plain text body.
 #[must_use]
 pub fn text_response(status: StatusCode, text: &str) -> WebResponse {
     bytes_response(
@@ -27,17 +27,17 @@
     )
 }
 
-/// An answer with a body of the given content type.
+/// Builds a response with a body of the given content type.
 #[must_use]
 pub fn bytes_response(
     status: StatusCode,
     content_type: &'static str,
     bytes: Vec<u8>,
 ) -> WebResponse {
-    let mut answer = http::Response::new(full_body(bytes));
-    *answer.status_mut() = status;
-    answer
+    let mut response = http::Response::new(full_body(bytes));
+    *response.status_mut() = status;
+    response
         .headers_mut()
         .insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
-    answer
+    response
 }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,4 @@
-//! A server: accepts connections and hands each request to a handler.
+//! HTTP server that accepts connections and passes each request to a handler.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,32 +19,33 @@
 use crate::response::WebResponse;
 use crate::tls::ReloadableTlsConfig;
 
-/// A request whose body is still arriving.
+/// A request whose body may not have arrived yet.
 pub type WebRequest = Request<Incoming>;
 
-/// A connection that sends no whole request head in this time is closed, so that idle half-open
-/// connections do not use up a node's file descriptors.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
+/// A connection that sends no complete request head within this time is closed, so that idle and
+/// half-open connections don't exhaust the node's file descriptors.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause after a failed accept; without it a process out of file descriptors spins.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. Without it, a process that is out of file descriptors would
+/// busy-loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers requests.
+/// Handles the requests of a server.
 pub trait WebHandler: Send + Sync + 'static {
-    /// Answers one request; every failure is an answer too.
+    /// Handles one request. Failures are returned as error responses.
     fn handle(&self, request: WebRequest) -> impl Future<Output = WebResponse> + Send;
 }
 
-/// Makes the stream that HTTP is spoken on out of a TCP connection.
+/// Turns an accepted TCP connection into the stream that carries HTTP.
 pub trait StreamAcceptor: Clone + Send + Sync + 'static {
-    /// The stream.
+    /// Stream that carries HTTP.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static;
 
-    /// Opens the stream.
+    /// Performs the handshake, if there is one, and returns the stream.
     fn accept(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 }
 
-/// Speaks HTTP on the connection itself.
+/// Serves unencrypted HTTP directly on the TCP connection.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlainAcceptor;
 
@@ -64,39 +65,41 @@
     }
 }
 
-/// Serves HTTP/1.1 and HTTP/2 until `stop` completes, then lets the running requests finish.
+/// Serves unencrypted HTTP/1.1 and HTTP/2 until `shutdown` completes, then waits for requests in
+/// progress.
 pub async fn serve_listener<H: WebHandler>(
     listener: TcpListener,
     handler: Arc<H>,
-    stop: impl Future<Output = ()> + Send,
+    shutdown: impl Future<Output = ()> + Send,
 ) {
-    serve_with_acceptor(listener, PlainAcceptor, handler, stop).await;
+    serve_with_acceptor(listener, PlainAcceptor, handler, shutdown).await;
 }
 
-/// Like [`serve_listener`], on streams that `acceptor` makes of the connections.
+/// Like [`serve_listener`], on the streams that `acceptor` returns.
 pub async fn serve_with_acceptor<H: WebHandler, A: StreamAcceptor>(
     listener: TcpListener,
     acceptor: A,
     handler: Arc<H>,
-    stop: impl Future<Output = ()> + Send,
+    shutdown: impl Future<Output = ()> + Send,
 ) {
     let graceful = GracefulShutdown::new();
-    tokio::pin!(stop);
+    tokio::pin!(shutdown);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = &mut stop => break,
+            () = &mut shutdown => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let (acceptor, handler) = (acceptor.clone(), Arc::clone(&handler));
         let watcher = graceful.watcher();
         tokio::spawn(async move {
-            // A caller that never ends its handshake would hold a file descriptor for ever.
-            let handshake = tokio::time::timeout(HEAD_TIMEOUT, acceptor.accept(stream)).await;
+            // Without a timeout, a client that never completes its handshake would hold a file descriptor
+            // forever.
+            let handshake = tokio::time::timeout(HEADER_TIMEOUT, acceptor.accept(stream)).await;
             if let Ok(Ok(stream)) = handshake {
                 serve_stream(stream, handler, watcher).await;
             }
@@ -118,7 +121,7 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT);
+        .header_read_timeout(HEADER_TIMEOUT);
     let connection = builder
         .serve_connection_with_upgrades(TokioIo::new(stream), service)
         .into_owned();
