--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -1,4 +1,4 @@
-//! Client of model engines.
+//! Client for model engines.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,67 +13,70 @@
 use web::{ClientError, WebClient, parse_json};
 use wire::engine::{EngineOrder, EngineState, ResumeRequest, StreamEvent, StreamRequest};
 
-/// Largest line of a stream, in bytes; a longer one means that the engine is broken.
+/// Maximum length of a line in a stream, in bytes. A longer line means that the engine is faulty.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Answer of an engine to an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OrderOutcome {
-    /// The engine follows it; its state now.
+    /// The engine accepted the order and reports its new state.
     Done(EngineState),
-    /// The engine refused it for its old fencing number; its state now.
+    /// The engine rejected the order because of its stale fencing token, and reports its current state.
     Fenced(EngineState),
 }
 
-/// How a stream began.
+/// Response of an engine to the start or resumption of a stream.
 #[derive(Debug)]
 pub enum StreamStart<S> {
-    /// It runs.
+    /// The engine sends the stream.
     Running(S),
-    /// The engine proved that it did not run it.
+    /// The engine rejected the request, which proves that it did not run it.
     Refused {
-        /// Whether the replica or incarnation is another; otherwise the engine is full.
+        /// Whether the engine belongs to another replica or incarnation, or no longer has the stream. If
+        /// false, it is at capacity or not ready.
         replica_changed: bool,
-        /// When to come back, where the engine said so.
+        /// Time after which to retry, if the engine specified it.
         retry_after: Option<Duration>,
     },
 }
 
 /// A stream of tokens.
 pub trait TokenStream: Send + 'static {
-    /// The next event; none at the end of the connection, with or without a final mark before.
+    /// Returns the next event; none at the end of the response, even if the engine sent no
+    /// [`StreamEvent::Done`] before.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when the connection broke, stayed silent for `silence`, or carried
-    /// something else than events.
+    /// [`ClientError`] if the connection failed, no data arrived within `idle_timeout`, or a line is
+    /// not a valid event.
     fn next_event(
         &mut self,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Option<StreamEvent>, ClientError>> + Send;
 }
 
-/// Model engines, by address.
+/// Interface to model engines, which are identified by address.
 pub trait EngineClient: Clone + Send + Sync + 'static {
-    /// A running stream.
+    /// Stream returned by `start` and `resume`.
     type Stream: TokenStream;
 
-    /// Asks an engine for its state.
+    /// Requests an engine's state.
     ///
     /// # Errors
     ///
-    /// [`ClientError`].
+    /// [`ClientError`] if there is no valid response.
     fn state(
         &self,
         address: SocketAddr,
         timeout: Duration,
     ) -> impl Future<Output = Result<EngineState, ClientError>> + Send;
 
-    /// Gives an engine an order.
+    /// Sends an order to an engine.
     ///
     /// # Errors
     ///
-    /// [`ClientError`]; the order may have been followed unless it is unsent.
+    /// [`ClientError`]; the engine may have followed the order unless
+    /// [`ClientError::is_unsent`].
     fn order(
         &self,
         address: SocketAddr,
@@ -85,32 +88,32 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError`]; the request may have run unless it is unsent.
+    /// [`ClientError`]; the engine may have run the request unless [`ClientError::is_unsent`].
     fn start(
         &self,
         address: SocketAddr,
-        order: &StreamRequest,
+        request: &StreamRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<StreamStart<Self::Stream>, ClientError>> + Send;
 
-    /// Goes on with a stream whose connection was lost, as long as the engine keeps it.
+    /// Resumes a stream whose connection was lost, while the engine retains it.
     ///
     /// # Errors
     ///
-    /// [`ClientError`]; the kept stream is then as it was.
+    /// [`ClientError`]; the retained stream is unchanged then.
     fn resume(
         &self,
         address: SocketAddr,
         attempt: &AttemptId,
-        order: ResumeRequest,
+        request: ResumeRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<StreamStart<Self::Stream>, ClientError>> + Send;
 
-    /// Cancels a stream; an unknown one is no error.
+    /// Cancels a stream. An unknown attempt is not an error.
     ///
     /// # Errors
     ///
-    /// [`ClientError`].
+    /// [`ClientError`] if there is no response.
     fn cancel(
         &self,
         address: SocketAddr,
@@ -119,14 +122,14 @@
     ) -> impl Future<Output = Result<(), ClientError>> + Send;
 }
 
-/// Engines over HTTP.
+/// [`EngineClient`] over HTTP.
 #[derive(Debug, Clone, Default)]
 pub struct HttpEngineClient {
     client: WebClient,
 }
 
 impl HttpEngineClient {
-    /// A client that shares a connection pool.
+    /// Creates a client that uses the connection pool of `client`.
     #[must_use]
     pub fn new(client: WebClient) -> Self {
         Self { client }
@@ -143,11 +146,11 @@
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<EngineState, ClientError> {
-        let answer: JsonResponse<EngineState> = self
+        let response: JsonResponse<EngineState> = self
             .client
             .json(Method::GET, address, "/state", NO_BODY, timeout)
             .await?;
-        Ok(answer.value)
+        Ok(response.value)
     }
 
     async fn order(
@@ -156,38 +159,38 @@
         order: &EngineOrder,
         timeout: Duration,
     ) -> Result<OrderOutcome, ClientError> {
-        let answer: JsonResponse<EngineState> = self
+        let response: JsonResponse<EngineState> = self
             .client
             .json(Method::POST, address, "/orders", Some(order), timeout)
             .await?;
-        if answer.status == StatusCode::CONFLICT {
-            return Ok(OrderOutcome::Fenced(answer.value));
+        if response.status == StatusCode::CONFLICT {
+            return Ok(OrderOutcome::Fenced(response.value));
         }
-        Ok(OrderOutcome::Done(answer.value))
+        Ok(OrderOutcome::Done(response.value))
     }
 
     async fn start(
         &self,
         address: SocketAddr,
-        order: &StreamRequest,
+        request: &StreamRequest,
         timeout: Duration,
     ) -> Result<StreamStart<HttpStream>, ClientError> {
-        let request = json_request(Method::POST, address, "/streams", Some(order))?;
-        let answer = self.client.send(address, request, timeout).await?;
-        stream_start(address, answer)
+        let http_request = json_request(Method::POST, address, "/streams", Some(request))?;
+        let response = self.client.send(address, http_request, timeout).await?;
+        parse_stream_start(address, response)
     }
 
     async fn resume(
         &self,
         address: SocketAddr,
         attempt: &AttemptId,
-        order: ResumeRequest,
+        request: ResumeRequest,
         timeout: Duration,
     ) -> Result<StreamStart<HttpStream>, ClientError> {
         let path = format!("/streams/{attempt}/resume");
-        let request = json_request(Method::POST, address, &path, Some(&order))?;
-        let answer = self.client.send(address, request, timeout).await?;
-        stream_start(address, answer)
+        let http_request = json_request(Method::POST, address, &path, Some(&request))?;
+        let response = self.client.send(address, http_request, timeout).await?;
+        parse_stream_start(address, response)
     }
 
     async fn cancel(
@@ -203,15 +206,15 @@
     }
 }
 
-/// Reads an engine's head of an answer. Each refusal is a proof that nothing was run.
-fn stream_start(
+/// Interprets the head of an engine's response. Every rejection proves that nothing was run.
+fn parse_stream_start(
     address: SocketAddr,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
 ) -> Result<StreamStart<HttpStream>, ClientError> {
-    match answer.status() {
+    match response.status() {
         StatusCode::OK => Ok(StreamStart::Running(HttpStream {
             address,
-            body: answer.into_body(),
+            body: response.into_body(),
             buffer: BytesMut::new(),
         })),
         StatusCode::CONFLICT | StatusCode::NOT_FOUND => Ok(StreamStart::Refused {
@@ -220,21 +223,21 @@
         }),
         StatusCode::SERVICE_UNAVAILABLE => Ok(StreamStart::Refused {
             replica_changed: false,
-            retry_after: retry_after(&answer),
+            retry_after: retry_after(&response),
         }),
         status => Err(ClientError::Broken(
             address,
-            format!("status {status} to a stream"),
+            format!("unexpected status {status} for a stream"),
         )),
     }
 }
 
-fn retry_after(answer: &Response<Incoming>) -> Option<Duration> {
-    let text = answer.headers().get(header::RETRY_AFTER)?.to_str().ok()?;
+fn retry_after(response: &Response<Incoming>) -> Option<Duration> {
+    let text = response.headers().get(header::RETRY_AFTER)?.to_str().ok()?;
     text.parse().ok().map(Duration::from_secs)
 }
 
-/// A stream over HTTP: lines of JSON. Dropping it closes the connection.
+/// A stream of newline-delimited JSON over HTTP. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct HttpStream {
     address: SocketAddr,
@@ -243,34 +246,37 @@
 }
 
 impl HttpStream {
-    fn take_line(&mut self) -> Option<Bytes> {
+    fn next_line(&mut self) -> Option<Bytes> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line = self.buffer.split_to(end).freeze();
         self.buffer.advance(1);
         Some(line)
     }
 
-    fn broken(&self, problem: impl Into<String>) -> ClientError {
-        ClientError::Broken(self.address, problem.into())
+    fn broken(&self, reason: impl Into<String>) -> ClientError {
+        ClientError::Broken(self.address, reason.into())
     }
 }
 
 impl TokenStream for HttpStream {
-    async fn next_event(&mut self, silence: Duration) -> Result<Option<StreamEvent>, ClientError> {
+    async fn next_event(
+        &mut self,
+        idle_timeout: Duration,
+    ) -> Result<Option<StreamEvent>, ClientError> {
         loop {
-            if let Some(line) = self.take_line() {
+            if let Some(line) = self.next_line() {
                 let event = parse_json(&line)
                     .map_err(|error| ClientError::InvalidResponse(self.address, error))?;
                 return Ok(Some(event));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
-                return Err(self.broken("a line without an end"));
+                return Err(self.broken("the line is too long"));
             }
-            let frame = match tokio::time::timeout(silence, self.body.frame()).await {
+            let frame = match tokio::time::timeout(idle_timeout, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return Err(self.broken(error.to_string())),
                 Ok(None) if self.buffer.is_empty() => return Ok(None),
-                Ok(None) => return Err(self.broken("the stream ended inside a line")),
+                Ok(None) => return Err(self.broken("the stream ended within a line")),
                 Err(_) => return Err(ClientError::TimedOut(self.address)),
             };
             if let Some(data) = frame.data_ref() {
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of model engines and plain services.
+//! Clients for model engines and plain services.
 
 pub mod engine;
 pub mod service;
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -1,4 +1,4 @@
-//! Client of plain services.
+//! Client for plain services.
 
 use std::fmt::Write;
 use std::future::Future;
@@ -13,68 +13,68 @@
 use web::{ClientError, WebClient, parse_json, read_body};
 use wire::service::{CUSTOMER_HEADER, IDEMPOTENCY_KEY_HEADER, LookupBody, ServiceLoad};
 
-/// Largest answer of a service, in bytes; it is kept in the ledger's row.
+/// Maximum size of a service's response in bytes. The ledger stores the response in a table row.
 pub const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
-/// A call.
+/// A call of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceRequest {
-    /// Path with its query, with a leading slash.
+    /// Path and query, with a leading slash.
     pub path: String,
-    /// Idempotency key, for calls that have one.
+    /// Idempotency key; none for calls without one.
     pub key: Option<String>,
-    /// Who calls, so that a service can tell apart the keys of two customers.
+    /// Customer on whose behalf the call is made, so that a service can separate the keys of customers.
     pub customer: CustomerId,
-    /// Content type of the body.
+    /// `Content-Type` header; none if the request had none.
     pub content_type: Option<HeaderValue>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A question whether a call ran.
+/// A query whether a call ran.
 #[derive(Debug, Clone)]
 pub struct LookupRequest {
-    /// Path of the look-up, without slashes at its ends.
+    /// Path of the service's lookup endpoint, without leading or trailing slashes.
     pub path: String,
-    /// The idempotency key: visible ASCII.
+    /// Idempotency key of the call, which consists of visible ASCII characters.
     pub key: String,
-    /// Whose key it is.
+    /// Customer that owns the key.
     pub customer: CustomerId,
 }
 
-/// Answer of a service.
+/// Response of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Content type.
+    /// `Content-Type` header, or `application/octet-stream` if it is missing or not text.
     pub content_type: String,
-    /// Body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Why a call brought no answer.
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// No byte reached the service: it truly was not run.
-    #[error("the service was not reached: {0}")]
+    /// No byte reached the service, so the call was certainly not run.
+    #[error("the service could not be reached: {0}")]
     Unsent(ClientError),
-    /// It may have been run.
-    #[error("the service's answer is lost: {0}")]
+    /// The call may have been run.
+    #[error("the service's response was lost: {0}")]
     ResponseLost(ClientError),
 }
 
-/// Plain services, by address.
+/// Interface to plain services, whose instances are identified by address.
 pub trait ServiceClient: Clone + Send + Sync + 'static {
-    /// Sends a call once.
+    /// Sends a call, at most once.
     ///
     /// # Errors
     ///
-    /// [`ServiceError`].
+    /// [`ServiceError`], which says whether the call may have been run.
     fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceRequest,
+        request: &ServiceRequest,
         timeout: Duration,
     ) -> impl Future<Output = Result<ServiceResponse, ServiceError>> + Send;
 
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError`].
+    /// [`ClientError`] if there is no valid response.
     fn lookup(
         &self,
         address: SocketAddr,
@@ -90,11 +90,11 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<LookupBody, ClientError>> + Send;
 
-    /// Asks a service for its load.
+    /// Requests the load of a service instance.
     ///
     /// # Errors
     ///
-    /// [`ClientError`].
+    /// [`ClientError`] if there is no valid response.
     fn load(
         &self,
         address: SocketAddr,
@@ -102,39 +102,43 @@
     ) -> impl Future<Output = Result<ServiceLoad, ClientError>> + Send;
 }
 
-/// Services over HTTP. Look-ups and load reports share a pool; calls never reuse a connection.
+/// [`ServiceClient`] over HTTP. Lookups and load queries use a connection pool, while every call opens
+/// a new connection; see [`WebClient::unpooled`].
 #[derive(Debug, Clone)]
 pub struct HttpServiceClient {
-    client: WebClient,
-    caller: WebClient,
+    pooled_client: WebClient,
+    unpooled_client: WebClient,
 }
 
 impl HttpServiceClient {
-    /// A client that shares a connection pool.
+    /// Creates a client that uses the connection pool of `client` for lookups and load queries.
     #[must_use]
     pub fn new(client: WebClient) -> Self {
         Self {
-            client,
-            caller: WebClient::unpooled(),
+            pooled_client: client,
+            unpooled_client: WebClient::unpooled(),
         }
     }
 
     async fn exchange(
         &self,
         address: SocketAddr,
-        order: &ServiceRequest,
+        request: &ServiceRequest,
         timeout: Duration,
     ) -> Result<ServiceResponse, ClientError> {
-        let request = call_request(address, order)?;
-        let answer = self.caller.send(address, request, timeout).await?;
-        let status = answer.status();
-        let content_type = answer
+        let http_request = call_request(address, request)?;
+        let response = self
+            .unpooled_client
+            .send(address, http_request, timeout)
+            .await?;
+        let status = response.status();
+        let content_type = response
             .headers()
             .get(header::CONTENT_TYPE)
             .and_then(|value| value.to_str().ok())
             .unwrap_or("application/octet-stream")
             .to_owned();
-        let body = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| ClientError::Broken(address, error.to_string()))?;
         Ok(ServiceResponse {
@@ -147,20 +151,20 @@
 
 fn call_request(
     address: SocketAddr,
-    order: &ServiceRequest,
+    request: &ServiceRequest,
 ) -> Result<Request<web::WebBody>, ClientError> {
     let mut builder = Request::builder()
         .method(Method::POST)
-        .uri(format!("http://{address}{}", order.path));
-    if let Some(key) = &order.key {
+        .uri(format!("http://{address}{}", request.path));
+    if let Some(key) = &request.key {
         builder = builder.header(IDEMPOTENCY_KEY_HEADER, key);
     }
-    builder = builder.header(CUSTOMER_HEADER, order.customer.as_str());
-    if let Some(content_type) = &order.content_type {
+    builder = builder.header(CUSTOMER_HEADER, request.customer.as_str());
+    if let Some(content_type) = &request.content_type {
         builder = builder.header(header::CONTENT_TYPE, content_type);
     }
     builder
-        .body(full_body(order.body.clone()))
+        .body(full_body(request.body.clone()))
         .map_err(|error| ClientError::Broken(address, error.to_string()))
 }
 
@@ -168,7 +172,7 @@
     address: SocketAddr,
     lookup: &LookupRequest,
 ) -> Result<Request<web::WebBody>, ClientError> {
-    let key = escape_key(&lookup.key);
+    let key = percent_encode_key(&lookup.key);
     Request::builder()
         .method(Method::GET)
         .uri(format!("http://{address}/{}/{key}", lookup.path))
@@ -177,12 +181,13 @@
         .map_err(|error| ClientError::Broken(address, error.to_string()))
 }
 
-/// Escapes what may not stand in a URI's path; slashes stay, as keys such as `B-14/2026-11` read.
-fn escape_key(key: &str) -> String {
+/// Percent-encodes the characters that are not allowed in a URI path. Slashes are kept, because keys
+/// such as `B-14/2026-11` contain them.
+fn percent_encode_key(key: &str) -> String {
     let mut escaped = String::with_capacity(key.len());
     for byte in key.bytes() {
-        let plain = byte.is_ascii_alphanumeric() || b"-._~/:@!$&'()*+,;=".contains(&byte);
-        if plain {
+        let is_allowed = byte.is_ascii_alphanumeric() || b"-._~/:@!$&'()*+,;=".contains(&byte);
+        if is_allowed {
             escaped.push(char::from(byte));
             continue;
         }
@@ -195,11 +200,11 @@
     async fn call(
         &self,
         address: SocketAddr,
-        order: &ServiceRequest,
+        request: &ServiceRequest,
         timeout: Duration,
     ) -> Result<ServiceResponse, ServiceError> {
-        match tokio::time::timeout(timeout, self.exchange(address, order, timeout)).await {
-            Ok(Ok(answer)) => Ok(answer),
+        match tokio::time::timeout(timeout, self.exchange(address, request, timeout)).await {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_unsent() => Err(ServiceError::Unsent(error)),
             Ok(Err(error)) => Err(ServiceError::ResponseLost(error)),
             Err(_) => Err(ServiceError::ResponseLost(ClientError::TimedOut(address))),
@@ -212,14 +217,17 @@
         lookup: &LookupRequest,
         timeout: Duration,
     ) -> Result<LookupBody, ClientError> {
-        let request = lookup_request(address, lookup)?;
-        let answer = self.client.send(address, request, timeout).await?;
-        let status = answer.status();
+        let http_request = lookup_request(address, lookup)?;
+        let response = self
+            .pooled_client
+            .send(address, http_request, timeout)
+            .await?;
+        let status = response.status();
         if status != StatusCode::OK {
-            let problem = format!("status {status} to a look-up");
+            let problem = format!("unexpected status {status} for a lookup");
             return Err(ClientError::Broken(address, problem));
         }
-        let body = read_body(answer.into_body(), MAX_RESPONSE_BYTES)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| ClientError::Broken(address, error.to_string()))?;
         parse_json(&body).map_err(|error| ClientError::InvalidResponse(address, error))
@@ -230,10 +238,10 @@
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<ServiceLoad, ClientError> {
-        let answer: JsonResponse<ServiceLoad> = self
-            .client
+        let response: JsonResponse<ServiceLoad> = self
+            .pooled_client
             .json(Method::GET, address, "/load", None::<&()>, timeout)
             .await?;
-        Ok(answer.value)
+        Ok(response.value)
     }
 }
