--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -6,7 +6,7 @@
 
 /// Prompt tokens that one step reads at most, over all streams; a long prompt thus delays the
 /// tokens of the others by a bounded time.
-pub const PREFILL_CHUNK: u64 = 512;
+pub const MAX_STEP_PREFILL_TOKENS: u64 = 512;
 
 /// What a step costs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,11 +29,11 @@
 }
 
 impl BatchStep {
-    /// Takes up to `left` prompt tokens of a stream into the step, as far as the chunk allows.
-    pub fn add_prefill(&mut self, attempt: &AttemptId, left: u64) {
-        let taken = left.min(PREFILL_CHUNK.saturating_sub(self.prompt_tokens()));
-        if taken > 0 {
-            self.prefill.push((attempt.clone(), taken));
+    /// Takes up to `remaining` prompt tokens of a stream into the step, as far as the chunk allows.
+    pub fn add_prefill(&mut self, attempt: &AttemptId, remaining: u64) {
+        let count = remaining.min(MAX_STEP_PREFILL_TOKENS.saturating_sub(self.prompt_tokens()));
+        if count > 0 {
+            self.prefill.push((attempt.clone(), count));
         }
     }
 
@@ -45,7 +45,7 @@
 
     /// Time of the step: it grows with the batch, as one step computes every stream's token.
     #[must_use]
-    pub fn time(&self, costs: &StepCosts) -> Duration {
+    pub fn duration(&self, costs: &StepCosts) -> Duration {
         let streams = u32::try_from(self.decode.len()).unwrap_or(u32::MAX);
         let prompt = u32::try_from(self.prompt_tokens()).unwrap_or(u32::MAX);
         costs.step + costs.stream * streams + costs.prompt_token * prompt
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -6,10 +6,10 @@
 use wire::engine::{CacheEvent, CachePage};
 
 /// Events that are kept; older ones are a gap too.
-const KEPT_EVENTS: usize = 4_096;
+const MAX_EVENTS: usize = 4_096;
 
 /// Every event with a number divisible by this is lost.
-const LOST_EVERY: u64 = 17;
+const LOST_EVENT_INTERVAL: u64 = 17;
 
 /// The cache: least recently used blocks leave first.
 #[derive(Debug)]
@@ -17,8 +17,8 @@
     capacity: usize,
     lag: Duration,
     clock: u64,
-    used: HashMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_use: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     next_event: u64,
     events: VecDeque<(Instant, CacheEvent)>,
 }
@@ -31,18 +31,18 @@
             capacity,
             lag,
             clock: 0,
-            used: HashMap::new(),
-            by_use: BTreeMap::new(),
+            last_use: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             next_event: 1,
             events: VecDeque::new(),
         }
     }
 
     /// Blocks at the start of the prompt that the cache holds.
-    pub fn find(&mut self, hashes: &[u64]) -> usize {
+    pub fn count_cached(&mut self, hashes: &[u64]) -> usize {
         let mut found = 0;
         for hash in hashes {
-            if !self.used.contains_key(hash) {
+            if !self.last_use.contains_key(hash) {
                 break;
             }
             self.touch(*hash);
@@ -52,34 +52,34 @@
     }
 
     /// Keeps a prompt's blocks.
-    pub fn store(&mut self, hashes: &[u64], now: Instant) {
+    pub fn insert(&mut self, hashes: &[u64], now: Instant) {
         for hash in hashes {
-            if !self.used.contains_key(hash) {
+            if !self.last_use.contains_key(hash) {
                 self.publish(*hash, true, now);
             }
             self.touch(*hash);
         }
-        while self.used.len() > self.capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+        while self.last_use.len() > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&oldest);
+            self.last_use.remove(&oldest);
             self.publish(oldest, false, now);
         }
     }
 
     fn touch(&mut self, hash: u64) {
         self.clock += 1;
-        if let Some(before) = self.used.insert(hash, self.clock) {
-            self.by_use.remove(&before);
+        if let Some(previous) = self.last_use.insert(hash, self.clock) {
+            self.by_last_use.remove(&previous);
         }
-        self.by_use.insert(self.clock, hash);
+        self.by_last_use.insert(self.clock, hash);
     }
 
     fn publish(&mut self, prefix: u64, stored: bool, now: Instant) {
         let number = self.next_event;
         self.next_event += 1;
-        if number.is_multiple_of(LOST_EVERY) {
+        if number.is_multiple_of(LOST_EVENT_INTERVAL) {
             return;
         }
         let event = CacheEvent {
@@ -88,7 +88,7 @@
             stored,
         };
         self.events.push_back((now, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -12,15 +12,15 @@
 
 use super::batch::StepCosts;
 use super::cache::PrefixCache;
+use super::delayed_load::DelayedLoad;
 use super::health::PeerHealth;
-use super::loading::{LoadNeed, LoadedWeights, load, load_need};
+use super::loading::{LoadScope, LoadedWeights, load, load_scope};
 use super::pool::{KvCache, StreamPool};
-use super::report::LoadReport;
 use crate::faults::{FaultInjector, OutageMode};
 use crate::options::EngineOptions;
 
 /// Pause of a batch that can't step.
-const STALL_PAUSE: Duration = Duration::from_millis(20);
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An engine.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     ready: bool,
     peers: PeerHealth,
     pool: StreamPool,
-    report: LoadReport,
+    reported_load: DelayedLoad,
 }
 
 impl EngineCore {
@@ -70,9 +70,9 @@
             highest_epoch: LeaseEpoch::default(),
             loaded: None,
             ready: false,
-            peers: PeerHealth::Whole,
+            peers: PeerHealth::AllReady,
             pool,
-            report: LoadReport::new(Duration::from_millis(options.report_lag_ms)),
+            reported_load: DelayedLoad::new(Duration::from_millis(options.report_lag_ms)),
         };
         Self {
             options,
@@ -95,33 +95,33 @@
         let now = Instant::now();
         let mut inner = self.inner();
         let load = inner.pool.load();
-        inner.report.note(load, now);
+        inner.reported_load.record(load, now);
         EngineState {
             host: self.host.clone(),
             boot: self.boot,
             assignment: inner.assignment.clone(),
-            ready: inner.ready && !self.lost_peer(&inner),
+            ready: inner.ready && !self.has_lost_peer(&inner),
             leaving: self.faults.plan().leaving,
-            load: inner.report.shown(now),
+            load: inner.reported_load.current(now),
         }
     }
 
     /// Whether the engine itself has noticed that a peer is gone.
-    fn lost_peer(&self, inner: &EngineInner) -> bool {
+    fn has_lost_peer(&self, inner: &EngineInner) -> bool {
         let limit = Duration::from_millis(self.options.peer_loss_ms);
-        matches!(inner.peers, PeerHealth::Gone(since) if since.elapsed() >= limit)
+        matches!(inner.peers, PeerHealth::Lost(since) if since.elapsed() >= limit)
     }
 
     /// Its assignment, when it is rank 0 of it.
     #[must_use]
-    pub fn leading(&self) -> Option<EngineAssignment> {
+    pub fn leader_assignment(&self) -> Option<EngineAssignment> {
         let assignment = self.inner().assignment.clone()?;
         (assignment.rank == 0).then_some(assignment)
     }
 
     /// Notes its peers' health, unless the assignment is another by now; ends the streams once
     /// a peer has been gone for long.
-    pub fn note_peers(
+    pub fn update_peers(
         &self,
         assignment: &EngineAssignment,
         change: impl FnOnce(PeerHealth) -> PeerHealth,
@@ -131,7 +131,7 @@
             return;
         }
         inner.peers = change(inner.peers);
-        if self.lost_peer(&inner) {
+        if self.has_lost_peer(&inner) {
             inner
                 .pool
                 .fail_all("a host of the replica is gone", Instant::now());
@@ -152,25 +152,25 @@
     }
 
     /// Starts a stream.
-    pub fn start(&self, order: StreamRequest) -> WebResponse {
+    pub fn start(&self, request: StreamRequest) -> WebResponse {
         let now = Instant::now();
         let mut inner = self.inner();
-        let meant = inner.assignment.as_ref().is_some_and(|assignment| {
-            assignment.replica == order.replica
-                && assignment.incarnation == order.incarnation
+        let addressed = inner.assignment.as_ref().is_some_and(|assignment| {
+            assignment.replica == request.replica
+                && assignment.incarnation == request.incarnation
                 && assignment.rank == 0
         });
-        if !meant {
+        if !addressed {
             return text_response(StatusCode::CONFLICT, "another replica or incarnation");
         }
-        if !inner.ready || self.lost_peer(&inner) {
-            return busy("not ready");
+        if !inner.ready || self.has_lost_peer(&inner) {
+            return unavailable("not ready");
         }
         if inner.pool.is_full() {
-            return busy("the queue is full");
+            return unavailable("the queue is full");
         }
-        let attempt = order.attempt.clone();
-        let answer = inner.pool.start(order, now);
+        let attempt = request.attempt.clone();
+        let answer = inner.pool.start(request, now);
         if self.faults.plan().fail_streams {
             inner.pool.fail(&attempt, "fails on purpose", now);
         }
@@ -229,7 +229,7 @@
     }
 }
 
-fn busy(text: &str) -> WebResponse {
+fn unavailable(text: &str) -> WebResponse {
     let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
     answer
         .headers_mut()
@@ -238,7 +238,7 @@
 }
 
 /// Follows an order; loading goes on behind the answer.
-pub fn follow(core: &Arc<EngineCore>, order: EngineOrder) -> WebResponse {
+pub fn apply_order(core: &Arc<EngineCore>, order: EngineOrder) -> WebResponse {
     let mut inner = core.inner();
     if core.options.fencing && order.epoch < inner.highest_epoch {
         drop(inner);
@@ -257,14 +257,14 @@
     if let Some(wanted) = order.assignment
         && before.as_ref() != Some(&wanted)
     {
-        let need = load_need(loaded.as_ref(), before.as_ref(), &wanted);
+        let scope = load_scope(loaded.as_ref(), before.as_ref(), &wanted);
         let instant = core.options.load_ms == 0 && core.options.weights.is_none();
-        if need == LoadNeed::Nothing || instant {
+        if scope == LoadScope::Nothing || instant {
             core.finish_load(&wanted);
         } else {
             let core = Arc::clone(core);
             tokio::spawn(async move {
-                load(&core.client, &core.options, &wanted, need).await;
+                load(&core.client, &core.options, &wanted, scope).await;
                 core.finish_load(&wanted);
             });
         }
@@ -281,20 +281,20 @@
             core.wake.notified().await;
         }
         let plan = core.faults.plan();
-        let stalled = core.inner().peers != PeerHealth::Whole;
+        let stalled = core.inner().peers != PeerHealth::AllReady;
         if plan.outage == OutageMode::Hang || stalled {
-            tokio::time::sleep(STALL_PAUSE).await;
+            tokio::time::sleep(STALL_POLL_INTERVAL).await;
             continue;
         }
         let step = core.inner().pool.plan();
-        let time = step.time(&costs).mul_f64(plan.slow_factor.max(1.0));
+        let time = step.duration(&costs).mul_f64(plan.slow_factor.max(1.0));
         tokio::time::sleep(time).await;
         let now = Instant::now();
         let mut inner = core.inner();
-        if inner.peers == PeerHealth::Whole {
+        if inner.peers == PeerHealth::AllReady {
             inner.pool.apply(&step, time, now);
         }
         let load = inner.pool.load();
-        inner.report.note(load, now);
+        inner.reported_load.record(load, now);
     }
 }
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/delayed_load.rs
@@ -6,16 +6,16 @@
 use wire::engine::EngineLoad;
 
 /// Samples within one lag.
-const SAMPLES: u32 = 8;
+const SAMPLES_PER_LAG: u32 = 8;
 
 /// The load of a while ago.
 #[derive(Debug)]
-pub struct LoadReport {
+pub struct DelayedLoad {
     lag: Duration,
     samples: VecDeque<(Instant, EngineLoad)>,
 }
 
-impl LoadReport {
+impl DelayedLoad {
     /// A report with a lag.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
@@ -26,12 +26,12 @@
     }
 
     /// Notes the load of now.
-    pub fn note(&mut self, load: EngineLoad, now: Instant) {
-        let fresh = self
+    pub fn record(&mut self, load: EngineLoad, now: Instant) {
+        let sampled_recently = self
             .samples
             .back()
-            .is_some_and(|(at, _)| now.duration_since(*at) < self.lag / SAMPLES);
-        if !fresh {
+            .is_some_and(|(at, _)| now.duration_since(*at) < self.lag / SAMPLES_PER_LAG);
+        if !sampled_recently {
             self.samples.push_back((now, load));
         }
         while let Some((at, _)) = self.samples.get(1)
@@ -43,7 +43,7 @@
 
     /// The load that is reported now, with its age.
     #[must_use]
-    pub fn shown(&self, now: Instant) -> EngineLoad {
+    pub fn current(&self, now: Instant) -> EngineLoad {
         let Some((at, load)) = self.samples.front() else {
             return EngineLoad::default();
         };
--- a/crates/standin/src/engine/health.rs
+++ b/crates/standin/src/engine/health.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerHealth {
     /// All take part.
-    Whole,
+    AllReady,
     /// Some still load; steps wait for them.
     Loading,
     /// Some are gone, since then.
-    Gone(Instant),
+    Lost(Instant),
 }
--- a/crates/standin/src/engine/loading.rs
+++ b/crates/standin/src/engine/loading.rs
@@ -13,10 +13,10 @@
 use crate::options::EngineOptions;
 
 /// Adapters and a change of role take this part of the time of whole weights.
-const SMALL_PART: u32 = 10;
+const PARTIAL_LOAD_DIVISOR: u32 = 10;
 
 /// Pause before the weights are asked for again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest wait for the store to begin; a rate-limited one may be busy with others.
 const STORE_TIMEOUT: Duration = Duration::from_mins(10);
@@ -32,33 +32,33 @@
 
 /// What an assignment needs loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadNeed {
+pub enum LoadScope {
     /// Nothing.
     Nothing,
     /// Adapters, or the set-up of a role.
-    Small,
+    Partial,
     /// The whole weights.
-    Weights,
+    Full,
 }
 
 /// What is needed to go from one assignment to another.
 #[must_use]
-pub fn load_need(
+pub fn load_scope(
     loaded: Option<&LoadedWeights>,
     before: Option<&EngineAssignment>,
     wanted: &EngineAssignment,
-) -> LoadNeed {
-    let there = loaded
+) -> LoadScope {
+    let loaded_already = loaded
         .is_some_and(|loaded| loaded.model == wanted.model && loaded.version == wanted.version);
-    if !there {
-        return LoadNeed::Weights;
+    if !loaded_already {
+        return LoadScope::Full;
     }
-    let same = before
+    let unchanged = before
         .is_some_and(|before| before.adapters == wanted.adapters && before.role == wanted.role);
-    if same {
-        LoadNeed::Nothing
+    if unchanged {
+        LoadScope::Nothing
     } else {
-        LoadNeed::Small
+        LoadScope::Partial
     }
 }
 
@@ -67,16 +67,16 @@
     client: &WebClient,
     options: &EngineOptions,
     wanted: &EngineAssignment,
-    need: LoadNeed,
+    scope: LoadScope,
 ) {
     let time = Duration::from_millis(options.load_ms);
-    match (need, options.weights) {
-        (LoadNeed::Nothing, _) => {}
-        (LoadNeed::Small, _) => tokio::time::sleep(time / SMALL_PART).await,
-        (LoadNeed::Weights, None) => tokio::time::sleep(time).await,
-        (LoadNeed::Weights, Some(store)) => {
+    match (scope, options.weights) {
+        (LoadScope::Nothing, _) => {}
+        (LoadScope::Partial, _) => tokio::time::sleep(time / PARTIAL_LOAD_DIVISOR).await,
+        (LoadScope::Full, None) => tokio::time::sleep(time).await,
+        (LoadScope::Full, Some(store)) => {
             while fetch(client, store, wanted).await.is_err() {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -92,8 +92,8 @@
     let request = json_request(Method::GET, store, &path, None::<&()>)?;
     let answer = client.send(store, request, STORE_TIMEOUT).await?;
     if !answer.status().is_success() {
-        let problem = format!("status {} to weights", answer.status());
-        return Err(ClientError::Broken(store, problem));
+        let reason = format!("status {} to weights", answer.status());
+        return Err(ClientError::Broken(store, reason));
     }
     let mut body = answer.into_body();
     while let Some(frame) = body.frame().await {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,18 +1,18 @@
 //! Stand-in for a model engine on one host.
 //!
 //! [`batch`] decides what one step of the batch does, [`stream`] keeps a stream with its reader,
-//! [`pool`] holds all of them, [`cache`] is the prefix cache, [`report`] the lagged load,
+//! [`pool`] holds all of them, [`cache`] is the prefix cache, [`delayed_load`] the delayed load report,
 //! [`peers`] watches the other hosts of the replica, [`loading`] fetches weights and [`core`]
 //! ties them together.
 
 pub mod batch;
 pub mod cache;
 pub mod core;
+pub mod delayed_load;
 mod health;
 pub mod loading;
 pub mod peers;
 pub mod pool;
-pub mod report;
 pub mod stream;
 
 use std::sync::Arc;
@@ -52,21 +52,21 @@
 }
 
 impl EngineServer {
-    fn follow(&self, body: &[u8]) -> WebResponse {
+    fn apply_order(&self, body: &[u8]) -> WebResponse {
         match parse_json(body) {
-            Ok(order) => core::follow(&self.core, order),
+            Ok(order) => core::apply_order(&self.core, order),
             Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
     fn start(&self, body: &[u8]) -> WebResponse {
         match parse_json(body) {
-            Ok(order) => self.core.start(order),
+            Ok(request) => self.core.start(request),
             Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    fn answer_stream(&self, method: &Method, path: &str, body: &[u8]) -> WebResponse {
+    fn handle_stream(&self, method: &Method, path: &str, body: &[u8]) -> WebResponse {
         let (name, resume) = match path.strip_suffix("/resume") {
             Some(name) => (name, true),
             None => (path, false),
@@ -82,12 +82,12 @@
             return text_response(StatusCode::NOT_FOUND, "no such call");
         }
         match parse_json::<ResumeRequest>(body) {
-            Ok(order) => self.core.resume(&attempt, order.from),
+            Ok(request) => self.core.resume(&attempt, request.from),
             Err(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    fn answer_kv(&self, method: &Method, name: &str, body: &[u8]) -> WebResponse {
+    fn handle_kv(&self, method: &Method, name: &str, body: &[u8]) -> WebResponse {
         let Ok(attempt) = name.parse::<AttemptId>() else {
             return text_response(StatusCode::NOT_FOUND, "no such stream");
         };
@@ -105,10 +105,10 @@
         let uri = request.uri().clone();
         let body = request.into_body();
         if let Some(path) = uri.path().strip_prefix("/streams/") {
-            return self.answer_stream(&method, path, &body);
+            return self.handle_stream(&method, path, &body);
         }
         if let Some(name) = uri.path().strip_prefix("/kv/") {
-            return self.answer_kv(&method, name, &body);
+            return self.handle_kv(&method, name, &body);
         }
         match (method, uri.path()) {
             (Method::GET, "/state") => json_response(StatusCode::OK, &self.core.state()),
@@ -118,7 +118,7 @@
                     .unwrap_or(0);
                 json_response(StatusCode::OK, &self.core.cache_events(after))
             }
-            (Method::POST, "/orders") => self.follow(&body),
+            (Method::POST, "/orders") => self.apply_order(&body),
             (Method::POST, "/streams") => self.start(&body),
             _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
--- a/crates/standin/src/engine/peers.rs
+++ b/crates/standin/src/engine/peers.rs
@@ -15,49 +15,49 @@
 use super::core::EngineCore;
 use super::health::PeerHealth;
 
-const CHECK_PERIOD: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PeerState {
-    Whole,
+    Ready,
     Loading,
-    Gone,
+    Unreachable,
 }
 
 /// Watches the peers for ever.
 pub async fn watch_peers(core: Arc<EngineCore>) {
     loop {
-        tokio::time::sleep(CHECK_PERIOD).await;
-        let Some(assignment) = core.leading() else {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let Some(assignment) = core.leader_assignment() else {
             continue;
         };
         let peers = assignment.hosts.iter().skip(1);
         let checks = peers.map(|peer| check(&core, &assignment, peer.address));
         let worst = join_all(checks).await.into_iter().max();
-        core.note_peers(&assignment, |before| match (worst, before) {
-            (None | Some(PeerState::Whole), _) => PeerHealth::Whole,
+        core.update_peers(&assignment, |before| match (worst, before) {
+            (None | Some(PeerState::Ready), _) => PeerHealth::AllReady,
             (Some(PeerState::Loading), _) => PeerHealth::Loading,
-            (Some(PeerState::Gone), PeerHealth::Gone(since)) => PeerHealth::Gone(since),
-            (Some(PeerState::Gone), _) => PeerHealth::Gone(Instant::now()),
+            (Some(PeerState::Unreachable), PeerHealth::Lost(since)) => PeerHealth::Lost(since),
+            (Some(PeerState::Unreachable), _) => PeerHealth::Lost(Instant::now()),
         });
     }
 }
 
 async fn check(core: &EngineCore, assignment: &EngineAssignment, address: SocketAddr) -> PeerState {
-    let asked: Result<JsonResponse<EngineState>, _> = core
+    let reported: Result<JsonResponse<EngineState>, _> = core
         .client
         .json(Method::GET, address, "/state", None::<&()>, CHECK_TIMEOUT)
         .await;
-    let Ok(JsonResponse { value, .. }) = asked else {
-        return PeerState::Gone;
+    let Ok(JsonResponse { value, .. }) = reported else {
+        return PeerState::Unreachable;
     };
-    let same = value.assignment.as_ref().is_some_and(|theirs| {
-        theirs.replica == assignment.replica && theirs.incarnation == assignment.incarnation
+    let matches = value.assignment.as_ref().is_some_and(|peer| {
+        peer.replica == assignment.replica && peer.incarnation == assignment.incarnation
     });
-    match (same, value.ready) {
-        (true, true) => PeerState::Whole,
+    match (matches, value.ready) {
+        (true, true) => PeerState::Ready,
         (true, false) => PeerState::Loading,
-        (false, _) => PeerState::Gone,
+        (false, _) => PeerState::Unreachable,
     }
 }
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -11,13 +11,13 @@
 
 use super::batch::BatchStep;
 use super::cache::PrefixCache;
-use super::stream::{KeptStream, StreamPhase};
+use super::stream::{EngineStream, StreamPhase};
 
 /// Imported KV caches that wait for their stream.
-const KEPT_IMPORTS: usize = 64;
+const MAX_IMPORTS: usize = 64;
 
 /// Weight of the newest step in the reported rates.
-const RATE_WEIGHT: f64 = 0.2;
+const RATE_SMOOTHING: f64 = 0.2;
 
 /// A KV cache on its way; opaque to everybody but engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     queue: usize,
     linger: Duration,
     arrivals: u64,
-    streams: BTreeMap<AttemptId, KeptStream>,
+    streams: BTreeMap<AttemptId, EngineStream>,
     imports: VecDeque<(AttemptId, KvCache)>,
     cache: PrefixCache,
     prompt_rate: f64,
@@ -64,24 +64,24 @@
         &self.cache
     }
 
-    fn count(&self, fits: impl Fn(StreamPhase) -> bool) -> usize {
+    fn count(&self, matches: impl Fn(StreamPhase) -> bool) -> usize {
         let phases = self.streams.values().map(|stream| stream.phase);
-        phases.filter(|phase| fits(*phase)).count()
+        phases.filter(|phase| matches(*phase)).count()
     }
 
     /// Whether a further stream finds no place to wait.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        let open = self.count(|phase| phase != StreamPhase::Ended);
-        open >= self.slots + self.queue
+        let unfinished = self.count(|phase| phase != StreamPhase::Ended);
+        unfinished >= self.slots + self.queue
     }
 
     /// Takes a stream.
-    pub fn start(&mut self, order: StreamRequest, now: Instant) -> WebResponse {
+    pub fn start(&mut self, request: StreamRequest, now: Instant) -> WebResponse {
         self.arrivals += 1;
-        let attempt = order.attempt.clone();
-        let from = u32::try_from(order.generated_tokens.len()).unwrap_or(u32::MAX);
-        let mut stream = KeptStream::new(order, self.arrivals, now);
+        let attempt = request.attempt.clone();
+        let from = u32::try_from(request.generated_tokens.len()).unwrap_or(u32::MAX);
+        let mut stream = EngineStream::new(request, self.arrivals, now);
         let answer = stream.attach(from, now);
         self.streams.insert(attempt, stream);
         answer
@@ -123,17 +123,17 @@
     /// Whether there is something to do or to send.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        self.streams.values().any(KeptStream::is_busy)
+        self.streams.values().any(EngineStream::is_busy)
     }
 
     /// Plans the next step.
     pub fn plan(&mut self) -> BatchStep {
-        self.fill_batch();
+        self.admit_waiting();
         let mut step = BatchStep::default();
         for (attempt, stream) in &self.streams {
             match stream.phase {
                 StreamPhase::Waiting | StreamPhase::Ended => {}
-                StreamPhase::Prefill(left) => step.add_prefill(attempt, left),
+                StreamPhase::Prefill(remaining) => step.add_prefill(attempt, remaining),
                 StreamPhase::Decode => step.decode.push(attempt.clone()),
             }
         }
@@ -141,7 +141,7 @@
     }
 
     /// Moves waiting streams into the batch: higher priority first, then in order of arrival.
-    fn fill_batch(&mut self) {
+    fn admit_waiting(&mut self) {
         let waits = |phase| phase == StreamPhase::Waiting;
         let running = self.count(|phase| !waits(phase) && phase != StreamPhase::Ended);
         let mut waiting: Vec<_> = self
@@ -149,38 +149,38 @@
             .iter()
             .filter(|(_, stream)| waits(stream.phase))
             .map(|(attempt, stream)| {
-                let rank = (Reverse(stream.order.priority), stream.arrival);
+                let rank = (Reverse(stream.request.priority), stream.arrival);
                 (rank, attempt.clone())
             })
             .collect();
         waiting.sort();
         waiting.truncate(self.slots.saturating_sub(running));
         for (_, attempt) in waiting {
-            self.enter_batch(&attempt);
+            self.admit(&attempt);
         }
     }
 
-    fn enter_batch(&mut self, attempt: &AttemptId) {
+    fn admit(&mut self, attempt: &AttemptId) {
         let imported = self.take_import(attempt);
         let Some(stream) = self.streams.get_mut(attempt) else {
             return;
         };
-        let order = &stream.order;
-        let whole = imported.is_some_and(|kv| kv.prompt == order.prompt);
-        stream.cached_tokens = if whole {
+        let request = &stream.request;
+        let prompt_imported = imported.is_some_and(|kv| kv.prompt == request.prompt);
+        stream.cached_tokens = if prompt_imported {
             stream.prompt_tokens
         } else {
-            let hashes = prefix_hashes(&order.model, order.adapter.as_ref(), &order.prompt);
-            let bytes = self.cache.find(&hashes) * PREFIX_BLOCK_BYTES;
-            words_in(&order.prompt.as_bytes()[..bytes])
+            let hashes = prefix_hashes(&request.model, request.adapter.as_ref(), &request.prompt);
+            let bytes = self.cache.count_cached(&hashes) * PREFIX_BLOCK_BYTES;
+            count_words(&request.prompt.as_bytes()[..bytes])
         };
         // Tokens that the caller has already are read like a prompt.
         let unread = u64::from(stream.prompt_tokens - stream.cached_tokens);
-        let left = unread + order.generated_tokens.len() as u64;
-        stream.phase = if left == 0 {
+        let remaining = unread + request.generated_tokens.len() as u64;
+        stream.phase = if remaining == 0 {
             StreamPhase::Decode
         } else {
-            StreamPhase::Prefill(left)
+            StreamPhase::Prefill(remaining)
         };
     }
 
@@ -192,7 +192,7 @@
     /// Carries out a step that took `time`.
     pub fn apply(&mut self, step: &BatchStep, time: Duration, now: Instant) {
         for (attempt, count) in &step.prefill {
-            self.read_prompt(attempt, *count, now);
+            self.advance_prefill(attempt, *count, now);
         }
         for attempt in &step.decode {
             if let Some(stream) = self.streams.get_mut(attempt) {
@@ -211,25 +211,25 @@
             f64::from(count) / seconds
         };
         let prompt = usize::try_from(step.prompt_tokens()).unwrap_or(usize::MAX);
-        blend(&mut self.prompt_rate, per_second(prompt));
-        blend(&mut self.token_rate, per_second(step.decode.len()));
+        smooth(&mut self.prompt_rate, per_second(prompt));
+        smooth(&mut self.token_rate, per_second(step.decode.len()));
     }
 
-    fn read_prompt(&mut self, attempt: &AttemptId, count: u64, now: Instant) {
+    fn advance_prefill(&mut self, attempt: &AttemptId, count: u64, now: Instant) {
         let Some(stream) = self.streams.get_mut(attempt) else {
             return;
         };
-        let StreamPhase::Prefill(left) = stream.phase else {
+        let StreamPhase::Prefill(remaining) = stream.phase else {
             return;
         };
-        if left > count {
-            stream.phase = StreamPhase::Prefill(left - count);
+        if remaining > count {
+            stream.phase = StreamPhase::Prefill(remaining - count);
             return;
         }
         stream.phase = StreamPhase::Decode;
-        let order = &stream.order;
-        let hashes = prefix_hashes(&order.model, order.adapter.as_ref(), &order.prompt);
-        self.cache.store(&hashes, now);
+        let request = &stream.request;
+        let hashes = prefix_hashes(&request.model, request.adapter.as_ref(), &request.prompt);
+        self.cache.insert(&hashes, now);
     }
 
     /// Load now.
@@ -239,7 +239,7 @@
         let running = self.count(|phase| phase != StreamPhase::Ended) - waiting;
         let backlog = self.streams.values().map(|stream| match stream.phase {
             StreamPhase::Waiting => u64::from(stream.prompt_tokens),
-            StreamPhase::Prefill(left) => left,
+            StreamPhase::Prefill(remaining) => remaining,
             StreamPhase::Decode | StreamPhase::Ended => 0,
         });
         EngineLoad {
@@ -259,7 +259,7 @@
         let stream = self.streams.get(attempt)?;
         let read = matches!(stream.phase, StreamPhase::Decode | StreamPhase::Ended);
         read.then(|| KvCache {
-            prompt: stream.order.prompt.clone(),
+            prompt: stream.request.prompt.clone(),
             tokens: stream.prompt_tokens as usize,
         })
     }
@@ -267,17 +267,17 @@
     /// Keeps a KV cache until its stream starts.
     pub fn import(&mut self, attempt: AttemptId, kv: KvCache) {
         self.imports.push_back((attempt, kv));
-        if self.imports.len() > KEPT_IMPORTS {
+        if self.imports.len() > MAX_IMPORTS {
             self.imports.pop_front();
         }
     }
 }
 
-fn blend(rate: &mut f64, newest: f64) {
-    *rate += (newest - *rate) * RATE_WEIGHT;
+fn smooth(rate: &mut f64, newest: f64) {
+    *rate += (newest - *rate) * RATE_SMOOTHING;
 }
 
-fn words_in(bytes: &[u8]) -> u32 {
+fn count_words(bytes: &[u8]) -> u32 {
     let words = bytes
         .split(u8::is_ascii_whitespace)
         .filter(|word| !word.is_empty());
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -9,7 +9,7 @@
 use wire::engine::{StreamEvent, StreamRequest};
 
 /// Events that wait for a slow reader on the connection; the rest waits in the stream.
-const READER_BUFFER: usize = 64;
+const READER_BUFFER_EVENTS: usize = 64;
 
 /// Words that answers are made of.
 const WORDS: [&str; 12] = [
@@ -32,9 +32,9 @@
 
 /// A stream. It outlives its connection for a while, so that it can be resumed.
 #[derive(Debug)]
-pub struct KeptStream {
+pub struct EngineStream {
     /// What was ordered.
-    pub order: StreamRequest,
+    pub request: StreamRequest,
     /// Number of its arrival.
     pub arrival: u64,
     /// How far it is.
@@ -45,28 +45,28 @@
     pub cached_tokens: u32,
     tokens: Vec<String>,
     end: Option<StreamEvent>,
-    sent: usize,
+    next_event: usize,
     reader: Option<mpsc::Sender<Bytes>>,
-    unread_since: Instant,
+    detached_since: Instant,
 }
 
-impl KeptStream {
+impl EngineStream {
     /// A stream that waits.
     #[must_use]
-    pub fn new(order: StreamRequest, arrival: u64, now: Instant) -> Self {
-        let words = order.prompt.split_whitespace().count();
-        let tokens = order.generated_tokens.clone();
+    pub fn new(request: StreamRequest, arrival: u64, now: Instant) -> Self {
+        let words = request.prompt.split_whitespace().count();
+        let tokens = request.generated_tokens.clone();
         Self {
             arrival,
             phase: StreamPhase::Waiting,
             prompt_tokens: u32::try_from(words).unwrap_or(u32::MAX),
             cached_tokens: 0,
-            sent: tokens.len(),
+            next_event: tokens.len(),
             tokens,
             end: None,
             reader: None,
-            unread_since: now,
-            order,
+            detached_since: now,
+            request,
         }
     }
 
@@ -75,8 +75,8 @@
         if from as usize > self.tokens.len() {
             return text_response(http::StatusCode::NOT_FOUND, "no such token yet");
         }
-        let (sender, body) = channel_body(READER_BUFFER);
-        self.sent = from as usize;
+        let (sender, body) = channel_body(READER_BUFFER_EVENTS);
+        self.next_event = from as usize;
         self.reader = Some(sender);
         self.flush(now);
         http::Response::new(body)
@@ -91,25 +91,25 @@
     /// Whether nobody has read it for so long.
     #[must_use]
     pub fn is_abandoned(&self, linger: Duration, now: Instant) -> bool {
-        self.reader.is_none() && now.duration_since(self.unread_since) >= linger
+        self.reader.is_none() && now.duration_since(self.detached_since) >= linger
     }
 
     /// Whether it has a token to get; otherwise the next step ends it.
-    fn wants_token(&self) -> bool {
+    fn has_tokens_left(&self) -> bool {
         let count = u32::try_from(self.tokens.len()).unwrap_or(u32::MAX);
-        count < self.order.max_tokens
+        count < self.request.max_tokens
     }
 
     /// Gets one token, and its end behind the last one.
     pub fn advance(&mut self) {
-        if self.wants_token() {
+        if self.has_tokens_left() {
             let index = u32::try_from(self.tokens.len()).unwrap_or(u32::MAX);
-            self.tokens.push(token_text(&self.order, index));
+            self.tokens.push(token_text(&self.request, index));
         }
-        if !self.wants_token() {
-            self.end(StreamEvent::Done {
-                attempt: self.order.attempt.clone(),
-                incarnation: self.order.incarnation,
+        if !self.has_tokens_left() {
+            self.finish(StreamEvent::Done {
+                attempt: self.request.attempt.clone(),
+                incarnation: self.request.incarnation,
                 count: u32::try_from(self.tokens.len()).unwrap_or(u32::MAX),
                 prompt_tokens: self.prompt_tokens,
                 cached_tokens: self.cached_tokens,
@@ -123,13 +123,13 @@
         if self.phase == StreamPhase::Ended {
             return;
         }
-        self.end(StreamEvent::Failed {
-            attempt: self.order.attempt.clone(),
+        self.finish(StreamEvent::Failed {
+            attempt: self.request.attempt.clone(),
             reason: reason.to_owned(),
         });
     }
 
-    fn end(&mut self, event: StreamEvent) {
+    fn finish(&mut self, event: StreamEvent) {
         self.phase = StreamPhase::Ended;
         self.end = Some(event);
     }
@@ -139,16 +139,16 @@
         let Some(reader) = self.reader.take() else {
             return;
         };
-        self.unread_since = now;
+        self.detached_since = now;
         loop {
-            let Some(event) = self.event_at(self.sent) else {
+            let Some(event) = self.event_at(self.next_event) else {
                 self.reader = Some(reader);
                 break;
             };
-            let last = self.sent == self.tokens.len();
-            match reader.try_send(event_line(&event)) {
+            let last = self.next_event == self.tokens.len();
+            match reader.try_send(encode_event(&event)) {
                 Ok(()) if last => return,
-                Ok(()) => self.sent += 1,
+                Ok(()) => self.next_event += 1,
                 Err(mpsc::error::TrySendError::Full(_)) => {
                     self.reader = Some(reader);
                     return;
@@ -166,8 +166,8 @@
             return self.end.clone();
         };
         Some(StreamEvent::Token {
-            attempt: self.order.attempt.clone(),
-            incarnation: self.order.incarnation,
+            attempt: self.request.attempt.clone(),
+            incarnation: self.request.incarnation,
             index: u32::try_from(index).unwrap_or(u32::MAX),
             text: text.clone(),
         })
@@ -175,9 +175,9 @@
 }
 
 /// The token at an index: the same for the same prompt and seed on every replica.
-fn token_text(order: &StreamRequest, index: u32) -> String {
-    let mut state = order.seed ^ (u64::from(index) << 20);
-    for byte in order.prompt.bytes() {
+fn token_text(request: &StreamRequest, index: u32) -> String {
+    let mut state = request.seed ^ (u64::from(index) << 20);
+    for byte in request.prompt.bytes() {
         state = state.rotate_left(5) ^ u64::from(byte);
         state = state.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
@@ -185,7 +185,7 @@
     format!("{} ", WORDS[choice])
 }
 
-fn event_line(event: &StreamEvent) -> Bytes {
+fn encode_event(event: &StreamEvent) -> Bytes {
     let mut line = serde_json::to_vec(event).unwrap_or_default();
     line.push(b'\n');
     Bytes::from(line)
