--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// When it is refused.
-pub async fn open_path(
+pub async fn open_entry_stream(
     stack: &TestStack,
     entry: SocketAddr,
     max_tokens: u32,
@@ -46,7 +46,7 @@
         .uri(format!("http://{entry}/v1/completions"))
         .header("authorization", format!("Bearer {CUSTOMER_KEY}"))
         .body(full_body(body.to_string()))?;
-    checked(stack.client.send(entry, request, WAIT_TIMEOUT).await?).await
+    ensure_success(stack.client.send(entry, request, WAIT_TIMEOUT).await?).await
 }
 
 /// Opens a stream at the leading engine of a replica.
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// When it is refused.
-pub async fn open_direct(
+pub async fn open_engine_stream(
     stack: &TestStack,
     engine: &EngineState,
     attempt: &str,
@@ -76,10 +76,10 @@
     };
     let address = assignment.hosts[0].address;
     let request = json_request(Method::POST, address, "/streams", Some(&order))?;
-    checked(stack.client.send(address, request, WAIT_TIMEOUT).await?).await
+    ensure_success(stack.client.send(address, request, WAIT_TIMEOUT).await?).await
 }
 
-async fn checked(answer: Response<Incoming>) -> eyre::Result<Response<Incoming>> {
+async fn ensure_success(answer: Response<Incoming>) -> eyre::Result<Response<Incoming>> {
     let status = answer.status();
     if status.is_success() {
         return Ok(answer);
@@ -88,14 +88,14 @@
     bail!("{status}: {}", String::from_utf8_lossy(&body))
 }
 
-/// Reads a stream to its end; `mark` stands once in every token's line.
+/// Reads a stream to its end; `marker` stands once in every token's line.
 ///
 /// # Errors
 ///
 /// When the connection breaks or not all tokens come.
-pub async fn read_times(
+pub async fn read_stream_times(
     answer: Response<Incoming>,
-    mark: &str,
+    marker: &str,
     max_tokens: u32,
     started: Instant,
 ) -> eyre::Result<StreamTimes> {
@@ -107,9 +107,9 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        // An event is written whole, so that no mark is split between two frames.
+        // An event is written whole, so that no marker is split between two frames.
         let text = String::from_utf8_lossy(&data);
-        let found = u32::try_from(text.matches(mark).count())?;
+        let found = u32::try_from(text.matches(marker).count())?;
         if found == 0 {
             continue;
         }
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -1,4 +1,4 @@
-//! What control costs a node: processor time, memory, bytes over the links and calls of the table,
+//! What control costs a node: CPU time, memory, bytes over the links and calls of the table,
 //! by the number of nodes, of records and of hosts; with the slopes worked out to letter size.
 
 use std::path::Path;
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use super::RoundSpread;
-use super::process::{processor_seconds, resident_kib};
+use super::process::{cpu_seconds, resident_kib};
 use crate::stack::{StackPlan, TestStack};
 
 /// Nodes, records and hosts that are measured.
@@ -17,43 +17,43 @@
 const HOST_COUNTS: [usize; 4] = [24, 48, 96, 192];
 
 /// The sizes to which the slopes are worked out.
-const LETTER_NODES: f64 = 410.0;
-const LETTER_RECORDS: f64 = 2_000.0;
-const LETTER_HOSTS: f64 = 1_500.0;
+const FULL_SCALE_NODES: f64 = 410.0;
+const FULL_SCALE_RECORDS: f64 = 2_000.0;
+const FULL_SCALE_HOSTS: f64 = 1_500.0;
 
 /// Hosts of one replica in these runs.
 const HOSTS_PER_REPLICA: usize = 4;
 
 /// Time in which a system comes to rest, and time of one reading.
-const SETTLE_TIME: Duration = Duration::from_secs(15);
-const READING_TIME: Duration = Duration::from_secs(15);
+const SETTLE_DURATION: Duration = Duration::from_secs(15);
+const READING_DURATION: Duration = Duration::from_secs(15);
 
 /// Records of one file of the operators' client.
-const FILE_RECORDS: usize = 250;
+const RECORDS_PER_FILE: usize = 250;
 
 /// Measures and prints.
 ///
 /// # Errors
 ///
 /// When `/proc`, a node's metrics or the table's counts can't be read.
-pub async fn run(product: &Path) -> eyre::Result<()> {
+pub async fn run(binary: &Path) -> eyre::Result<()> {
     let mut nodes = Vec::new();
     for count in NODE_COUNTS {
-        let stack = small_plan("nodes", product).entries(count).start().await;
+        let stack = small_plan("nodes", binary).entries(count).start().await;
         nodes.push((count, read_cost(&stack).await?));
     }
-    print_costs("nodes", &nodes, LETTER_NODES);
+    print_costs("nodes", &nodes, FULL_SCALE_NODES);
     let mut records = Vec::new();
     for count in RECORD_COUNTS {
-        let stack = small_plan("records", product).start().await;
+        let stack = small_plan("records", binary).start().await;
         apply_customers(&stack, count);
         records.push((count, read_cost(&stack).await?));
     }
-    print_costs("records", &records, LETTER_RECORDS);
+    print_costs("records", &records, FULL_SCALE_RECORDS);
     let mut hosts = Vec::new();
     for count in HOST_COUNTS {
         let replicas = u32::try_from(count / HOSTS_PER_REPLICA)?;
-        let stack = StackPlan::new("measure-hosts", product)
+        let stack = StackPlan::new("measure-hosts", binary)
             .engines(count)
             .replicas(replicas)
             .hosts_per_replica(u32::try_from(HOSTS_PER_REPLICA)?)
@@ -62,12 +62,12 @@
             .await;
         hosts.push((count, read_cost(&stack).await?));
     }
-    print_costs("hosts", &hosts, LETTER_HOSTS);
+    print_costs("hosts", &hosts, FULL_SCALE_HOSTS);
     Ok(())
 }
 
-fn small_plan(name: &str, product: &Path) -> StackPlan {
-    StackPlan::new(&format!("measure-{name}"), product)
+fn small_plan(name: &str, binary: &Path) -> StackPlan {
+    StackPlan::new(&format!("measure-{name}"), binary)
         .engines(2)
         .replicas(1)
         .hosts_per_replica(2)
@@ -77,7 +77,7 @@
 /// Customers like those of the example, each with a key of its own.
 fn apply_customers(stack: &TestStack, count: usize) {
     let numbers: Vec<usize> = (0..count).collect();
-    for part in numbers.chunks(FILE_RECORDS) {
+    for part in numbers.chunks(RECORDS_PER_FILE) {
         let records: Vec<Value> = part.iter().map(|number| customer(*number)).collect();
         stack.apply(&Value::from(records));
     }
@@ -97,7 +97,7 @@
 /// What control costs while nobody calls.
 struct ControlCost {
     /// Processor time of a node in hundredths of a core.
-    processor: RoundSpread,
+    cpu: RoundSpread,
     /// Resident memory of a node in MiB.
     memory: RoundSpread,
     /// Bytes that a node sends and receives over its links in a second.
@@ -108,22 +108,22 @@
 }
 
 async fn read_cost(stack: &TestStack) -> eyre::Result<ControlCost> {
-    tokio::time::sleep(SETTLE_TIME).await;
+    tokio::time::sleep(SETTLE_DURATION).await;
     let before = read_nodes(stack).await?;
     let table_before = stack.fault_report(stack.table.address).await.counts;
-    tokio::time::sleep(READING_TIME).await;
+    tokio::time::sleep(READING_DURATION).await;
     let after = read_nodes(stack).await?;
     let table_after = stack.fault_report(stack.table.address).await.counts;
-    let seconds = READING_TIME.as_secs_f64();
+    let seconds = READING_DURATION.as_secs_f64();
     let rate = |before: f64, after: f64| (after - before) / seconds;
-    let (mut processor, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut cpu, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     for (before, after) in before.iter().zip(&after) {
-        processor.push(100.0 * rate(before.processor, after.processor));
+        cpu.push(100.0 * rate(before.cpu, after.cpu));
         memory.push(after.resident_kib / 1_024.0);
         bytes.push(rate(before.bytes, after.bytes));
     }
     Ok(ControlCost {
-        processor: RoundSpread::of(&processor),
+        cpu: RoundSpread::of(&cpu),
         memory: RoundSpread::of(&memory),
         bytes: RoundSpread::of(&bytes),
         reads: rate(count(table_before.reads), count(table_after.reads)),
@@ -136,7 +136,7 @@
 }
 
 struct NodeReading {
-    processor: f64,
+    cpu: f64,
     resident_kib: f64,
     bytes: f64,
 }
@@ -148,7 +148,7 @@
         let sent = metric(&text, "bramleyspring_peer_sent_bytes").unwrap_or_default();
         let received = metric(&text, "bramleyspring_peer_received_bytes").unwrap_or_default();
         readings.push(NodeReading {
-            processor: processor_seconds(entry.pid())?,
+            cpu: cpu_seconds(entry.pid())?,
             resident_kib: resident_kib(entry.pid())?,
             bytes: sent + received,
         });
@@ -161,23 +161,20 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-fn print_costs(what: &str, costs: &[(usize, ControlCost)], letter: f64) {
+fn print_costs(what: &str, costs: &[(usize, ControlCost)], full_scale: f64) {
     println!(
         "\n{what:>8} | cpu % of a core a node | MiB a node | bytes/s a node | reads/s | writes/s"
     );
     for (number, cost) in costs {
         println!(
             "{number:>8} | {:.2} | {:.1} | {:.0} | {:.1} | {:.1}",
-            cost.processor, cost.memory, cost.bytes, cost.reads, cost.writes
+            cost.cpu, cost.memory, cost.bytes, cost.reads, cost.writes
         );
     }
     let columns: [(&str, Vec<f64>); 5] = [
         (
             "cpu %",
-            costs
-                .iter()
-                .map(|(_, cost)| cost.processor.median)
-                .collect(),
+            costs.iter().map(|(_, cost)| cost.cpu.median).collect(),
         ),
         (
             "MiB",
@@ -206,8 +203,8 @@
             continue;
         };
         println!(
-            "  {name}: {base:.3} + {slope:.5} for each of the {what}; at {letter:.0}: {:.2}",
-            base + slope * letter
+            "  {name}: {base:.3} + {slope:.5} for each of the {what}; at {full_scale:.0}: {:.2}",
+            base + slope * full_scale
         );
     }
 }
--- a/crates/standin/src/measure/cost.rs
+++ b/crates/standin/src/measure/cost.rs
@@ -1,4 +1,4 @@
-//! What one entry costs: processor time of requests and tokens, memory of open streams.
+//! What one entry costs: CPU time of requests and tokens, memory of open streams.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,16 +9,16 @@
 use tokio::task::JoinHandle;
 
 use super::RoundSpread;
-use super::chat::{open_path, read_times};
-use super::path::PATH_MARK;
-use super::process::{processor_seconds, resident_kib};
+use super::chat::{open_entry_stream, read_stream_times};
+use super::path::ENTRY_TOKEN_MARKER;
+use super::process::{cpu_seconds, resident_kib};
 use crate::stack::{StackPlan, TestStack};
 
 /// Streams at once.
-const CALLERS: usize = 64;
+const CONCURRENT_STREAMS: usize = 64;
 
 /// Time of one round.
-const ROUND_TIME: Duration = Duration::from_secs(4);
+const ROUND_DURATION: Duration = Duration::from_secs(4);
 
 /// Tokens of a long answer, so that tokens outweigh the request.
 const LONG_ANSWER: u32 = 256;
@@ -30,7 +30,7 @@
 const OPEN_BATCH: usize = 50;
 
 /// An engine that never keeps the entry waiting.
-const ROOMY_ENGINE: [&str; 6] = [
+const UNCONSTRAINED_ENGINE: [&str; 6] = [
     "--slots",
     "4096",
     "--stream-us",
@@ -44,24 +44,26 @@
 /// # Errors
 ///
 /// When a stream fails or `/proc` can't be read.
-pub async fn run(product: &Path, rounds: usize) -> eyre::Result<()> {
-    let stack = StackPlan::new("measure-cost", product)
+pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
+    let stack = StackPlan::new("measure-cost", binary)
         .entries(1)
         .step_us(2_000)
-        .engine_options(&ROOMY_ENGINE)
+        .engine_options(&UNCONSTRAINED_ENGINE)
         .start()
         .await;
     let idle = measure_idle(&stack).await?;
-    println!("\none entry, {rounds} rounds of {ROUND_TIME:?} with {CALLERS} streams at once;");
-    println!("per second of its processor time, median round (lowest to highest)");
+    println!(
+        "\none entry, {rounds} rounds of {ROUND_DURATION:?} with {CONCURRENT_STREAMS} streams at once;"
+    );
+    println!("per second of its CPU time, median round (lowest to highest)");
     println!("  idle: {:.2}% of a core", idle * 100.0);
     let mut token_rates = Vec::new();
     let mut request_rates = Vec::new();
     for _ in 0..rounds {
         let long = measure_rate(&stack, LONG_ANSWER).await?;
-        token_rates.push(long.tokens / long.processor);
+        token_rates.push(long.tokens / long.cpu);
         let short = measure_rate(&stack, 1).await?;
-        request_rates.push(short.requests / short.processor);
+        request_rates.push(short.requests / short.cpu);
     }
     println!("  tokens: {:.0}", RoundSpread::of(&token_rates));
     println!(
@@ -71,7 +73,7 @@
     drop(stack);
     let mut slopes = Vec::new();
     for _ in 0..rounds {
-        slopes.push(measure_memory(product).await?);
+        slopes.push(measure_memory(binary).await?);
     }
     println!("\nmemory of one entry for each open stream, {rounds} fresh entries,");
     println!("from {OPEN_STREAMS:?} open streams");
@@ -79,56 +81,56 @@
     Ok(())
 }
 
-/// Work of one round and the entry's processor time for it, in seconds.
+/// Work of one round and the entry's CPU time for it, in seconds.
 struct RoundWork {
     requests: f64,
     tokens: f64,
-    processor: f64,
+    cpu: f64,
 }
 
 async fn measure_idle(stack: &TestStack) -> eyre::Result<f64> {
-    let before = processor_seconds(stack.entries[0].pid())?;
-    tokio::time::sleep(ROUND_TIME).await;
-    Ok((processor_seconds(stack.entries[0].pid())? - before) / ROUND_TIME.as_secs_f64())
+    let before = cpu_seconds(stack.entries[0].pid())?;
+    tokio::time::sleep(ROUND_DURATION).await;
+    Ok((cpu_seconds(stack.entries[0].pid())? - before) / ROUND_DURATION.as_secs_f64())
 }
 
 async fn measure_rate(stack: &TestStack, max_tokens: u32) -> eyre::Result<RoundWork> {
-    let before = processor_seconds(stack.entries[0].pid())?;
-    let end = Instant::now() + ROUND_TIME;
-    let callers = (0..CALLERS).map(|_| ask_until(stack, max_tokens, end));
+    let before = cpu_seconds(stack.entries[0].pid())?;
+    let end = Instant::now() + ROUND_DURATION;
+    let callers = (0..CONCURRENT_STREAMS).map(|_| request_until(stack, max_tokens, end));
     let answered: u32 = try_join_all(callers).await?.into_iter().sum();
-    let processor = processor_seconds(stack.entries[0].pid())? - before;
+    let cpu = cpu_seconds(stack.entries[0].pid())? - before;
     Ok(RoundWork {
         requests: f64::from(answered),
         tokens: f64::from(answered) * f64::from(max_tokens),
-        processor,
+        cpu,
     })
 }
 
-async fn ask_until(stack: &TestStack, max_tokens: u32, end: Instant) -> eyre::Result<u32> {
+async fn request_until(stack: &TestStack, max_tokens: u32, end: Instant) -> eyre::Result<u32> {
     let entry = stack.entries[0].address;
     let mut answered = 0;
     while Instant::now() < end {
-        let answer = open_path(stack, entry, max_tokens).await?;
-        read_times(answer, PATH_MARK, max_tokens, Instant::now()).await?;
+        let answer = open_entry_stream(stack, entry, max_tokens).await?;
+        read_stream_times(answer, ENTRY_TOKEN_MARKER, max_tokens, Instant::now()).await?;
         answered += 1;
     }
     Ok(answered)
 }
 
 /// Opens more and more streams at a fresh entry; KiB for each, from the first to the last count.
-async fn measure_memory(product: &Path) -> eyre::Result<f64> {
-    let stack = StackPlan::new("measure-memory", product)
+async fn measure_memory(binary: &Path) -> eyre::Result<f64> {
+    let stack = StackPlan::new("measure-memory", binary)
         .entries(1)
         .step_us(250_000)
-        .engine_options(&ROOMY_ENGINE)
+        .engine_options(&UNCONSTRAINED_ENGINE)
         .start()
         .await;
     let mut open: Vec<JoinHandle<()>> = Vec::new();
     let mut readings = Vec::new();
     for count in OPEN_STREAMS {
         while open.len() < count {
-            let batch = (0..OPEN_BATCH).map(|_| open_one(&stack));
+            let batch = (0..OPEN_BATCH).map(|_| open_stream(&stack));
             open.extend(try_join_all(batch).await?);
         }
         let resident = resident_kib(stack.entries[0].pid())?;
@@ -142,9 +144,9 @@
 }
 
 /// Opens one stream and reads on; the entry has it whole once its first token came.
-async fn open_one(stack: &TestStack) -> eyre::Result<JoinHandle<()>> {
+async fn open_stream(stack: &TestStack) -> eyre::Result<JoinHandle<()>> {
     let entry = stack.entries[0].address;
-    let mut answer = open_path(stack, entry, 10_000).await?;
+    let mut answer = open_entry_stream(stack, entry, 10_000).await?;
     let first = answer.body_mut().frame().await;
     first.ok_or_eyre("a stream ended")??;
     Ok(tokio::spawn(drain(answer)))
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -18,7 +18,7 @@
 use web::HttpConnection;
 
 use super::RoundSpread;
-use super::process::{processor_seconds, resident_kib};
+use super::process::{cpu_seconds, resident_kib};
 use crate::site::{SiteEngine, SiteGroups, SiteInstance, SiteStore};
 
 /// Callers at once of plain calls, within what one instance takes, and of streams.
@@ -33,13 +33,13 @@
 const OPEN_EVENTS: usize = 10_000;
 
 /// Time of one round.
-const ROUND_TIME: Duration = Duration::from_secs(4);
+const ROUND_DURATION: Duration = Duration::from_secs(4);
 
 /// Longest wait for a connection on loopback, and for a replica to serve.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A platform with one replica and one instance, in this process.
-struct MeasuredSite {
+struct BenchmarkSite {
     store: SiteStore,
     groups: SiteGroups,
     engines: Vec<SiteEngine>,
@@ -47,12 +47,12 @@
 }
 
 /// A process that forwards.
-struct Forwarder {
+struct ForwarderProcess {
     child: Child,
     address: SocketAddr,
 }
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         // It may have ended by itself.
         drop(self.child.kill());
@@ -73,9 +73,9 @@
 /// # Errors
 ///
 /// When a process does not start, a call fails, or `/proc` can't be read.
-pub async fn run(product: &Path, rounds: usize) -> eyre::Result<()> {
-    let site = MeasuredSite::start()?;
-    let gateway = site.gateway(product).await?;
+pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
+    let site = BenchmarkSite::start()?;
+    let gateway = site.gateway(binary).await?;
     let head = site.head()?;
     let plain_relay = site.relay(site.instance.address()).await?;
     let stream_relay = site.relay(head).await?;
@@ -91,7 +91,7 @@
             costs[cost].event_us.push(measure_events(stream).await?);
         }
     }
-    println!("a gateway beside a plain relay, {rounds} rounds of {ROUND_TIME:?};");
+    println!("a gateway beside a plain relay, {rounds} rounds of {ROUND_DURATION:?};");
     println!("median round (lowest to highest)");
     for (name, cost) in ["gateway", "relay"].iter().zip(&costs) {
         println!("  {name}:");
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-impl MeasuredSite {
+impl BenchmarkSite {
     fn start() -> eyre::Result<Self> {
         let store = SiteStore::default();
         let groups = SiteGroups::new(&store);
@@ -139,7 +139,7 @@
         Ok(engine.ok_or_eyre("the head is gone")?.address())
     }
 
-    async fn gateway(&self, product: &Path) -> eyre::Result<Forwarder> {
+    async fn gateway(&self, binary: &Path) -> eyre::Result<ForwarderProcess> {
         let any = "127.0.0.1:0";
         let settings = json!({
             "node": "measured", "failure_domain": "z0", "store": self.store.serve()?,
@@ -150,7 +150,7 @@
         });
         let file = std::env::temp_dir().join(format!("measured-{}.json", std::process::id()));
         std::fs::write(&file, settings.to_string())?;
-        let mut command = Command::new(product);
+        let mut command = Command::new(binary);
         command.args(["gateway", "--settings"]).arg(&file);
         let (forwarder, line) = start(command).await?;
         std::fs::remove_file(&file)?;
@@ -166,18 +166,18 @@
         tokio::time::timeout(WAIT_TIMEOUT, waiting)
             .await
             .wrap_err("no replica came to serve")?;
-        Ok(Forwarder {
+        Ok(ForwarderProcess {
             child: forwarder,
             address: address.parse()?,
         })
     }
 
-    async fn relay(&self, server: SocketAddr) -> eyre::Result<Forwarder> {
+    async fn relay(&self, server: SocketAddr) -> eyre::Result<ForwarderProcess> {
         let mut command = Command::new(std::env::current_exe()?);
         command.args(["relay", "--to", &server.to_string()]);
         let (child, line) = start(command).await?;
         let address = line.trim().rsplit(' ').next().unwrap_or_default();
-        Ok(Forwarder {
+        Ok(ForwarderProcess {
             child,
             address: address.parse()?,
         })
@@ -226,7 +226,11 @@
     })
 }
 
-async fn ask(link: &mut HttpConnection, path: &str, id: &str) -> eyre::Result<Response<Incoming>> {
+async fn send_request(
+    connection: &mut HttpConnection,
+    path: &str,
+    id: &str,
+) -> eyre::Result<Response<Incoming>> {
     let request = Request::post(path)
         .header("host", "desk.example")
         .header("x-request-id", id)
@@ -234,7 +238,7 @@
         .header("x-model", "helper")
         .header("x-token-usage", "100,60")
         .body(Full::new(Bytes::from_static(b"{}")))?;
-    let answer = link.send(request).await?;
+    let answer = connection.send(request).await?;
     eyre::ensure!(answer.status().is_success(), "answered {}", answer.status());
     Ok(answer)
 }
@@ -252,26 +256,27 @@
 }
 
 /// Microseconds of the forwarder's processor time for each unit that the callers got.
-async fn measure<F, C>(forwarder: &Forwarder, callers: usize, caller: C) -> eyre::Result<f64>
+async fn measure<F, C>(forwarder: &ForwarderProcess, callers: usize, caller: C) -> eyre::Result<f64>
 where
     F: Future<Output = eyre::Result<u32>>,
     C: Fn(usize, Instant) -> F,
 {
-    let before = processor_seconds(forwarder.child.id())?;
-    let end = Instant::now() + ROUND_TIME;
+    let before = cpu_seconds(forwarder.child.id())?;
+    let end = Instant::now() + ROUND_DURATION;
     let units = try_join_all((0..callers).map(|number| caller(number, end))).await?;
-    let spent = processor_seconds(forwarder.child.id())? - before;
+    let spent = cpu_seconds(forwarder.child.id())? - before;
     let units: u32 = units.into_iter().sum();
     Ok(spent * 1e6 / f64::from(units.max(1)))
 }
 
-async fn measure_plain(forwarder: &Forwarder) -> eyre::Result<f64> {
+async fn measure_plain(forwarder: &ForwarderProcess) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, PLAIN_CALLERS, |number, end| async move {
-        let mut link = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
+        let mut connection = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut calls = 0;
         while Instant::now() < end {
-            let answer = ask(&mut link, "/look/x", &format!("p{number}-{calls}")).await?;
+            let answer =
+                send_request(&mut connection, "/look/x", &format!("p{number}-{calls}")).await?;
             answer.into_body().collect().await?;
             calls += 1;
         }
@@ -280,13 +285,14 @@
     .await
 }
 
-async fn measure_events(forwarder: &Forwarder) -> eyre::Result<f64> {
+async fn measure_events(forwarder: &ForwarderProcess) -> eyre::Result<f64> {
     let address = forwarder.address;
     measure(forwarder, STREAM_CALLERS, |number, end| async move {
-        let mut link = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
+        let mut connection = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut events = 0;
         while Instant::now() < end {
-            let answer = ask(&mut link, "/chat/x", &format!("e{number}-{events}")).await?;
+            let answer =
+                send_request(&mut connection, "/chat/x", &format!("e{number}-{events}")).await?;
             events += read_events(answer).await?;
         }
         Ok(events)
@@ -295,15 +301,15 @@
 }
 
 /// KiB of the forwarder for each stream that it holds open.
-async fn measure_memory(forwarder: &Forwarder) -> eyre::Result<f64> {
+async fn measure_memory(forwarder: &ForwarderProcess) -> eyre::Result<f64> {
     let before = resident_kib(forwarder.child.id())?;
     let mut open: Vec<JoinHandle<()>> = Vec::new();
     for number in 0..OPEN_STREAMS {
-        let mut link = HttpConnection::connect(forwarder.address, WAIT_TIMEOUT).await?;
-        let answer = ask(&mut link, "/chat/x", &format!("m{number}")).await?;
+        let mut connection = HttpConnection::connect(forwarder.address, WAIT_TIMEOUT).await?;
+        let answer = send_request(&mut connection, "/chat/x", &format!("m{number}")).await?;
         open.push(tokio::spawn(async move {
             // The connection must live as long as its answer is read.
-            let _link = link;
+            let _connection = connection;
             drop(read_events(answer).await);
         }));
     }
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -21,31 +21,31 @@
 ///
 /// # Errors
 ///
-/// When the product is not built beside this program, or a call fails.
+/// When the binary is not built beside this program, or a call fails.
 pub async fn run(options: MeasureOptions) -> eyre::Result<()> {
-    let product = product_path()?;
+    let binary = server_binary()?;
     let mut signals = ShutdownSignals::catch()?;
     tokio::select! {
-        measured = measure(&product, options.rounds) => measured,
+        measured = measure(&binary, options.rounds) => measured,
         () = signals.wait() => eyre::bail!("interrupted"),
     }
 }
 
-async fn measure(product: &Path, rounds: usize) -> eyre::Result<()> {
-    path::run(product, rounds).await?;
-    cost::run(product, rounds).await
+async fn measure(binary: &Path, rounds: usize) -> eyre::Result<()> {
+    path::run(binary, rounds).await?;
+    cost::run(binary, rounds).await
 }
 
 /// Runs the measurements of a gateway and prints them.
 ///
 /// # Errors
 ///
-/// When the product is not built beside this program, or a call fails.
+/// When the binary is not built beside this program, or a call fails.
 pub async fn run_gateway(options: MeasureOptions) -> eyre::Result<()> {
-    let product = product_path()?;
+    let binary = server_binary()?;
     let mut signals = ShutdownSignals::catch()?;
     tokio::select! {
-        measured = gateway::run(&product, options.rounds) => measured,
+        measured = gateway::run(&binary, options.rounds) => measured,
         () = signals.wait() => eyre::bail!("interrupted"),
     }
 }
@@ -54,20 +54,20 @@
 ///
 /// # Errors
 ///
-/// When the product is not built beside this program, or a reading fails.
+/// When the binary is not built beside this program, or a reading fails.
 pub async fn run_control() -> eyre::Result<()> {
-    control::run(&product_path()?).await
+    control::run(&server_binary()?).await
 }
 
-fn product_path() -> eyre::Result<PathBuf> {
+fn server_binary() -> eyre::Result<PathBuf> {
     let own = std::env::current_exe().wrap_err("this program's own path is unknown")?;
-    let product = own.with_file_name("bramleyspring");
+    let binary = own.with_file_name("bramleyspring");
     eyre::ensure!(
-        product.exists(),
+        binary.exists(),
         "{} is not built: run scripts/measure-path",
-        product.display()
+        binary.display()
     );
-    Ok(product)
+    Ok(binary)
 }
 
 /// Median with the lowest and highest of some rounds.
--- a/crates/standin/src/measure/path.rs
+++ b/crates/standin/src/measure/path.rs
@@ -7,33 +7,33 @@
 use wire::engine::EngineState;
 
 use super::RoundSpread;
-use super::chat::{StreamTimes, open_direct, open_path, read_times};
+use super::chat::{StreamTimes, open_engine_stream, open_entry_stream, read_stream_times};
 use crate::stack::{StackPlan, TestStack};
 
 /// Pairs of streams in a round.
-const PAIRS: usize = 60;
+const PAIRS_PER_ROUND: usize = 60;
 
 /// Tokens of a stream.
-const TOKENS: u32 = 32;
+const TOKENS_PER_STREAM: u32 = 32;
 
 /// Text that stands once in each token's event of a completion.
-pub const PATH_MARK: &str = "\"finish_reason\":null";
+pub const ENTRY_TOKEN_MARKER: &str = "\"finish_reason\":null";
 
 /// Text that stands once in each token's event of an engine.
-const DIRECT_MARK: &str = "\"event\":\"token\"";
+const ENGINE_TOKEN_MARKER: &str = "\"event\":\"token\"";
 
 /// Measures and prints.
 ///
 /// # Errors
 ///
 /// When a stream fails.
-pub async fn run(product: &Path, rounds: usize) -> eyre::Result<()> {
-    let stack = StackPlan::new("measure-path", product)
+pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
+    let stack = StackPlan::new("measure-path", binary)
         .entries(1)
         .step_us(4_000)
         .start()
         .await;
-    let engine = leading_engine(&stack).await?;
+    let engine = leader_engine(&stack).await?;
     let mut added_first = Vec::new();
     let mut first_ratio = Vec::new();
     let mut added_gap = Vec::new();
@@ -45,8 +45,12 @@
         added_gap.push(path.gap - direct.gap);
         gap_ratio.push(path.gap / direct.gap);
     }
-    println!("path against the engine called directly, {rounds} rounds of {PAIRS} pairs,");
-    println!("{TOKENS} tokens each, one stream at a time; median round (lowest to highest)");
+    println!(
+        "path against the engine called directly, {rounds} rounds of {PAIRS_PER_ROUND} pairs,"
+    );
+    println!(
+        "{TOKENS_PER_STREAM} tokens each, one stream at a time; median round (lowest to highest)"
+    );
     let line = |name: &str, added: &[f64], ratio: &[f64]| {
         let (added, ratio) = (RoundSpread::of(added), RoundSpread::of(ratio));
         println!("  {name}: added {added:.3} ms, ratio {ratio:.3}");
@@ -86,19 +90,21 @@
     let entry = stack.entries[0].address;
     let mut path = Vec::new();
     let mut direct = Vec::new();
-    for pair in 0..PAIRS {
+    for pair in 0..PAIRS_PER_ROUND {
         let started = Instant::now();
-        let answer = open_path(stack, entry, TOKENS).await?;
-        path.push(read_times(answer, PATH_MARK, TOKENS, started).await?);
+        let answer = open_entry_stream(stack, entry, TOKENS_PER_STREAM).await?;
+        path.push(read_stream_times(answer, ENTRY_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?);
         let attempt = format!("direct.{round}.{pair}");
         let started = Instant::now();
-        let answer = open_direct(stack, engine, &attempt, TOKENS).await?;
-        direct.push(read_times(answer, DIRECT_MARK, TOKENS, started).await?);
+        let answer = open_engine_stream(stack, engine, &attempt, TOKENS_PER_STREAM).await?;
+        direct.push(
+            read_stream_times(answer, ENGINE_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?,
+        );
     }
     Ok((RoundTimes::of(&path), RoundTimes::of(&direct)))
 }
 
-async fn leading_engine(stack: &TestStack) -> eyre::Result<EngineState> {
+async fn leader_engine(stack: &TestStack) -> eyre::Result<EngineState> {
     let replicas = stack.replica_engines().await;
     let members = replicas.values().next().ok_or_eyre("no replica")?;
     Ok(stack.engine_state(members[0]).await)
--- a/crates/standin/src/measure/process.rs
+++ b/crates/standin/src/measure/process.rs
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// When there is no such process.
-pub fn processor_seconds(pid: u32) -> eyre::Result<f64> {
+pub fn cpu_seconds(pid: u32) -> eyre::Result<f64> {
     let text = proc_file(pid, "stat")?;
     let (_, fields) = text.rsplit_once(')').ok_or_eyre("no process stat")?;
     let fields: Vec<&str> = fields.split_whitespace().collect();
--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -14,15 +14,15 @@
 use crate::options::QuickstartOptions;
 use crate::stack::{OPERATOR_KEY, StackPlan, StackProcess, TestStack};
 
-const PROCESSES: &str = "processes.json";
-const CALLERS: &str = "callers.json";
+const PROCESSES_FILE: &str = "processes.json";
+const CALLERS_FILE: &str = "callers.json";
 
 /// No balancer has to notice that these entries stop, so that a newcomer need not wait for it.
-const NO_BALANCER_GRACE: &str = "200ms";
+const DRAIN_GRACE: &str = "200ms";
 
 /// One process, as `processes.json` lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-struct ProcessEntry {
+struct ProcessInfo {
     name: String,
     role: &'static str,
     pid: u32,
@@ -40,7 +40,7 @@
 
 /// What a caller needs, as `callers.json` holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-struct CallerSheet {
+struct CallerInfo {
     entries: Vec<EntryAddress>,
     customer_key: String,
     operator_key: String,
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// When the product is not built beside this program, or a call fails.
+/// When the binary is not built beside this program, or a call fails.
 pub async fn run(options: QuickstartOptions) -> eyre::Result<()> {
     let mut signals = ShutdownSignals::catch()?;
     let deployment = options.deployment;
@@ -62,42 +62,42 @@
         () = signals.wait() => return Ok(()),
     };
     let callers = deployment.callers()?;
-    let tried = tokio::select! {
-        tried = try_calls(&stack, deployment, &callers) => tried,
+    let result = tokio::select! {
+        result = try_calls(&stack, deployment, &callers) => result,
         () = signals.wait() => Ok(()),
     };
-    if options.keep && tried.is_ok() {
-        let sheets = write_sheets(&options.folder, &stack, &callers)?;
+    if options.keep && result.is_ok() {
+        let files = write_info_files(&options.folder, &stack, &callers)?;
         println!(
             "\nrunning until interrupted; see {}",
             options.folder.display()
         );
         signals.wait().await;
-        for sheet in sheets {
-            let _ = std::fs::remove_file(sheet);
+        for file in files {
+            let _ = std::fs::remove_file(file);
         }
     }
     stack.stop();
     println!("everything is stopped");
-    tried
+    result
 }
 
 async fn start(deployment: Deployment) -> eyre::Result<TestStack> {
     let own = std::env::current_exe().wrap_err("this program's own path is unknown")?;
-    let product = own.with_file_name("bramleyspring");
+    let binary = own.with_file_name("bramleyspring");
     eyre::ensure!(
-        product.exists(),
+        binary.exists(),
         "{} is not built: run scripts/quickstart",
-        product.display()
+        binary.display()
     );
     println!("starting two replicas of four hosts, three service instances and three entries");
-    let stack = StackPlan::new("quickstart", product)
+    let stack = StackPlan::new("quickstart", binary)
         .deployment(deployment)
         .services(3)
         .fabrics(2)
         .domains(&deployment.domains())
         .weights(&[])
-        .settings("entry", json!({ "drain_grace": NO_BALANCER_GRACE }))
+        .settings("entry", json!({ "drain_grace": DRAIN_GRACE }))
         .start()
         .await;
     println!("every entry serves");
@@ -135,16 +135,16 @@
     let answer = stack.open(0, "/v1/chat/completions", &[], &body).await?;
     let status = answer.status();
     let mut body = answer.into_body();
-    let mut whole = Vec::new();
+    let mut received = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
         std::io::stdout().write_all(&data)?;
-        whole.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
     eyre::ensure!(status.is_success(), "the completion was refused: {status}");
-    let text = String::from_utf8_lossy(&whole);
+    let text = String::from_utf8_lossy(&received);
     eyre::ensure!(
         text.trim_end().ends_with("data: [DONE]"),
         "the stream did not end whole"
@@ -152,29 +152,30 @@
     Ok(())
 }
 
-fn write_sheets(
+fn write_info_files(
     folder: &Path,
     stack: &TestStack,
     callers: &CallerConfig,
 ) -> eyre::Result<[PathBuf; 2]> {
     std::fs::create_dir_all(folder).wrap_err_with(|| format!("can't make {}", folder.display()))?;
-    let processes = folder.join(PROCESSES);
-    let sheet = folder.join(CALLERS);
-    write_json(&sheet, &caller_sheet(stack, callers)?)?;
-    write_json(&processes, &process_entries(stack))?;
-    Ok([processes, sheet])
+    let processes = folder.join(PROCESSES_FILE);
+    let file = folder.join(CALLERS_FILE);
+    write_json(&file, &caller_info(stack, callers)?)?;
+    write_json(&processes, &process_infos(stack))?;
+    Ok([processes, file])
 }
 
 /// Writes beside and renames, so that a reader who waits for the file never sees half of it.
 fn write_json<T: Serialize>(path: &Path, value: &T) -> eyre::Result<()> {
-    let fresh = path.with_extension("new");
+    let temporary = path.with_extension("new");
     let text = serde_json::to_string_pretty(value)?;
-    std::fs::write(&fresh, text).wrap_err_with(|| format!("can't write {}", fresh.display()))?;
-    std::fs::rename(&fresh, path).wrap_err_with(|| format!("can't write {}", path.display()))
+    std::fs::write(&temporary, text)
+        .wrap_err_with(|| format!("can't write {}", temporary.display()))?;
+    std::fs::rename(&temporary, path).wrap_err_with(|| format!("can't write {}", path.display()))
 }
 
-fn process_entries(stack: &TestStack) -> Vec<ProcessEntry> {
-    let entry = |role: &'static str, process: &StackProcess| ProcessEntry {
+fn process_infos(stack: &TestStack) -> Vec<ProcessInfo> {
+    let entry = |role: &'static str, process: &StackProcess| ProcessInfo {
         name: process.name.clone(),
         role,
         pid: process.pid(),
@@ -202,7 +203,7 @@
     entries
 }
 
-fn caller_sheet(stack: &TestStack, callers: &CallerConfig) -> eyre::Result<CallerSheet> {
+fn caller_info(stack: &TestStack, callers: &CallerConfig) -> eyre::Result<CallerInfo> {
     let customer = callers
         .customers
         .first()
@@ -217,7 +218,7 @@
             admin: process.admin_blocking().to_string(),
         })
         .collect();
-    Ok(CallerSheet {
+    Ok(CallerInfo {
         entries,
         customer_key: customer.key.clone(),
         operator_key: OPERATOR_KEY.to_owned(),
--- a/crates/standin/src/rows.rs
+++ b/crates/standin/src/rows.rs
@@ -58,12 +58,12 @@
         let mut conflicts = Vec::new();
         for (key, expect, _) in &batch.writes {
             let row = self.rows.get(key);
-            let holds = match expect {
+            let matches = match expect {
                 RowExpectation::Any => true,
                 RowExpectation::Absent => row.is_none(),
                 RowExpectation::Version(version) => row.is_some_and(|row| row.version == *version),
             };
-            if !holds {
+            if !matches {
                 conflicts.push(RowConflict {
                     key: key.clone(),
                     row: row.cloned(),
--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -11,7 +11,7 @@
 
 use super::groups::{EngineState, SiteGroups};
 use super::http::{
-    ConnectionLossGuard, SiteAnswer, SiteRequest, SiteServer, json as json_response, plain,
+    ConnectionLossGuard, SiteRequest, SiteResponse, SiteServer, json_response, text_response,
 };
 use super::stream::StreamRun;
 
@@ -72,7 +72,7 @@
             events: 12,
             running: 0,
             cancelled: None,
-            ran: Vec::new(),
+            executed: Vec::new(),
             crash: Arc::clone(&server.crash),
         };
         self.lock().insert(id.to_owned(), state);
@@ -147,14 +147,16 @@
     #[must_use]
     pub fn execution_count(&self, request: &str) -> usize {
         let engines = self.lock();
-        let ran = engines.values().flat_map(|engine| &engine.ran);
+        let ran = engines.values().flat_map(|engine| &engine.executed);
         ran.filter(|id| *id == request).count()
     }
 
     /// Whether a request began to run at an engine.
     #[must_use]
     pub fn ran_at(&self, id: &str, request: &str) -> bool {
-        let ran = self.with(id, |engine| engine.ran.iter().any(|ran| ran == request));
+        let ran = self.with(id, |engine| {
+            engine.executed.iter().any(|ran| ran == request)
+        });
         ran.unwrap_or(false)
     }
 
@@ -175,20 +177,20 @@
     }
 
     /// Writes what an engine says now into its entry, if it has one.
-    pub(super) fn renew(&self, id: &str) {
+    pub(super) fn refresh_entry(&self, id: &str) {
         if self.with(id, |engine| engine.listed) == Some(true) {
             self.register(id);
         }
     }
 
-    async fn answer(&self, id: &str, request: SiteRequest) -> SiteAnswer {
+    async fn answer(&self, id: &str, request: SiteRequest) -> SiteResponse {
         let unresponsive = self.with(id, |engine| engine.unresponsive).unwrap_or(true);
         if unresponsive {
             std::future::pending::<()>().await;
         }
         let expected = request.header("x-expect-instance");
         if !expected.is_empty() && expected != id {
-            return plain(StatusCode::MISDIRECTED_REQUEST, "");
+            return text_response(StatusCode::MISDIRECTED_REQUEST, "");
         }
         match request.path.as_str() {
             "/report" => {
@@ -204,26 +206,26 @@
         }
     }
 
-    fn generate(&self, id: &str, request: &SiteRequest) -> SiteAnswer {
+    fn generate(&self, id: &str, request: &SiteRequest) -> SiteResponse {
         let group = self.with(id, |engine| engine.group.clone()).flatten();
         let open = group.filter(|group| group.rank == 0 && group.state == "open");
         let Some(group) = open else {
-            return not_run(StatusCode::MISDIRECTED_REQUEST);
+            return not_executed(StatusCode::MISDIRECTED_REQUEST);
         };
-        if !self.is_whole(&group)
+        if !self.is_complete(&group)
             && group
                 .members
                 .iter()
-                .any(|member| self.is_elsewhere(member, &group))
+                .any(|member| self.is_in_other_group(member, &group))
         {
-            self.violate(format!(
+            self.record_violation(format!(
                 "{} took a request while a host was in another",
                 group.name
             ));
         }
         let request_id = request.header("x-request-id").to_owned();
         self.with(id, |engine| {
-            engine.ran.push(request_id.clone());
+            engine.executed.push(request_id.clone());
             engine.running += 1;
         });
         let first: usize = request.header("last-event-id").parse().unwrap_or(0);
@@ -234,8 +236,8 @@
             group,
             next: first + 1,
             last: events,
-            ends_engine: holds(&request.body, CRASH_BODY),
-            began: false,
+            crashes_engine: contains(&request.body, CRASH_BODY),
+            started: false,
         };
         let frames = stream::unfold(run, |mut run| async move {
             let frame = run.event().await?;
@@ -255,7 +257,7 @@
     }
 }
 
-pub(super) fn holds(body: &[u8], part: &[u8]) -> bool {
+pub(super) fn contains(body: &[u8], part: &[u8]) -> bool {
     body.windows(part.len()).any(|window| window == part)
 }
 
@@ -274,8 +276,8 @@
     })
 }
 
-fn not_run(status: StatusCode) -> SiteAnswer {
-    let mut answer = plain(status, "");
+fn not_executed(status: StatusCode) -> SiteResponse {
+    let mut answer = text_response(status, "");
     let headers = answer.headers_mut();
     headers.insert("x-not-executed", HeaderValue::from_static("1"));
     answer
--- a/crates/standin/src/site/groups.rs
+++ b/crates/standin/src/site/groups.rs
@@ -37,7 +37,7 @@
     /// Replica whose requests were cancelled here.
     pub cancelled: Option<String>,
     /// Ids of requests that began to run here.
-    pub ran: Vec<String>,
+    pub executed: Vec<String>,
     /// Ends its process.
     pub crash: Arc<Notify>,
 }
@@ -69,10 +69,10 @@
     pub(super) fn with<R>(
         &self,
         id: &str,
-        use_it: impl FnOnce(&mut EngineState) -> R,
+        update: impl FnOnce(&mut EngineState) -> R,
     ) -> Option<R> {
         let mut engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
-        engines.get_mut(id).map(use_it)
+        engines.get_mut(id).map(update)
     }
 
     pub(super) fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, EngineState>> {
@@ -85,7 +85,7 @@
     }
 
     /// Whether all members of a head's group live and are in it.
-    pub(super) fn is_whole(&self, group: &Group) -> bool {
+    pub(super) fn is_complete(&self, group: &Group) -> bool {
         let engines = self.lock();
         group.members.iter().all(|member| {
             let engine = engines.get(member).filter(|engine| !engine.unresponsive);
@@ -94,12 +94,12 @@
         })
     }
 
-    pub(super) fn is_elsewhere(&self, member: &str, group: &Group) -> bool {
+    pub(super) fn is_in_other_group(&self, member: &str, group: &Group) -> bool {
         let own = self.with(member, |engine| engine.group.clone()).flatten();
         own.is_some_and(|own| own.name != group.name)
     }
 
-    pub(super) fn violate(&self, text: String) {
+    pub(super) fn record_violation(&self, text: String) {
         let violations = self.violations.lock();
         violations
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -19,7 +19,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 pub(super) type SiteBody = UnsyncBoxBody<Bytes, std::io::Error>;
-pub(super) type SiteAnswer = Response<SiteBody>;
+pub(super) type SiteResponse = Response<SiteBody>;
 
 /// A request with its whole body.
 #[derive(Debug)]
@@ -51,16 +51,16 @@
 
 /// Marks an answer after which the connection is closed without a word.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CloseAfter;
+pub(super) struct CloseAfterResponse;
 
 /// Time from such an answer to the close; the answer is written in it.
-const CLOSE_PAUSE: Duration = Duration::from_millis(15);
+const CLOSE_DELAY: Duration = Duration::from_millis(15);
 
 /// Connections that wait to be taken; few, so that the queue can be filled.
 const BACKLOG: u32 = 64;
 
 /// Time after which a connection that is not made shows that the queue is full.
-const QUEUE_FULL: Duration = Duration::from_millis(100);
+const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// New connections to a server are lost until it is dropped.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
     pub fn start<H, F>(handler: H) -> std::io::Result<Self>
     where
         H: Fn(SiteRequest) -> F + Clone + Send + 'static,
-        F: Future<Output = SiteAnswer> + Send + 'static,
+        F: Future<Output = SiteResponse> + Send + 'static,
     {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -146,7 +146,7 @@
         let mut queued = Vec::new();
         loop {
             let connecting = TcpStream::connect(self.address);
-            match tokio::time::timeout(QUEUE_FULL, connecting).await {
+            match tokio::time::timeout(QUEUE_FULL_TIMEOUT, connecting).await {
                 Ok(Ok(stream)) => queued.push(stream),
                 Ok(Err(_)) | Err(_) => break,
             }
@@ -163,11 +163,11 @@
     }
 }
 
-/// Serves one connection; after an answer marked [`CloseAfter`] it is closed, as if for its age.
+/// Serves one connection; after an answer marked [`CloseAfterResponse`] it is closed, as if for its age.
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(SiteRequest) -> F + Clone + Send + 'static,
-    F: Future<Output = SiteAnswer> + Send + 'static,
+    F: Future<Output = SiteResponse> + Send + 'static,
 {
     let close = Arc::new(Notify::new());
     let marked = Arc::clone(&close);
@@ -175,7 +175,7 @@
         let (handler, marked) = (handler.clone(), Arc::clone(&marked));
         async move {
             let answer = answer(handler, request).await;
-            if answer.extensions().get::<CloseAfter>().is_some() {
+            if answer.extensions().get::<CloseAfterResponse>().is_some() {
                 marked.notify_one();
             }
             Ok::<_, Infallible>(answer)
@@ -188,20 +188,20 @@
         ended = connection.as_mut() => drop(ended),
         () = async {
             close.notified().await;
-            tokio::time::sleep(CLOSE_PAUSE).await;
+            tokio::time::sleep(CLOSE_DELAY).await;
         } => {}
     }
 }
 
-async fn answer<H, F>(handler: H, request: Request<Incoming>) -> SiteAnswer
+async fn answer<H, F>(handler: H, request: Request<Incoming>) -> SiteResponse
 where
     H: Fn(SiteRequest) -> F,
-    F: Future<Output = SiteAnswer>,
+    F: Future<Output = SiteResponse>,
 {
     let (head, body) = request.into_parts();
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return plain(StatusCode::BAD_REQUEST, ""),
+        Err(_) => return text_response(StatusCode::BAD_REQUEST, ""),
     };
     handler(SiteRequest {
         path: head.uri.path().to_owned(),
@@ -218,12 +218,12 @@
         .boxed_unsync()
 }
 
-pub(super) fn plain(status: StatusCode, text: &str) -> SiteAnswer {
+pub(super) fn text_response(status: StatusCode, text: &str) -> SiteResponse {
     let mut answer = Response::new(full(text.to_owned()));
     *answer.status_mut() = status;
     answer
 }
 
-pub(super) fn json(value: &serde_json::Value) -> SiteAnswer {
-    plain(StatusCode::OK, &value.to_string())
+pub(super) fn json_response(value: &serde_json::Value) -> SiteResponse {
+    text_response(StatusCode::OK, &value.to_string())
 }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -7,12 +7,12 @@
 mod groups;
 mod http;
 mod orders;
-mod plain;
+mod service;
 mod store;
 mod stream;
 
 pub use engine::{CRASH_BODY, SiteEngine};
 pub use groups::SiteGroups;
 pub use http::ConnectionLossGuard;
-pub use plain::{ServiceMode, SiteInstance};
+pub use service::{ServiceMode, SiteInstance};
 pub use store::{SiteStore, StoreMode};
--- a/crates/standin/src/site/orders.rs
+++ b/crates/standin/src/site/orders.rs
@@ -6,25 +6,25 @@
 use serde_json::{Value, json};
 
 use super::groups::{Group, SiteGroups};
-use super::http::{SiteAnswer, SiteRequest, plain};
+use super::http::{SiteRequest, SiteResponse, text_response};
 
 /// Time for a join; a spare that held the model and one that did not take the same here.
-const JOIN_TIME: Duration = Duration::from_millis(60);
+const JOIN_DURATION: Duration = Duration::from_millis(60);
 
 /// Time from the order to open until the head serves.
-const OPEN_TIME: Duration = Duration::from_millis(60);
+const OPEN_DURATION: Duration = Duration::from_millis(60);
 
 impl SiteGroups {
-    pub(super) fn order(&self, id: &str, request: &SiteRequest) -> SiteAnswer {
+    pub(super) fn order(&self, id: &str, request: &SiteRequest) -> SiteResponse {
         let Ok(order) = serde_json::from_slice::<Value>(&request.body) else {
-            return plain(StatusCode::BAD_REQUEST, "");
+            return text_response(StatusCode::BAD_REQUEST, "");
         };
         let accepted = self.with(id, |engine| engine.orders).unwrap_or(0);
         if order["precondition"]
             .as_u64()
             .is_some_and(|expected| expected != accepted)
         {
-            return plain(StatusCode::CONFLICT, "");
+            return text_response(StatusCode::CONFLICT, "");
         }
         let status = match order["operation"].as_str() {
             Some("join") => self.join(id, &order),
@@ -34,8 +34,8 @@
             Some("stage") => self.stage(id, &order),
             _ => StatusCode::BAD_REQUEST,
         };
-        self.renew(id);
-        plain(status, "")
+        self.refresh_entry(id);
+        text_response(status, "")
     }
 
     fn is_serving_group(&self, group: &Group) -> bool {
@@ -60,7 +60,7 @@
         };
         let old = self.with(id, |engine| engine.group.clone()).flatten();
         if let Some(old) = old.filter(|old| self.is_serving_group(old)) {
-            self.violate(format!(
+            self.record_violation(format!(
                 "{id} joined {} while {} was open",
                 text("group"),
                 old.name
@@ -78,7 +78,7 @@
                 state: "joining",
             });
         });
-        self.later(id, JOIN_TIME, "joining", "ready");
+        self.set_state_after(id, JOIN_DURATION, "joining", "ready");
         StatusCode::ACCEPTED
     }
 
@@ -91,17 +91,17 @@
     }
 
     fn open(&self, id: &str, order: &Value) -> StatusCode {
-        let fits = self.with(id, |engine| {
-            let fits = engine.group.as_ref().is_some_and(|group| {
+        let accepted = self.with(id, |engine| {
+            let accepted = engine.group.as_ref().is_some_and(|group| {
                 order["group"] == json!(group.name) && group.state == "ready" && group.rank == 0
             });
-            engine.orders += u64::from(fits);
-            fits
+            engine.orders += u64::from(accepted);
+            accepted
         });
-        if fits != Some(true) {
+        if accepted != Some(true) {
             return StatusCode::CONFLICT;
         }
-        self.later(id, OPEN_TIME, "ready", "open");
+        self.set_state_after(id, OPEN_DURATION, "ready", "open");
         StatusCode::ACCEPTED
     }
 
@@ -114,8 +114,8 @@
             if order["close_mode"] == "cancel" {
                 engine.cancelled = Some(group.name.clone());
             }
-            let waits = engine.running > 0 && order["close_mode"] == "wait";
-            group.state = if waits { "closing" } else { "ready" };
+            let wait = engine.running > 0 && order["close_mode"] == "wait";
+            group.state = if wait { "closing" } else { "ready" };
             engine.orders += 1;
             Some(())
         });
@@ -126,7 +126,7 @@
     }
 
     /// Notes the end of a stream; a head that was closing is done with its last one.
-    pub(super) fn end_run(&self, id: &str) {
+    pub(super) fn end_stream(&self, id: &str) {
         let closed = self.with(id, |engine| {
             engine.running -= 1;
             let idle = engine.running == 0;
@@ -135,7 +135,7 @@
             closing.map(|group| group.state = "ready").is_some()
         });
         if closed == Some(true) {
-            self.renew(id);
+            self.refresh_entry(id);
         }
     }
 
@@ -150,7 +150,7 @@
         StatusCode::OK
     }
 
-    fn later(&self, id: &str, time: Duration, from: &'static str, to: &'static str) {
+    fn set_state_after(&self, id: &str, time: Duration, from: &'static str, to: &'static str) {
         let (groups, id) = (self.clone(), id.to_owned());
         let name = self.group_name(&id);
         tokio::spawn(async move {
@@ -163,7 +163,7 @@
                     group.state = to;
                 }
             });
-            groups.renew(&id);
+            groups.refresh_entry(&id);
         });
     }
 }
--- a/crates/standin/src/site/plain.rs
+++ b/crates/standin/src/site/service.rs
@@ -8,19 +8,19 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-use super::engine::{CRASH_BODY, holds};
-use super::http::{CloseAfter, SiteAnswer, SiteRequest, SiteServer, plain};
+use super::engine::{CRASH_BODY, contains};
+use super::http::{CloseAfterResponse, SiteRequest, SiteResponse, SiteServer, text_response};
 use super::store::SiteStore;
 
 /// Time that a slow instance takes for a call.
-const SLOW_TIME: Duration = Duration::from_millis(40);
+const SLOW_DELAY: Duration = Duration::from_millis(40);
 
 /// How an instance behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceMode {
     /// It answers.
     Healthy,
-    /// It answers after [`SLOW_TIME`].
+    /// It answers after [`SLOW_DELAY`].
     Slow,
     /// It says that it is full.
     Overloaded,
@@ -37,8 +37,8 @@
 #[derive(Debug)]
 struct InstanceState {
     mode: ServiceMode,
-    ran: Vec<String>,
-    seen: Vec<String>,
+    executed: Vec<String>,
+    received_headers: Vec<String>,
     /// Ends its process.
     crash: Option<Arc<Notify>>,
 }
@@ -59,8 +59,8 @@
     pub fn start(store: &SiteStore, id: &str, zone: &str) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(InstanceState {
             mode: ServiceMode::Healthy,
-            ran: Vec::new(),
-            seen: Vec::new(),
+            executed: Vec::new(),
+            received_headers: Vec::new(),
             crash: None,
         }));
         let shared = Arc::clone(&state);
@@ -84,9 +84,9 @@
         self.server.address
     }
 
-    fn with<R>(&self, use_it: impl FnOnce(&mut InstanceState) -> R) -> R {
+    fn with<R>(&self, update: impl FnOnce(&mut InstanceState) -> R) -> R {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        use_it(&mut state)
+        update(&mut state)
     }
 
     /// Changes how it behaves.
@@ -97,51 +97,53 @@
     /// How often a request ran here.
     #[must_use]
     pub fn execution_count(&self, request: &str) -> usize {
-        self.with(|state| state.ran.iter().filter(|id| *id == request).count())
+        self.with(|state| state.executed.iter().filter(|id| *id == request).count())
     }
 
     /// Headers of the requests that came, one text each.
     #[must_use]
     pub fn received_headers(&self) -> Vec<String> {
-        self.with(|state| state.seen.clone())
+        self.with(|state| state.received_headers.clone())
     }
 }
 
-fn end_process(state: &Mutex<InstanceState>) {
+fn crash_process(state: &Mutex<InstanceState>) {
     let state = state.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(crash) = &state.crash {
         crash.notify_one();
     }
 }
 
-async fn answer(state: &Mutex<InstanceState>, request: SiteRequest) -> SiteAnswer {
+async fn answer(state: &Mutex<InstanceState>, request: SiteRequest) -> SiteResponse {
     let id = request.header("x-request-id").to_owned();
     let mode = {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.seen.push(format!("{:?}", request.headers));
+        state
+            .received_headers
+            .push(format!("{:?}", request.headers));
         if state.mode != ServiceMode::Overloaded {
-            state.ran.push(id.clone());
+            state.executed.push(id.clone());
         }
         state.mode
     };
-    if holds(&request.body, CRASH_BODY) {
-        end_process(state);
+    if contains(&request.body, CRASH_BODY) {
+        crash_process(state);
         std::future::pending::<()>().await;
     }
     let mut answer = match mode {
         ServiceMode::Healthy | ServiceMode::WrongRequestId | ServiceMode::ClosesConnection => {
-            plain(StatusCode::OK, "receipt")
+            text_response(StatusCode::OK, "receipt")
         }
         ServiceMode::Slow => {
-            tokio::time::sleep(SLOW_TIME).await;
-            plain(StatusCode::OK, "receipt")
+            tokio::time::sleep(SLOW_DELAY).await;
+            text_response(StatusCode::OK, "receipt")
         }
-        ServiceMode::Overloaded => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
+        ServiceMode::Overloaded => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
         ServiceMode::Unresponsive => std::future::pending().await,
-        ServiceMode::Failing => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        ServiceMode::Failing => text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
     };
     if mode == ServiceMode::ClosesConnection {
-        answer.extensions_mut().insert(CloseAfter);
+        answer.extensions_mut().insert(CloseAfterResponse);
     }
     let headers = answer.headers_mut();
     if mode == ServiceMode::Overloaded {
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use super::http::{SiteAnswer, SiteRequest, SiteServer, json as json_response, plain};
+use super::http::{SiteRequest, SiteResponse, SiteServer, json_response, text_response};
 
 /// How the store answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 struct StoreState {
     rows: BTreeMap<RowKey, (Option<Vec<u8>>, u64)>,
     version: u64,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Changes up to this version are compacted.
+    compacted_version: u64,
     mode: StoreMode,
     calls: u64,
 }
@@ -51,7 +51,7 @@
             state: Arc::new(Mutex::new(StoreState {
                 rows: BTreeMap::new(),
                 version: 1,
-                forgotten: 0,
+                compacted_version: 0,
                 mode: StoreMode::Healthy,
                 calls: 0,
             })),
@@ -120,7 +120,7 @@
 
     /// Forgets the history of changes.
     pub fn compact(&self) {
-        self.with(|state| state.forgotten = state.version);
+        self.with(|state| state.compacted_version = state.version);
         self.changed.notify_waiters();
     }
 
@@ -130,7 +130,7 @@
         self.with(|state| state.calls)
     }
 
-    async fn answer(&self, request: SiteRequest) -> SiteAnswer {
+    async fn answer(&self, request: SiteRequest) -> SiteResponse {
         let mode = self.with(|state| {
             state.calls += 1;
             state.mode
@@ -138,17 +138,17 @@
         match mode {
             StoreMode::Healthy => {}
             StoreMode::Unresponsive => std::future::pending().await,
-            StoreMode::Unavailable => return plain(StatusCode::SERVICE_UNAVAILABLE, ""),
+            StoreMode::Unavailable => return text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
         }
         match request.path.as_str() {
             "/rows-get" => self.get(&request),
             "/rows-feed" => self.feed(&request).await,
             "/rows-tx" => self.transact(&request),
-            _ => plain(StatusCode::NOT_FOUND, ""),
+            _ => text_response(StatusCode::NOT_FOUND, ""),
         }
     }
 
-    fn get(&self, request: &SiteRequest) -> SiteAnswer {
+    fn get(&self, request: &SiteRequest) -> SiteResponse {
         let table = request.query("table").unwrap_or_default();
         let from = request.query("from").unwrap_or_default();
         let limit: usize = request
@@ -156,12 +156,12 @@
             .and_then(|limit| limit.parse().ok())
             .unwrap_or(500);
         let rows = self.rows(|(name, key), row| *name == table && row.0.is_some() && *key >= from);
-        let more = rows.len() > limit;
+        let has_more = rows.len() > limit;
         let rows: Vec<Value> = rows.into_iter().take(limit).collect();
-        self.page(&rows, more)
+        self.page(&rows, has_more)
     }
 
-    async fn feed(&self, request: &SiteRequest) -> SiteAnswer {
+    async fn feed(&self, request: &SiteRequest) -> SiteResponse {
         let number = |name| {
             request
                 .query(name)
@@ -172,12 +172,13 @@
         let deadline = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
         loop {
             let changed = self.changed.notified();
-            let (forgotten, mode) = self.with(|state| (state.forgotten, state.mode));
+            let (compacted_version, mode) =
+                self.with(|state| (state.compacted_version, state.mode));
             if mode == StoreMode::Unresponsive {
                 std::future::pending::<()>().await;
             }
-            if after < forgotten {
-                return plain(StatusCode::GONE, "");
+            if after < compacted_version {
+                return text_response(StatusCode::GONE, "");
             }
             let rows = self.rows(|(name, _), row| *name == table && row.1 > after);
             if !rows.is_empty() || Instant::now() >= deadline {
@@ -189,14 +190,14 @@
         }
     }
 
-    fn transact(&self, request: &SiteRequest) -> SiteAnswer {
+    fn transact(&self, request: &SiteRequest) -> SiteResponse {
         let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
-            return plain(StatusCode::BAD_REQUEST, "");
+            return text_response(StatusCode::BAD_REQUEST, "");
         };
         for put in body["puts"].as_array().into_iter().flatten() {
             let text = |name: &str| put[name].as_str().unwrap_or_default().to_owned();
             let Ok(value) = STANDARD.decode(text("value")) else {
-                return plain(StatusCode::BAD_REQUEST, "");
+                return text_response(StatusCode::BAD_REQUEST, "");
             };
             self.put(&text("table"), &text("key"), &value);
         }
@@ -221,11 +222,11 @@
         })
     }
 
-    fn page(&self, rows: &[Value], more: bool) -> SiteAnswer {
+    fn page(&self, rows: &[Value], has_more: bool) -> SiteResponse {
         let now = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
         let version = self.with(|state| state.version);
         json_response(&json!({
-            "rows": rows, "has_more": more, "row_version": version, "now_ms": now,
+            "rows": rows, "has_more": has_more, "row_version": version, "now_ms": now,
         }))
     }
 }
--- a/crates/standin/src/site/stream.rs
+++ b/crates/standin/src/site/stream.rs
@@ -8,10 +8,10 @@
 use super::groups::{Group, SiteGroups};
 
 /// Pause between two events of a stream.
-const EVENT_PAUSE: Duration = Duration::from_millis(40);
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time after which a head that misses a member breaks.
-const STALL_TIME: Duration = Duration::from_secs(4);
+const STALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A stream in progress.
 pub(super) struct StreamRun {
@@ -21,9 +21,9 @@
     pub next: usize,
     pub last: usize,
     /// Whether its request ends the engine after the first event.
-    pub ends_engine: bool,
+    pub crashes_engine: bool,
     /// Whether its first event was written.
-    pub began: bool,
+    pub started: bool,
 }
 
 impl StreamRun {
@@ -31,15 +31,15 @@
         if self.next > self.last {
             return None;
         }
-        tokio::time::sleep(EVENT_PAUSE).await;
-        let began = Instant::now();
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        let wait_started = Instant::now();
         // Without a member nothing moves; its own process may be gone as well.
-        while !self.groups.is_whole(&self.group) {
+        while !self.groups.is_complete(&self.group) {
             let left = self.groups.group_name(&self.id).as_ref() != Some(&self.group.name);
-            if left || began.elapsed() > STALL_TIME {
+            if left || wait_started.elapsed() > STALL_TIMEOUT {
                 return Some(Err(std::io::Error::other("the replica broke")));
             }
-            tokio::time::sleep(EVENT_PAUSE).await;
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
         let cancelled = self
             .groups
@@ -47,11 +47,11 @@
         if cancelled.flatten().as_ref() == Some(&self.group.name) {
             return Some(Err(std::io::Error::other("the request was cancelled")));
         }
-        if self.ends_engine && self.began {
+        if self.crashes_engine && self.started {
             self.groups.crash(&self.id);
             std::future::pending::<()>().await;
         }
-        self.began = true;
+        self.started = true;
         let id = self.next;
         self.next += 1;
         let event = format!("id: {id}\ndata: piece {id}\n\n");
@@ -61,6 +61,6 @@
 
 impl Drop for StreamRun {
     fn drop(&mut self) {
-        self.groups.end_run(&self.id);
+        self.groups.end_stream(&self.id);
     }
 }
--- a/crates/standin/src/stack/caller.rs
+++ b/crates/standin/src/stack/caller.rs
@@ -8,9 +8,9 @@
 use web::body::full_body;
 use web::{ClientError, read_body};
 
-use super::{POLL, TestStack, WAIT_TIMEOUT};
+use super::{POLL_INTERVAL, TestStack, WAIT_TIMEOUT};
 
-const MAX_BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Bearer key of the example customer.
 pub const CUSTOMER_KEY: &str = "ndiaye-sandaga-desk";
@@ -90,7 +90,7 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
         let address = self.entries[entry].address;
-        let body = read_body(answer.into_body(), MAX_BODY)
+        let body = read_body(answer.into_body(), MAX_BODY_BYTES)
             .await
             .map_err(|error| ClientError::InvalidResponse(address, error))?;
         Ok(CallerResponse {
@@ -133,7 +133,7 @@
                 "entry {entry} serves not: {}",
                 answer.text()
             );
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -15,7 +15,7 @@
 use crate::faults::{FAULTS_PATH, FaultPlan, FaultReport};
 
 /// Largest text of a node's metrics, in bytes.
-const MAX_METRICS: usize = 4 << 20;
+const MAX_METRICS_BYTES: usize = 4 << 20;
 
 impl TestStack {
     async fn get<A: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> A {
@@ -35,7 +35,7 @@
     pub async fn metrics(&self, admin: SocketAddr) -> eyre::Result<String> {
         let request = json_request(Method::GET, admin, "/metrics", None::<&()>)?;
         let answer = self.client.send(admin, request, WAIT_TIMEOUT).await?;
-        let body = read_body(answer.into_body(), MAX_METRICS).await?;
+        let body = read_body(answer.into_body(), MAX_METRICS_BYTES).await?;
         Ok(String::from_utf8(body.to_vec())?)
     }
 
@@ -108,7 +108,7 @@
                     engine.address,
                     "/state",
                     None::<&()>,
-                    super::PROBE,
+                    super::PROBE_TIMEOUT,
                 )
                 .await;
             let Ok(JsonResponse { value, .. }) = answer else {
--- a/crates/standin/src/stack/mod.rs
+++ b/crates/standin/src/stack/mod.rs
@@ -44,11 +44,11 @@
 const KEY_VARIABLE: &str = "BRAMLEYSPRING_KEY";
 const NODES_VARIABLE: &str = "BRAMLEYSPRING_NODES";
 
-const POLL: Duration = Duration::from_millis(50);
-const PROBE: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest wait for a graceful stop.
-const STOP_LIMIT: Duration = Duration::from_secs(15);
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A whole system in processes.
 #[derive(Debug)]
@@ -69,43 +69,43 @@
     pub entries: Vec<StackProcess>,
     /// A caller's client.
     pub client: WebClient,
-    places: Vec<HostPlacement>,
+    placements: Vec<HostPlacement>,
     deployment: Deployment,
     callers: CallerConfig,
     entry_domains: Vec<String>,
     settings: Map<String, Value>,
     peer_addresses: Vec<SocketAddr>,
-    product: PathBuf,
-    folder: PathBuf,
+    binary: PathBuf,
+    directory: PathBuf,
     _permit: SemaphorePermit<'static>,
 }
 
 fn write_hosts(
-    folder: &Path,
+    directory: &Path,
     deployment: Deployment,
     engines: &[StackProcess],
-    places: &[HostPlacement],
+    placements: &[HostPlacement],
     leaving: &[&str],
 ) {
     let region = deployment.region();
     let hosts: Vec<Value> = engines
         .iter()
-        .zip(places)
-        .map(|(engine, place)| {
+        .zip(placements)
+        .map(|(engine, placement)| {
             json!({
-                "host": engine.name, "address": engine.address, "fabric": place.fabric,
-                "domain": place.domain, "region": region,
+                "host": engine.name, "address": engine.address, "fabric": placement.fabric,
+                "domain": placement.domain, "region": region,
                 "leaving": leaving.contains(&engine.name.as_str()),
             })
         })
         .collect();
     let list = json!({ "revision": 1, "hosts": hosts });
-    let written = folder.join("hosts.json.new");
-    std::fs::write(&written, list.to_string()).expect("writable");
-    std::fs::rename(&written, folder.join("hosts.json")).expect("renamable");
+    let temporary = directory.join("hosts.json.new");
+    std::fs::write(&temporary, list.to_string()).expect("writable");
+    std::fs::rename(&temporary, directory.join("hosts.json")).expect("renamable");
 }
 
-fn merge_section(section: &mut Value, values: &Value) {
+fn merge_settings(section: &mut Value, values: &Value) {
     for (key, value) in values.as_object().into_iter().flatten() {
         section[key] = value.clone();
     }
@@ -113,12 +113,12 @@
 
 /// Loopback address of the entries' listeners for peers. Connections within a system start from
 /// 127.0.0.1; on that address one of them could take a free port before its entry listens there.
-const PEER_HOST: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
+const PEER_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
 /// An address with a port that was free a moment ago: entries must know each other's before they
 /// start.
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind((PEER_HOST, 0)).expect("a free port");
+    let listener = TcpListener::bind((PEER_IP, 0)).expect("a free port");
     listener.local_addr().expect("bound")
 }
 
@@ -150,7 +150,7 @@
     pub fn add_entry_with(&mut self, name: &str, patch: &Value) {
         let domain = self.entry_domains[self.entries.len() % self.entry_domains.len()].clone();
         let settings = self.write_settings(name, &domain, patch);
-        let entry = StackProcess::start(name, &self.product, &["serve", "--settings", &settings]);
+        let entry = StackProcess::start(name, &self.binary, &["serve", "--settings", &settings]);
         self.entries.push(entry);
     }
 
@@ -171,19 +171,19 @@
         });
         self.peer_addresses.push(peer_address);
         for (section, values) in &self.settings {
-            merge_section(&mut settings[section], values);
+            merge_settings(&mut settings[section], values);
         }
         for (section, values) in patch.as_object().into_iter().flatten() {
-            merge_section(&mut settings[section], values);
+            merge_settings(&mut settings[section], values);
         }
-        let file = self.folder.join(format!("{name}.json"));
+        let file = self.directory.join(format!("{name}.json"));
         std::fs::write(&file, settings.to_string()).expect("writable");
         file.display().to_string()
     }
 
     /// Writes records with the operators' client.
     pub fn apply(&self, records: &Value) {
-        let path = self.folder.join("records.json");
+        let path = self.directory.join("records.json");
         std::fs::File::create(&path)
             .and_then(|mut file| file.write_all(records.to_string().as_bytes()))
             .expect("writable");
@@ -201,7 +201,7 @@
             .iter()
             .map(|entry| entry.admin_blocking().to_string())
             .collect();
-        let mut command = Command::new(&self.product);
+        let mut command = Command::new(&self.binary);
         command
             .env(NODES_VARIABLE, admins.join(","))
             .env(KEY_VARIABLE, OPERATOR_KEY);
@@ -210,12 +210,12 @@
 
     /// Marks hosts as leaving in the host list.
     pub fn set_leaving(&self, leaving: &[&str]) {
-        let places = &self.places;
+        let placements = &self.placements;
         write_hosts(
-            &self.folder,
+            &self.directory,
             self.deployment,
             &self.engines,
-            places,
+            placements,
             leaving,
         );
     }
@@ -226,7 +226,7 @@
             entry.signal("TERM");
         }
         for entry in &mut self.entries {
-            entry.wait_or_kill(STOP_LIMIT);
+            entry.wait_or_kill(STOP_TIMEOUT);
         }
         self.entries.clear();
         self.engines.clear();
@@ -242,6 +242,6 @@
 
 impl Drop for TestStack {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/standin/src/stack/plan.rs
+++ b/crates/standin/src/stack/plan.rs
@@ -11,7 +11,7 @@
 use super::{StackProcess, TestStack, write_hosts};
 
 /// Whole systems at once, so that a busy machine does not make healthy processes look dead.
-static STACKS: Semaphore = Semaphore::const_new(3);
+static STACK_PERMITS: Semaphore = Semaphore::const_new(3);
 
 /// Where a host stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone)]
 pub struct StackPlan {
     name: String,
-    product: PathBuf,
+    binary: PathBuf,
     engines: usize,
     entries: usize,
     services: usize,
@@ -43,14 +43,14 @@
 }
 
 impl StackPlan {
-    /// Two replicas of four hosts behind three entries that run `product`, the path of the built
+    /// Two replicas of four hosts behind three entries that run `binary`, the path of the built
     /// `bramleyspring`; the built `standin` lies beside it. All stand in one fabric domain and one
     /// failure domain.
     #[must_use]
-    pub fn new(name: &str, product: impl Into<PathBuf>) -> Self {
+    pub fn new(name: &str, binary: impl Into<PathBuf>) -> Self {
         Self {
             name: name.to_owned(),
-            product: product.into(),
+            binary: binary.into(),
             engines: 8,
             entries: 3,
             services: 1,
@@ -159,9 +159,9 @@
         self
     }
 
-    fn place(&self, engine: usize) -> HostPlacement {
-        let run = self.engines.div_ceil(self.fabrics);
-        let fabric = engine / run;
+    fn placement(&self, engine: usize) -> HostPlacement {
+        let hosts_per_fabric = self.engines.div_ceil(self.fabrics);
+        let fabric = engine / hosts_per_fabric;
         HostPlacement {
             fabric: format!("f{fabric}"),
             domain: self.domains[fabric % self.domains.len()].clone(),
@@ -181,14 +181,14 @@
 
     /// Starts everything without any record.
     pub async fn start_without_records(self) -> TestStack {
-        let permit = STACKS.acquire().await.expect("never closed");
-        let folder = self.make_folder();
-        let program = standin_program(&self.product);
+        let permit = STACK_PERMITS.acquire().await.expect("never closed");
+        let directory = self.create_directory();
+        let program = standin_binary(&self.binary);
         let start_standin =
             |name: &str, arguments: &[&str]| StackProcess::start(name, &program, arguments);
         let table = start_standin("table", &["table"]);
         let objects = start_standin("objects", &["objects"]);
-        let book = folder.join("executions").display().to_string();
+        let book = directory.join("executions").display().to_string();
         let services = (0..self.services)
             .map(|number| start_standin(&format!("s{number}"), &["service", "--book", &book]))
             .collect();
@@ -200,7 +200,7 @@
         let store = weights.as_ref().map(|store| store.address.to_string());
         let step = self.step_us.to_string();
         let mut engines = Vec::new();
-        let mut places = Vec::new();
+        let mut placements = Vec::new();
         for number in 0..self.engines {
             let host = format!("h{number:02}");
             let mut arguments = vec!["engine", "--host", &host, "--step-us", &step];
@@ -209,10 +209,10 @@
                 arguments.extend(["--weights", store]);
             }
             engines.push(start_standin(&host, &arguments));
-            places.push(self.place(number));
+            placements.push(self.placement(number));
         }
-        write_hosts(&folder, self.deployment, &engines, &places, &[]);
-        let hosts = folder.join("hosts.json").display().to_string();
+        write_hosts(&directory, self.deployment, &engines, &placements, &[]);
+        let hosts = directory.join("hosts.json").display().to_string();
         let mut arguments = vec!["hostlist", "--hosts", &hosts];
         arguments.extend(self.hostlist_options.iter().map(String::as_str));
         let hostlist = start_standin("hostlist", &arguments);
@@ -225,14 +225,14 @@
             engines,
             entries: Vec::new(),
             client: WebClient::default(),
-            places,
+            placements,
             deployment: self.deployment,
             callers: self.deployment.callers().expect("a sound example"),
             entry_domains: self.domains,
             settings: self.settings,
             peer_addresses: Vec::new(),
-            product: self.product,
-            folder,
+            binary: self.binary,
+            directory,
             _permit: permit,
         };
         for number in 0..self.entries {
@@ -241,16 +241,16 @@
         stack
     }
 
-    fn make_folder(&self) -> PathBuf {
+    fn create_directory(&self) -> PathBuf {
         let name = format!("bramleyspring-{}-{}", self.name, std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a folder for the test");
-        folder
+        let directory = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&directory).expect("a directory for the test");
+        directory
     }
 }
 
-fn standin_program(product: &Path) -> PathBuf {
-    let program = product.with_file_name("standin");
+fn standin_binary(binary: &Path) -> PathBuf {
+    let program = binary.with_file_name("standin");
     assert!(
         program.exists(),
         "{} is not built: run scripts/test",
--- a/crates/standin/src/stack/process.rs
+++ b/crates/standin/src/stack/process.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use super::{
-    OPERATOR_KEY, OPERATOR_VARIABLE, PEER_KEY, PEER_VARIABLE, POLL, RESUME_KEY, RESUME_VARIABLE,
-    WAIT_TIMEOUT,
+    OPERATOR_KEY, OPERATOR_VARIABLE, PEER_KEY, PEER_VARIABLE, POLL_INTERVAL, RESUME_KEY,
+    RESUME_VARIABLE, WAIT_TIMEOUT,
 };
 
 /// One started process; killed when it is dropped.
@@ -39,10 +39,10 @@
             .unwrap_or_else(|error| panic!("{name} does not start: {error}"));
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
         let line = lines.next().expect("a first line").expect("readable");
-        let address = address_in(&line).expect("an address");
+        let address = parse_address(&line).expect("an address");
         let admin = Arc::new(OnceLock::new());
         let found = Arc::clone(&admin);
-        std::thread::spawn(move || watch_lines(lines, &found));
+        std::thread::spawn(move || drain_output(lines, &found));
         Self {
             name: name.to_owned(),
             address,
@@ -72,7 +72,7 @@
                 "{} names no admin address",
                 self.name
             );
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -88,7 +88,7 @@
                 started.elapsed() < WAIT_TIMEOUT,
                 "{name} names no admin address"
             );
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -113,7 +113,7 @@
             if matches!(self.child.try_wait(), Ok(Some(_))) {
                 return;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         self.kill();
     }
@@ -143,14 +143,14 @@
     }
 }
 
-fn address_in(line: &str) -> Option<SocketAddr> {
+fn parse_address(line: &str) -> Option<SocketAddr> {
     line.rsplit(' ').next()?.parse().ok()
 }
 
 /// Reads on, so that the process never blocks on a full pipe.
-fn watch_lines(lines: Lines<BufReader<ChildStdout>>, admin: &OnceLock<SocketAddr>) {
+fn drain_output(lines: Lines<BufReader<ChildStdout>>, admin: &OnceLock<SocketAddr>) {
     for line in lines.map_while(Result::ok) {
-        let Some(address) = address_in(&line) else {
+        let Some(address) = parse_address(&line) else {
             continue;
         };
         if line.contains(" admin listens on ") {
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -31,26 +31,26 @@
 /// The table.
 #[derive(Debug, Default)]
 pub struct TableServer {
-    rows: Mutex<RowStore>,
+    rows: Mutex<TableRows>,
 }
 
 #[derive(Debug, Default)]
-struct RowStore {
+struct TableRows {
     version: u64,
     rows: BTreeMap<String, RowBody>,
 }
 
-impl RowStore {
+impl TableRows {
     fn conflicts(&self, batch: &BatchRequest) -> Vec<RowBody> {
         let mut conflicts = Vec::new();
         for write in &batch.writes {
             let row = self.rows.get(&write.key);
-            let holds = match write.expect {
+            let matches = match write.expect {
                 ExpectBody::Any => true,
                 ExpectBody::Absent => row.is_none(),
                 ExpectBody::Version { version } => row.is_some_and(|row| row.version == version),
             };
-            if holds {
+            if matches {
                 continue;
             }
             conflicts.push(row.cloned().unwrap_or_else(|| absent_row(&write.key)));
@@ -110,22 +110,22 @@
 }
 
 impl TableServer {
-    fn store(&self) -> MutexGuard<'_, RowStore> {
+    fn lock(&self) -> MutexGuard<'_, TableRows> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn read_row(&self, key: &str, request: &Request<Bytes>) -> WebResponse {
-        let store = self.store();
+        let store = self.lock();
         let Some(row) = store.rows.get(key) else {
             return text_response(StatusCode::NOT_FOUND, "no such row");
         };
-        let tag = format!("\"{}\"", row.version);
-        let known = request.headers().get(header::IF_NONE_MATCH);
-        if known.is_some_and(|value| value.as_bytes() == tag.as_bytes()) {
+        let etag = format!("\"{}\"", row.version);
+        let known_etag = request.headers().get(header::IF_NONE_MATCH);
+        if known_etag.is_some_and(|value| value.as_bytes() == etag.as_bytes()) {
             return text_response(StatusCode::NOT_MODIFIED, "");
         }
         let mut answer = json_response(StatusCode::OK, &row.value);
-        if let Ok(value) = HeaderValue::from_str(&tag) {
+        if let Ok(value) = HeaderValue::from_str(&etag) {
             answer.headers_mut().insert(header::ETAG, value);
         }
         if let Ok(value) = HeaderValue::from_str(&row.token) {
@@ -139,7 +139,7 @@
             Ok(batch) => batch,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        let mut store = self.store();
+        let mut store = self.lock();
         let conflicts = store.conflicts(&batch);
         if conflicts.is_empty() {
             let version = store.apply(batch);
@@ -157,7 +157,7 @@
         let limit = query_value(query, "limit")
             .and_then(|text| text.parse().ok())
             .unwrap_or(1000);
-        json_response(StatusCode::OK, &self.store().scan(prefix, after, limit))
+        json_response(StatusCode::OK, &self.lock().scan(prefix, after, limit))
     }
 }
 
