--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -170,12 +170,12 @@
             return unavailable("the queue is full");
         }
         let attempt = request.attempt.clone();
-        let answer = inner.pool.start(request, now);
+        let response = inner.pool.start(request, now);
         if self.faults.plan().fail_streams {
             inner.pool.fail(&attempt, "fails on purpose", now);
         }
         self.wake.notify_one();
-        answer
+        response
     }
 
     /// Goes on with a stream.
@@ -230,11 +230,11 @@
 }
 
 fn unavailable(text: &str) -> WebResponse {
-    let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
-    answer
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
+    response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
-    answer
+    response
 }
 
 /// Follows an order; loading goes on behind the answer.
--- a/crates/standin/src/engine/loading.rs
+++ b/crates/standin/src/engine/loading.rs
@@ -90,12 +90,12 @@
 ) -> Result<(), ClientError> {
     let path = format!("/weights/{}/{}", wanted.model, wanted.version);
     let request = json_request(Method::GET, store, &path, None::<&()>)?;
-    let answer = client.send(store, request, STORE_TIMEOUT).await?;
-    if !answer.status().is_success() {
-        let reason = format!("status {} to weights", answer.status());
+    let response = client.send(store, request, STORE_TIMEOUT).await?;
+    if !response.status().is_success() {
+        let reason = format!("status {} to weights", response.status());
         return Err(ClientError::Broken(store, reason));
     }
-    let mut body = answer.into_body();
+    let mut body = response.into_body();
     while let Some(frame) = body.frame().await {
         frame.map_err(|error| ClientError::Broken(store, error.to_string()))?;
     }
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -82,9 +82,9 @@
         let attempt = request.attempt.clone();
         let from = u32::try_from(request.generated_tokens.len()).unwrap_or(u32::MAX);
         let mut stream = EngineStream::new(request, self.arrivals, now);
-        let answer = stream.attach(from, now);
+        let response = stream.attach(from, now);
         self.streams.insert(attempt, stream);
-        answer
+        response
     }
 
     /// Goes on with a stream that is still kept.
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -111,7 +111,7 @@
         /// Wait before.
         latency: Duration,
         /// Wait behind.
-        answer_latency: Duration,
+        response_latency: Duration,
         /// Whether the connection is closed instead of an answer.
         lost: bool,
     },
@@ -243,7 +243,7 @@
         let lost = write && (decrement(&mut plan.lose_next) || self.random.random_bool(share));
         FaultDecision::Run {
             latency: Duration::from_millis(plan.latency_ms),
-            answer_latency: Duration::from_millis(plan.answer_latency_ms),
+            response_latency: Duration::from_millis(plan.answer_latency_ms),
             lost,
         }
     }
@@ -267,7 +267,7 @@
 fn run_without_faults() -> FaultDecision {
     FaultDecision::Run {
         latency: Duration::ZERO,
-        answer_latency: Duration::ZERO,
+        response_latency: Duration::ZERO,
         lost: false,
     }
 }
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -155,18 +155,18 @@
             first_token: None,
             token_gaps: Vec::new(),
         };
-        let answer = match self
+        let response = match self
             .open(request, "/v1/chat/completions", None, &body)
             .await
         {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(error) if error.is_unsent() => return without_tokens(ChatStatus::Refused),
             Err(_) => return without_tokens(ChatStatus::Failed),
         };
-        if answer.status().is_success() {
-            return read_chat(answer.into_body(), max_tokens, due).await;
+        if response.status().is_success() {
+            return read_chat(response.into_body(), max_tokens, due).await;
         }
-        match read_execution(answer.into_body()).await {
+        match read_execution(response.into_body()).await {
             Some(ExecutionState::NotRun) => without_tokens(ChatStatus::Refused),
             _ => without_tokens(ChatStatus::Failed),
         }
@@ -176,8 +176,8 @@
         let key = format!("{}-{}", self.key_prefix, request.number);
         let path = self.callers.non_repeatable_path();
         let reported = match self.open(request, &path, Some(&key), body).await {
-            Ok(answer) if answer.status().is_success() => ReportedExecution::Ran,
-            Ok(answer) => match read_execution(answer.into_body()).await {
+            Ok(response) if response.status().is_success() => ReportedExecution::Ran,
+            Ok(response) => match read_execution(response.into_body()).await {
                 Some(ExecutionState::Ran) => ReportedExecution::Ran,
                 Some(ExecutionState::NotRun) => ReportedExecution::NotRun,
                 Some(ExecutionState::Unknown) | None => ReportedExecution::Unknown,
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -92,7 +92,7 @@
 }
 
 async fn read_executions(service: SocketAddr) -> eyre::Result<Vec<LookupBody>> {
-    let answer: JsonResponse<Vec<LookupBody>> = WebClient::default()
+    let response: JsonResponse<Vec<LookupBody>> = WebClient::default()
         .json(
             Method::GET,
             service,
@@ -102,7 +102,7 @@
         )
         .await
         .wrap_err("the service does not tell its executions")?;
-    Ok(answer.value)
+    Ok(response.value)
 }
 
 /// Entries and service from the command line, else from the sheets of a kept quickstart.
--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -79,12 +79,12 @@
     ensure_success(stack.client.send(address, request, WAIT_TIMEOUT).await?).await
 }
 
-async fn ensure_success(answer: Response<Incoming>) -> eyre::Result<Response<Incoming>> {
-    let status = answer.status();
+async fn ensure_success(response: Response<Incoming>) -> eyre::Result<Response<Incoming>> {
+    let status = response.status();
     if status.is_success() {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = answer.into_body().collect().await?.to_bytes();
+    let body = response.into_body().collect().await?.to_bytes();
     bail!("{status}: {}", String::from_utf8_lossy(&body))
 }
 
@@ -94,12 +94,12 @@
 ///
 /// When the connection breaks or not all tokens come.
 pub async fn read_stream_times(
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     marker: &str,
     max_tokens: u32,
     started: Instant,
 ) -> eyre::Result<StreamTimes> {
-    let mut body = answer.into_body();
+    let mut body = response.into_body();
     let mut tokens = 0;
     let mut first = None;
     let mut last = started;
--- a/crates/standin/src/measure/cost.rs
+++ b/crates/standin/src/measure/cost.rs
@@ -98,24 +98,24 @@
     let before = cpu_seconds(stack.entries[0].pid())?;
     let end = Instant::now() + ROUND_DURATION;
     let callers = (0..CONCURRENT_STREAMS).map(|_| request_until(stack, max_tokens, end));
-    let answered: u32 = try_join_all(callers).await?.into_iter().sum();
+    let completed: u32 = try_join_all(callers).await?.into_iter().sum();
     let cpu = cpu_seconds(stack.entries[0].pid())? - before;
     Ok(RoundWork {
-        requests: f64::from(answered),
-        tokens: f64::from(answered) * f64::from(max_tokens),
+        requests: f64::from(completed),
+        tokens: f64::from(completed) * f64::from(max_tokens),
         cpu,
     })
 }
 
 async fn request_until(stack: &TestStack, max_tokens: u32, end: Instant) -> eyre::Result<u32> {
     let entry = stack.entries[0].address;
-    let mut answered = 0;
+    let mut completed = 0;
     while Instant::now() < end {
-        let answer = open_entry_stream(stack, entry, max_tokens).await?;
-        read_stream_times(answer, ENTRY_TOKEN_MARKER, max_tokens, Instant::now()).await?;
-        answered += 1;
+        let response = open_entry_stream(stack, entry, max_tokens).await?;
+        read_stream_times(response, ENTRY_TOKEN_MARKER, max_tokens, Instant::now()).await?;
+        completed += 1;
     }
-    Ok(answered)
+    Ok(completed)
 }
 
 /// Opens more and more streams at a fresh entry; KiB for each, from the first to the last count.
@@ -146,13 +146,13 @@
 /// Opens one stream and reads on; the entry has it whole once its first token came.
 async fn open_stream(stack: &TestStack) -> eyre::Result<JoinHandle<()>> {
     let entry = stack.entries[0].address;
-    let mut answer = open_entry_stream(stack, entry, 10_000).await?;
-    let first = answer.body_mut().frame().await;
+    let mut response = open_entry_stream(stack, entry, 10_000).await?;
+    let first = response.body_mut().frame().await;
     first.ok_or_eyre("a stream ended")??;
-    Ok(tokio::spawn(drain(answer)))
+    Ok(tokio::spawn(drain(response)))
 }
 
-async fn drain(answer: http::Response<hyper::body::Incoming>) {
-    let mut body = answer.into_body();
+async fn drain(response: http::Response<hyper::body::Incoming>) {
+    let mut body = response.into_body();
     while let Some(Ok(_)) = body.frame().await {}
 }
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -238,14 +238,18 @@
         .header("x-model", "helper")
         .header("x-token-usage", "100,60")
         .body(Full::new(Bytes::from_static(b"{}")))?;
-    let answer = connection.send(request).await?;
-    eyre::ensure!(answer.status().is_success(), "answered {}", answer.status());
-    Ok(answer)
+    let response = connection.send(request).await?;
+    eyre::ensure!(
+        response.status().is_success(),
+        "answered {}",
+        response.status()
+    );
+    Ok(response)
 }
 
 /// Reads an answer to its end; how many events it held.
-async fn read_events(answer: Response<Incoming>) -> eyre::Result<u32> {
-    let mut body = answer.into_body();
+async fn read_events(response: Response<Incoming>) -> eyre::Result<u32> {
+    let mut body = response.into_body();
     let mut events = 0;
     while let Some(frame) = body.frame().await {
         let data = frame?.into_data().unwrap_or_default();
@@ -275,9 +279,9 @@
         let mut connection = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut calls = 0;
         while Instant::now() < end {
-            let answer =
+            let response =
                 send_request(&mut connection, "/look/x", &format!("p{number}-{calls}")).await?;
-            answer.into_body().collect().await?;
+            response.into_body().collect().await?;
             calls += 1;
         }
         Ok(calls)
@@ -291,9 +295,9 @@
         let mut connection = HttpConnection::connect(address, WAIT_TIMEOUT).await?;
         let mut events = 0;
         while Instant::now() < end {
-            let answer =
+            let response =
                 send_request(&mut connection, "/chat/x", &format!("e{number}-{events}")).await?;
-            events += read_events(answer).await?;
+            events += read_events(response).await?;
         }
         Ok(events)
     })
@@ -306,11 +310,11 @@
     let mut open: Vec<JoinHandle<()>> = Vec::new();
     for number in 0..OPEN_STREAMS {
         let mut connection = HttpConnection::connect(forwarder.address, WAIT_TIMEOUT).await?;
-        let answer = send_request(&mut connection, "/chat/x", &format!("m{number}")).await?;
+        let response = send_request(&mut connection, "/chat/x", &format!("m{number}")).await?;
         open.push(tokio::spawn(async move {
             // The connection must live as long as its answer is read.
             let _connection = connection;
-            drop(read_events(answer).await);
+            drop(read_events(response).await);
         }));
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/standin/src/measure/path.rs
+++ b/crates/standin/src/measure/path.rs
@@ -92,13 +92,15 @@
     let mut direct = Vec::new();
     for pair in 0..PAIRS_PER_ROUND {
         let started = Instant::now();
-        let answer = open_entry_stream(stack, entry, TOKENS_PER_STREAM).await?;
-        path.push(read_stream_times(answer, ENTRY_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?);
+        let response = open_entry_stream(stack, entry, TOKENS_PER_STREAM).await?;
+        path.push(
+            read_stream_times(response, ENTRY_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?,
+        );
         let attempt = format!("direct.{round}.{pair}");
         let started = Instant::now();
-        let answer = open_engine_stream(stack, engine, &attempt, TOKENS_PER_STREAM).await?;
+        let response = open_engine_stream(stack, engine, &attempt, TOKENS_PER_STREAM).await?;
         direct.push(
-            read_stream_times(answer, ENGINE_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?,
+            read_stream_times(response, ENGINE_TOKEN_MARKER, TOKENS_PER_STREAM, started).await?,
         );
     }
     Ok((RoundTimes::of(&path), RoundTimes::of(&direct)))
--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -119,11 +119,11 @@
     let key = format!("quickstart-{}", since_epoch.as_millis());
     let path = callers.non_repeatable_path();
     println!("\nPOST {path}\n{call}");
-    let answer = stack
+    let response = stack
         .try_call(1, &path, &[("idempotency-key", &key)], call)
         .await?;
-    println!("{}: {}", answer.status, answer.text());
-    eyre::ensure!(answer.status.is_success(), "the call was refused");
+    println!("{}: {}", response.status, response.text());
+    eyre::ensure!(response.status.is_success(), "the call was refused");
     Ok(())
 }
 
@@ -132,9 +132,9 @@
         "model": model, "stream": true, "max_tokens": 16,
         "messages": [{ "role": "user", "content": prompt }],
     });
-    let answer = stack.open(0, "/v1/chat/completions", &[], &body).await?;
-    let status = answer.status();
-    let mut body = answer.into_body();
+    let response = stack.open(0, "/v1/chat/completions", &[], &body).await?;
+    let status = response.status();
+    let mut body = response.into_body();
     let mut received = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -66,9 +66,9 @@
 /// Why a request was not relayed; its connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum RelayError {
-    #[error("the request broke off")]
+    #[error("the request body was cut off")]
     Request(#[from] hyper::Error),
-    #[error("the server gave no answer")]
+    #[error("the server did not respond")]
     Server(#[from] ConnectionError),
 }
 
@@ -84,10 +84,10 @@
         Some(connection) => connection,
         None => HttpConnection::connect(server, CONNECT_TIMEOUT).await?,
     };
-    let answer = connection
+    let response = connection
         .send(Request::from_parts(head, Full::new(body)))
         .await?;
-    let (head, body) = answer.into_parts();
+    let (head, body) = response.into_parts();
     let frames = stream::unfold(Some((body, connection)), move |state| {
         let pool = Rc::clone(&pool);
         async move {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -26,7 +26,7 @@
 
 /// The connection is closed without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer is lost on purpose")]
+#[error("the response is dropped by an injected fault")]
 pub struct ResponseDropped;
 
 /// Serves a stand-in until the process is interrupted, and says on standard output where.
@@ -106,7 +106,7 @@
         FaultDecision::Throttle => Ok(throttled()),
         FaultDecision::Run {
             latency,
-            answer_latency,
+            response_latency,
             lost,
         } => {
             // Hyper drops a request's future when its caller hangs up. A real store goes on with
@@ -114,25 +114,25 @@
             let running = tokio::spawn(async move {
                 faults.begin();
                 tokio::time::sleep(latency).await;
-                let answer = handler.handle(request).await;
-                tokio::time::sleep(answer_latency).await;
+                let response = handler.handle(request).await;
+                tokio::time::sleep(response_latency).await;
                 faults.end();
-                answer
+                response
             });
-            let answer = running.await.map_err(|_| ResponseDropped)?;
+            let response = running.await.map_err(|_| ResponseDropped)?;
             if lost {
                 Err(ResponseDropped)
             } else {
-                Ok(answer)
+                Ok(response)
             }
         }
     }
 }
 
 fn throttled() -> WebResponse {
-    let mut answer = text_response(StatusCode::TOO_MANY_REQUESTS, "over the limit");
-    answer
+    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "over the limit");
+    response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
-    answer
+    response
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -105,20 +105,20 @@
     }
 
     /// Notes one execution. A line is one write in append mode, so lines never mix.
-    fn record(&mut self, id: CallId, answer: Value) -> std::io::Result<()> {
+    fn record(&mut self, id: CallId, response: Value) -> std::io::Result<()> {
         let Some(file) = &mut self.file else {
-            self.count(id, answer);
+            self.count(id, response);
             return Ok(());
         };
-        let line = format!("{}\n", json!([id, answer]));
+        let line = format!("{}\n", json!([id, response]));
         file.write_all(line.as_bytes())
     }
 
-    fn count(&mut self, id: CallId, answer: Value) {
+    fn count(&mut self, id: CallId, response: Value) {
         let entry = id.never_executed();
         let entry = self.entries.entry(id).or_insert(entry);
         entry.executions += 1;
-        entry.answer = Some(answer);
+        entry.answer = Some(response);
     }
 
     /// Reads what other instances noted since the last time.
@@ -132,10 +132,10 @@
         let complete = text.rfind('\n').map_or(0, |end| end + 1);
         self.offset += complete as u64;
         for line in text[..complete].lines() {
-            let Ok((id, answer)) = serde_json::from_str::<(CallId, Value)>(line) else {
+            let Ok((id, response)) = serde_json::from_str::<(CallId, Value)>(line) else {
                 continue;
             };
-            self.count(id, answer);
+            self.count(id, response);
         }
         Ok(())
     }
--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -56,7 +56,7 @@
         let name = id.to_owned();
         let server = SiteServer::start(move |request| {
             let (groups, name) = (groups.clone(), name.clone());
-            async move { groups.answer(&name, request).await }
+            async move { groups.handle(&name, request).await }
         })?;
         let state = EngineState {
             fabric: fabric.to_owned(),
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn answer(&self, id: &str, request: SiteRequest) -> SiteResponse {
+    async fn handle(&self, id: &str, request: SiteRequest) -> SiteResponse {
         let unresponsive = self.with(id, |engine| engine.unresponsive).unwrap_or(true);
         if unresponsive {
             std::future::pending::<()>().await;
@@ -243,8 +243,8 @@
             let frame = run.event().await?;
             Some((frame, run))
         });
-        let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
-        let headers = answer.headers_mut();
+        let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
+        let headers = response.headers_mut();
         headers.insert(
             "content-type",
             HeaderValue::from_static("text/event-stream"),
@@ -253,7 +253,7 @@
         if let Ok(value) = HeaderValue::from_str(&request_id) {
             headers.insert("x-request-id", value);
         }
-        answer
+        response
     }
 }
 
@@ -277,8 +277,8 @@
 }
 
 fn not_executed(status: StatusCode) -> SiteResponse {
-    let mut answer = text_response(status, "");
-    let headers = answer.headers_mut();
+    let mut response = text_response(status, "");
+    let headers = response.headers_mut();
     headers.insert("x-not-executed", HeaderValue::from_static("1"));
-    answer
+    response
 }
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -174,11 +174,11 @@
     let service = service_fn(move |request| {
         let (handler, marked) = (handler.clone(), Arc::clone(&marked));
         async move {
-            let answer = answer(handler, request).await;
-            if answer.extensions().get::<CloseAfterResponse>().is_some() {
+            let response = handle(handler, request).await;
+            if response.extensions().get::<CloseAfterResponse>().is_some() {
                 marked.notify_one();
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -193,7 +193,7 @@
     }
 }
 
-async fn answer<H, F>(handler: H, request: Request<Incoming>) -> SiteResponse
+async fn handle<H, F>(handler: H, request: Request<Incoming>) -> SiteResponse
 where
     H: Fn(SiteRequest) -> F,
     F: Future<Output = SiteResponse>,
@@ -219,9 +219,9 @@
 }
 
 pub(super) fn text_response(status: StatusCode, text: &str) -> SiteResponse {
-    let mut answer = Response::new(full(text.to_owned()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(full(text.to_owned()));
+    *response.status_mut() = status;
+    response
 }
 
 pub(super) fn json_response(value: &serde_json::Value) -> SiteResponse {
--- a/crates/standin/src/site/service.rs
+++ b/crates/standin/src/site/service.rs
@@ -66,7 +66,7 @@
         let shared = Arc::clone(&state);
         let server = SiteServer::start(move |request| {
             let shared = Arc::clone(&shared);
-            async move { answer(&shared, request).await }
+            async move { handle(&shared, request).await }
         })?;
         let crash = Arc::clone(&server.crash);
         state.lock().unwrap_or_else(PoisonError::into_inner).crash = Some(crash);
@@ -114,7 +114,7 @@
     }
 }
 
-async fn answer(state: &Mutex<InstanceState>, request: SiteRequest) -> SiteResponse {
+async fn handle(state: &Mutex<InstanceState>, request: SiteRequest) -> SiteResponse {
     let id = request.header("x-request-id").to_owned();
     let mode = {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -130,7 +130,7 @@
         crash_process(state);
         std::future::pending::<()>().await;
     }
-    let mut answer = match mode {
+    let mut response = match mode {
         ServiceMode::Healthy | ServiceMode::WrongRequestId | ServiceMode::ClosesConnection => {
             text_response(StatusCode::OK, "receipt")
         }
@@ -143,9 +143,9 @@
         ServiceMode::Failing => text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
     };
     if mode == ServiceMode::ClosesConnection {
-        answer.extensions_mut().insert(CloseAfterResponse);
+        response.extensions_mut().insert(CloseAfterResponse);
     }
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     if mode == ServiceMode::Overloaded {
         headers.insert("x-not-executed", HeaderValue::from_static("1"));
     } else {
@@ -159,5 +159,5 @@
     if let Ok(value) = HeaderValue::from_str(echo) {
         headers.insert("x-request-id", value);
     }
-    answer
+    response
 }
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -71,7 +71,7 @@
         let store = self.clone();
         let server = SiteServer::start(move |request| {
             let store = store.clone();
-            async move { store.answer(request).await }
+            async move { store.handle(request).await }
         })?;
         let address = server.address;
         std::mem::forget(server);
@@ -130,7 +130,7 @@
         self.with(|state| state.calls)
     }
 
-    async fn answer(&self, request: SiteRequest) -> SiteResponse {
+    async fn handle(&self, request: SiteRequest) -> SiteResponse {
         let mode = self.with(|state| {
             state.calls += 1;
             state.mode
--- a/crates/standin/src/stack/caller.rs
+++ b/crates/standin/src/stack/caller.rs
@@ -82,15 +82,15 @@
         headers: &[(&str, &str)],
         body: &Value,
     ) -> Result<CallerResponse, ClientError> {
-        let answer = self.open(entry, path, headers, body).await?;
-        let status = answer.status();
-        let retry_after = answer
+        let response = self.open(entry, path, headers, body).await?;
+        let status = response.status();
+        let retry_after = response
             .headers()
             .get("retry-after")
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
         let address = self.entries[entry].address;
-        let body = read_body(answer.into_body(), MAX_BODY_BYTES)
+        let body = read_body(response.into_body(), MAX_BODY_BYTES)
             .await
             .map_err(|error| ClientError::InvalidResponse(address, error))?;
         Ok(CallerResponse {
@@ -124,14 +124,14 @@
     pub async fn wait_until_serving(&self, entry: usize) {
         let started = Instant::now();
         loop {
-            let answer = self.complete(entry, "ready?", 1).await;
-            if answer.status == StatusCode::OK {
+            let response = self.complete(entry, "ready?", 1).await;
+            if response.status == StatusCode::OK {
                 return;
             }
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
                 "entry {entry} serves not: {}",
-                answer.text()
+                response.text()
             );
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -19,12 +19,12 @@
 
 impl TestStack {
     async fn get<A: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> A {
-        let answer: JsonResponse<A> = self
+        let response: JsonResponse<A> = self
             .client
             .json(Method::GET, address, path, None::<&()>, WAIT_TIMEOUT)
             .await
             .unwrap_or_else(|error| panic!("GET {path}: {error}"));
-        answer.value
+        response.value
     }
 
     /// A node's metrics as Prometheus text.
@@ -34,19 +34,19 @@
     /// When the admin listener does not answer.
     pub async fn metrics(&self, admin: SocketAddr) -> eyre::Result<String> {
         let request = json_request(Method::GET, admin, "/metrics", None::<&()>)?;
-        let answer = self.client.send(admin, request, WAIT_TIMEOUT).await?;
-        let body = read_body(answer.into_body(), MAX_METRICS_BYTES).await?;
+        let response = self.client.send(admin, request, WAIT_TIMEOUT).await?;
+        let body = read_body(response.into_body(), MAX_METRICS_BYTES).await?;
         Ok(String::from_utf8(body.to_vec())?)
     }
 
     /// Replaces the faults of the stand-in at an address; the default plan ends all of them.
     pub async fn set_faults(&self, address: SocketAddr, plan: &FaultPlan) {
-        let answer: JsonResponse<FaultReport> = self
+        let response: JsonResponse<FaultReport> = self
             .client
             .json(Method::POST, address, FAULTS_PATH, Some(plan), WAIT_TIMEOUT)
             .await
             .unwrap_or_else(|error| panic!("faults are not taken: {error}"));
-        assert!(answer.status.is_success(), "faults are not taken");
+        assert!(response.status.is_success(), "faults are not taken");
     }
 
     /// Faults and counts of the stand-in at an address.
@@ -101,7 +101,7 @@
     pub async fn replica_engines(&self) -> BTreeMap<ReplicaId, Vec<usize>> {
         let mut ranks: BTreeMap<ReplicaId, Vec<(u32, usize)>> = BTreeMap::new();
         for (index, engine) in self.engines.iter().enumerate() {
-            let answer: Result<JsonResponse<EngineState>, _> = self
+            let response: Result<JsonResponse<EngineState>, _> = self
                 .client
                 .json(
                     Method::GET,
@@ -111,7 +111,7 @@
                     super::PROBE_TIMEOUT,
                 )
                 .await;
-            let Ok(JsonResponse { value, .. }) = answer else {
+            let Ok(JsonResponse { value, .. }) = response else {
                 continue;
             };
             let Some(assignment) = value.assignment else {
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -124,14 +124,14 @@
         if known_etag.is_some_and(|value| value.as_bytes() == etag.as_bytes()) {
             return text_response(StatusCode::NOT_MODIFIED, "");
         }
-        let mut answer = json_response(StatusCode::OK, &row.value);
+        let mut response = json_response(StatusCode::OK, &row.value);
         if let Ok(value) = HeaderValue::from_str(&etag) {
-            answer.headers_mut().insert(header::ETAG, value);
+            response.headers_mut().insert(header::ETAG, value);
         }
         if let Ok(value) = HeaderValue::from_str(&row.token) {
-            answer.headers_mut().insert(WRITE_TOKEN_HEADER, value);
+            response.headers_mut().insert(WRITE_TOKEN_HEADER, value);
         }
-        answer
+        response
     }
 
     fn commit(&self, request: &Request<Bytes>) -> WebResponse {
