--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -61,7 +61,7 @@
             }
             may_have_run |= !matches!(&outcome, Err(ServiceError::Unsent(_)));
             let detail = match &outcome {
-                Ok(answer) => format!("{address}: status {}", answer.status),
+                Ok(response) => format!("{address}: status {}", response.status),
                 Err(error) => format!("{address}: {error}"),
             };
             self.record(EventCode::CallFailed, call, &detail);
