--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,35 +1,35 @@
-//! What one step of the continuous batch does and how long it takes.
+//! The work of one step of continuous batching and its duration.
 
 use std::time::Duration;
 
 use domain::AttemptId;
 
-/// Prompt tokens that one step reads at most, over all streams; a long prompt thus delays the
-/// tokens of the others by a bounded time.
+/// Maximum prompt tokens that one step processes over all streams (chunked prefill), which bounds
+/// how long a long prompt delays the tokens of other streams.
 pub const MAX_STEP_PREFILL_TOKENS: u64 = 512;
 
-/// What a step costs.
+/// Cost model of a step; the parts add up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepCosts {
-    /// Every step.
+    /// Fixed duration of every step.
     pub step: Duration,
-    /// Each stream that gets a token.
+    /// Additional time for each stream that decodes a token.
     pub stream: Duration,
-    /// Each prompt token that is read.
+    /// Additional time for each prompt token that is prefilled.
     pub prompt_token: Duration,
 }
 
-/// One step of the batch.
+/// The work of one step.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BatchStep {
-    /// Streams whose prompt is read, with the count of tokens.
+    /// Streams in prefill, with the number of prompt tokens that are processed.
     pub prefill: Vec<(AttemptId, u64)>,
-    /// Streams that get a token.
+    /// Streams that decode one token.
     pub decode: Vec<AttemptId>,
 }
 
 impl BatchStep {
-    /// Takes up to `remaining` prompt tokens of a stream into the step, as far as the chunk allows.
+    /// Adds up to `remaining` prompt tokens of a stream, limited by [`MAX_STEP_PREFILL_TOKENS`].
     pub fn add_prefill(&mut self, attempt: &AttemptId, remaining: u64) {
         let count = remaining.min(MAX_STEP_PREFILL_TOKENS.saturating_sub(self.prompt_tokens()));
         if count > 0 {
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Prompt tokens of the step.
+    /// Returns the number of prompt tokens in the step.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
         self.prefill.iter().map(|(_, count)| count).sum()
     }
 
-    /// Time of the step: it grows with the batch, as one step computes every stream's token.
+    /// Returns the duration of the step. It grows with the batch, because one step computes a token
+    /// for every stream.
     #[must_use]
     pub fn duration(&self, costs: &StepCosts) -> Duration {
         let streams = u32::try_from(self.decode.len()).unwrap_or(u32::MAX);
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,17 +1,17 @@
-//! A bounded cache of prompt prefixes; its events come late and with gaps.
+//! A bounded LRU cache of prompt prefixes. Its events are published with a delay and with gaps.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use wire::engine::{CacheEvent, CachePage};
 
-/// Events that are kept; older ones are a gap too.
+/// Maximum events that are retained; dropped older ones appear as a gap to readers.
 const MAX_EVENTS: usize = 4_096;
 
-/// Every event with a number divisible by this is lost.
+/// Events whose number is a multiple of this are never published.
 const LOST_EVENT_INTERVAL: u64 = 17;
 
-/// The cache: least recently used blocks leave first.
+/// Cache of prefix blocks by hash; the least recently used block is evicted first.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -24,7 +24,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache of so many blocks whose events are published after `lag`.
+    /// Creates an empty cache of `capacity` blocks whose events are published after `lag`.
     #[must_use]
     pub fn new(capacity: usize, lag: Duration) -> Self {
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Blocks at the start of the prompt that the cache holds.
+    /// Returns how many consecutive blocks from the start of the prompt are cached.
     pub fn count_cached(&mut self, hashes: &[u64]) -> usize {
         let mut found = 0;
         for hash in hashes {
@@ -51,7 +51,7 @@
         found
     }
 
-    /// Keeps a prompt's blocks.
+    /// Inserts the blocks of a prompt and evicts blocks above the capacity.
     pub fn insert(&mut self, hashes: &[u64], now: Instant) {
         for hash in hashes {
             if !self.last_use.contains_key(hash) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Events behind a number, as far as they are published by now.
+    /// Returns the published events with a number above `after`.
     #[must_use]
     pub fn events(&self, after: u64, now: Instant) -> CachePage {
         let mut events = Vec::new();
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The state of an engine and what orders and requests do to it.
+//! The state of an engine and how orders and requests change it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
@@ -19,15 +19,15 @@
 use crate::faults::{FaultInjector, OutageMode};
 use crate::options::EngineOptions;
 
-/// Pause of a batch that can't step.
+/// Interval at which a stalled batch checks whether it can step again.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An engine.
+/// State shared by the request handlers, the batch loop and the peer checks.
 #[derive(Debug)]
 pub struct EngineCore {
-    /// Its command line.
+    /// Command-line options.
     pub options: EngineOptions,
-    /// Its client of peers and of the weight store.
+    /// HTTP client for peers and the weight store.
     pub client: WebClient,
     host: HostId,
     boot: BootNumber,
@@ -48,7 +48,8 @@
 }
 
 impl EngineCore {
-    /// An engine without an assignment, with a new boot number.
+    /// Creates an engine without an assignment. Its boot number is the start time in microseconds,
+    /// so that it increases with every restart.
     #[must_use]
     pub fn new(host: HostId, options: EngineOptions, faults: Arc<FaultInjector>) -> Self {
         let since_epoch = SystemTime::now()
@@ -89,7 +90,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its report.
+    /// Returns the state that the engine reports.
     #[must_use]
     pub fn state(&self) -> EngineState {
         let now = Instant::now();
@@ -102,25 +103,25 @@
             assignment: inner.assignment.clone(),
             ready: inner.ready && !self.has_lost_peer(&inner),
             leaving: self.faults.plan().leaving,
-            load: inner.reported_load.current(now),
+            load: inner.reported_load.reported(now),
         }
     }
 
-    /// Whether the engine itself has noticed that a peer is gone.
+    /// Returns whether a peer has been lost for at least the `--peer-loss-ms` timeout.
     fn has_lost_peer(&self, inner: &EngineInner) -> bool {
         let limit = Duration::from_millis(self.options.peer_loss_ms);
         matches!(inner.peers, PeerHealth::Lost(since) if since.elapsed() >= limit)
     }
 
-    /// Its assignment, when it is rank 0 of it.
+    /// Returns the assignment if this engine is rank 0 of it.
     #[must_use]
     pub fn leader_assignment(&self) -> Option<EngineAssignment> {
         let assignment = self.inner().assignment.clone()?;
         (assignment.rank == 0).then_some(assignment)
     }
 
-    /// Notes its peers' health, unless the assignment is another by now; ends the streams once
-    /// a peer has been gone for long.
+    /// Updates the health of the peers, unless the assignment has changed meanwhile. Fails all
+    /// streams once a peer has been lost for the timeout.
     pub fn update_peers(
         &self,
         assignment: &EngineAssignment,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Makes the engine ready for an assignment, unless it has another by now.
+    /// Marks the engine as ready for an assignment, unless the assignment has changed meanwhile.
     pub fn finish_load(&self, assignment: &EngineAssignment) {
         let mut inner = self.inner();
         if inner.assignment.as_ref() != Some(assignment) {
@@ -151,7 +152,8 @@
         inner.ready = true;
     }
 
-    /// Starts a stream.
+    /// Starts a stream; refuses one for another replica or incarnation with 409, and one that can't
+    /// be queued with 503.
     pub fn start(&self, request: StreamRequest) -> WebResponse {
         let now = Instant::now();
         let mut inner = self.inner();
@@ -178,25 +180,25 @@
         response
     }
 
-    /// Goes on with a stream.
+    /// Resumes a stream from token index `from`.
     pub fn resume(&self, attempt: &AttemptId, from: u32) -> WebResponse {
         let resumed = self.inner().pool.resume(attempt, from, Instant::now());
         self.wake.notify_one();
         resumed.unwrap_or_else(|| text_response(StatusCode::NOT_FOUND, "no such stream"))
     }
 
-    /// Cancels a stream.
+    /// Cancels a stream and discards its state.
     pub fn cancel(&self, attempt: &AttemptId) {
         self.inner().pool.cancel(attempt);
     }
 
-    /// Cache events behind a number.
+    /// Returns the published cache events with a number above `after`.
     #[must_use]
     pub fn cache_events(&self, after: u64) -> CachePage {
         self.inner().pool.cache().events(after, Instant::now())
     }
 
-    /// The KV cache of a stream.
+    /// Returns the KV cache of a stream whose prefill is complete.
     #[must_use]
     pub fn export_kv(&self, attempt: &AttemptId) -> WebResponse {
         let exported = self.inner().pool.export(attempt);
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Takes a KV cache for a stream that is still to start.
+    /// Stores a KV cache for a stream that is yet to start.
     pub fn import_kv(&self, attempt: AttemptId, bytes: &[u8]) -> WebResponse {
         match parse_json::<KvCache>(bytes) {
             Ok(kv) => {
@@ -237,7 +239,7 @@
     response
 }
 
-/// Follows an order; loading goes on behind the answer.
+/// Applies an order. The response does not wait until the weights are loaded.
 pub fn apply_order(core: &Arc<EngineCore>, order: EngineOrder) -> WebResponse {
     let mut inner = core.inner();
     if core.options.fencing && order.epoch < inner.highest_epoch {
@@ -272,7 +274,7 @@
     json_response(StatusCode::OK, &core.state())
 }
 
-/// Steps the batch for ever; sleeps while there is nothing to do.
+/// Runs batch steps in an endless loop; sleeps while there is no work.
 pub async fn run_batch(core: Arc<EngineCore>) {
     let costs = core.costs();
     loop {
--- a/crates/standin/src/engine/delayed_load.rs
+++ b/crates/standin/src/engine/delayed_load.rs
@@ -1,14 +1,14 @@
-//! Load as it is reported: with a lag.
+//! Load reports with a delay, as a real engine's metrics have.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use wire::engine::EngineLoad;
 
-/// Samples within one lag.
+/// Number of samples taken within one lag.
 const SAMPLES_PER_LAG: u32 = 8;
 
-/// The load of a while ago.
+/// Samples of the load, reported once they are `lag` old.
 #[derive(Debug)]
 pub struct DelayedLoad {
     lag: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl DelayedLoad {
-    /// A report with a lag.
+    /// Creates a report that is delayed by `lag`.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Notes the load of now.
+    /// Records the current load, at most [`SAMPLES_PER_LAG`] times per lag.
     pub fn record(&mut self, load: EngineLoad, now: Instant) {
         let sampled_recently = self
             .samples
@@ -41,9 +41,9 @@
         }
     }
 
-    /// The load that is reported now, with its age.
+    /// Returns the load to report now, with its age; the default load before the first sample.
     #[must_use]
-    pub fn current(&self, now: Instant) -> EngineLoad {
+    pub fn reported(&self, now: Instant) -> EngineLoad {
         let Some((at, load)) = self.samples.front() else {
             return EngineLoad::default();
         };
--- a/crates/standin/src/engine/health.rs
+++ b/crates/standin/src/engine/health.rs
@@ -1,14 +1,14 @@
-//! Whether a replica's hosts all take part.
+//! Health of the other hosts of a replica.
 
 use std::time::Instant;
 
-/// What rank 0 knows of its peers.
+/// Health of the peers as rank 0 sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerHealth {
-    /// All take part.
+    /// All peers are ready, or there are none.
     AllReady,
-    /// Some still load; steps wait for them.
+    /// Some peers are still loading; steps wait for them.
     Loading,
-    /// Some are gone, since then.
+    /// Some peers have been unreachable or in another incarnation since this time.
     Lost(Instant),
 }
--- a/crates/standin/src/engine/loading.rs
+++ b/crates/standin/src/engine/loading.rs
@@ -1,4 +1,4 @@
-//! Loading weights and adapters, which takes time.
+//! Simulated loading of weights and adapters.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 
 use crate::options::EngineOptions;
 
-/// Adapters and a change of role take this part of the time of whole weights.
+/// Loading adapters or changing the role takes the time of a full load divided by this.
 const PARTIAL_LOAD_DIVISOR: u32 = 10;
 
-/// Pause before the weights are asked for again.
+/// Delay before a failed download is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for the store to begin; a rate-limited one may be busy with others.
+/// Timeout for the response of the store, long because a rate-limited store may be busy with other
+/// downloads.
 const STORE_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// What lies in a host's memory.
+/// The weights in a host's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadedWeights {
-    /// The model.
+    /// Model that the weights belong to.
     pub model: ModelName,
-    /// The version.
+    /// Version of that model.
     pub version: VersionName,
 }
 
-/// What an assignment needs loaded.
+/// How much must be loaded for an assignment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadScope {
-    /// Nothing.
+    /// Neither weights, adapters nor role change.
     Nothing,
-    /// Adapters, or the set-up of a role.
+    /// The weights are loaded, but adapters or role change.
     Partial,
-    /// The whole weights.
+    /// The weights of another model or version.
     Full,
 }
 
-/// What is needed to go from one assignment to another.
+/// Returns how much must be loaded to change from one assignment to another.
 #[must_use]
 pub fn load_scope(
     loaded: Option<&LoadedWeights>,
@@ -62,7 +63,8 @@
     }
 }
 
-/// Takes as long as loading what an assignment needs.
+/// Waits as long as loading takes; downloads full weights from the store if there is one, and
+/// retries until it succeeds.
 pub async fn load(
     client: &WebClient,
     options: &EngineOptions,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Reads a model's weights to their end.
+/// Downloads a model's weights and discards them.
 async fn fetch(
     client: &WebClient,
     store: SocketAddr,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,9 +1,8 @@
 //! Stand-in for a model engine on one host.
 //!
-//! [`batch`] decides what one step of the batch does, [`stream`] keeps a stream with its reader,
-//! [`pool`] holds all of them, [`cache`] is the prefix cache, [`delayed_load`] the delayed load report,
-//! [`peers`] watches the other hosts of the replica, [`loading`] fetches weights and [`core`]
-//! ties them together.
+//! [`batch`] defines one step of the batch, [`stream`] holds a stream and its reader, [`pool`] all
+//! streams, [`cache`] the prefix cache and [`delayed_load`] the reported load. [`peers`] checks the
+//! other hosts of the replica, [`loading`] loads weights and [`core`] connects these parts.
 
 pub mod batch;
 pub mod cache;
@@ -29,13 +28,13 @@
 use crate::options::EngineOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
-/// Runs the engine.
+/// Serves the engine until interrupted.
 ///
 /// # Errors
 ///
-/// When the host's name is none or the address can't be bound.
+/// Returns an error if the host name is invalid or the address can't be bound.
 pub async fn run(options: EngineOptions) -> eyre::Result<()> {
-    let host: HostId = options.host.parse().wrap_err("--host")?;
+    let host: HostId = options.host.parse().wrap_err("invalid --host")?;
     let listen = options.listen;
     let faults = Arc::new(FaultInjector::default());
     let core = Arc::new(EngineCore::new(host, options, Arc::clone(&faults)));
@@ -45,7 +44,7 @@
     serve_standin("engine", listen, server, faults).await
 }
 
-/// The engine's HTTP side.
+/// Request handler of the engine.
 #[derive(Debug)]
 pub struct EngineServer {
     core: Arc<EngineCore>,
--- a/crates/standin/src/engine/peers.rs
+++ b/crates/standin/src/engine/peers.rs
@@ -1,7 +1,7 @@
-//! The other hosts of a replica, as rank 0 sees them.
+//! Health checks of the other hosts of a replica by rank 0.
 //!
-//! A step of a model that spans hosts needs all of them. When one is gone, the step of a real
-//! engine hangs: no token comes, and only a long timeout within the engine ends the streams.
+//! A step of a model that spans several hosts needs all of them. When one is lost, the step of a
+//! real engine hangs: no tokens are produced until a long timeout in the engine fails the streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     Unreachable,
 }
 
-/// Watches the peers for ever.
+/// Checks the peers in an endless loop while the engine is rank 0.
 pub async fn watch_peers(core: Arc<EngineCore>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -1,4 +1,4 @@
-//! All streams of an engine: the waiting queue and the batch.
+//! All streams of an engine: those that wait and those in the batch.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,20 +13,20 @@
 use super::cache::PrefixCache;
 use super::stream::{EngineStream, StreamPhase};
 
-/// Imported KV caches that wait for their stream.
+/// Maximum imported KV caches that wait for their stream; the oldest is dropped above it.
 const MAX_IMPORTS: usize = 64;
 
-/// Weight of the newest step in the reported rates.
+/// Smoothing factor of the reported rates, an exponential moving average over steps.
 const RATE_SMOOTHING: f64 = 0.2;
 
-/// A KV cache on its way; opaque to everybody but engines.
+/// KV cache that is transferred between engines; opaque to everything else.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvCache {
     prompt: String,
     tokens: usize,
 }
 
-/// The streams.
+/// Streams by attempt, with the prefix cache and the measured rates.
 #[derive(Debug)]
 pub struct StreamPool {
     slots: usize,
@@ -41,8 +41,8 @@
 }
 
 impl StreamPool {
-    /// An empty pool: streams in the batch, streams that wait, and the time that a stream without
-    /// a reader is kept.
+    /// Creates an empty pool with `slots` streams in the batch and `queue` waiting ones; a stream
+    /// without a reader is kept for `linger`.
     #[must_use]
     pub fn new(slots: usize, queue: usize, linger: Duration, cache: PrefixCache) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The prefix cache.
+    /// Returns the prefix cache.
     #[must_use]
     pub fn cache(&self) -> &PrefixCache {
         &self.cache
@@ -69,14 +69,14 @@
         phases.filter(|phase| matches(*phase)).count()
     }
 
-    /// Whether a further stream finds no place to wait.
+    /// Returns whether batch and queue are full.
     #[must_use]
     pub fn is_full(&self) -> bool {
         let unfinished = self.count(|phase| phase != StreamPhase::Ended);
         unfinished >= self.slots + self.queue
     }
 
-    /// Takes a stream.
+    /// Queues a stream and attaches the caller as its reader.
     pub fn start(&mut self, request: StreamRequest, now: Instant) -> WebResponse {
         self.arrivals += 1;
         let attempt = request.attempt.clone();
@@ -87,24 +87,24 @@
         response
     }
 
-    /// Goes on with a stream that is still kept.
+    /// Attaches a new reader from token index `from`; `None` if the stream is no longer kept.
     pub fn resume(&mut self, attempt: &AttemptId, from: u32, now: Instant) -> Option<WebResponse> {
         let stream = self.streams.get_mut(attempt)?;
         Some(stream.attach(from, now))
     }
 
-    /// Drops a stream.
+    /// Removes a stream; its reader sees the connection end without a final event.
     pub fn cancel(&mut self, attempt: &AttemptId) {
         self.streams.remove(attempt);
     }
 
-    /// Drops every stream; their readers see the end of the connection without a final mark.
+    /// Removes every stream; their readers see the connection end without a final event.
     pub fn clear(&mut self) {
         self.streams.clear();
         self.imports.clear();
     }
 
-    /// Gives one stream up.
+    /// Fails one stream, unless it has ended.
     pub fn fail(&mut self, attempt: &AttemptId, reason: &str, now: Instant) {
         if let Some(stream) = self.streams.get_mut(attempt) {
             stream.fail(reason);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Gives every open stream up.
+    /// Fails every stream that has not ended.
     pub fn fail_all(&mut self, reason: &str, now: Instant) {
         for stream in self.streams.values_mut() {
             stream.fail(reason);
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Whether there is something to do or to send.
+    /// Returns whether any stream has tokens to generate or events to send.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.streams.values().any(EngineStream::is_busy)
     }
 
-    /// Plans the next step.
+    /// Admits waiting streams to the batch and returns the work of the next step.
     pub fn plan(&mut self) -> BatchStep {
         self.admit_waiting();
         let mut step = BatchStep::default();
@@ -140,7 +140,7 @@
         step
     }
 
-    /// Moves waiting streams into the batch: higher priority first, then in order of arrival.
+    /// Moves waiting streams into free slots: higher priority first, then in order of arrival.
     fn admit_waiting(&mut self) {
         let waits = |phase| phase == StreamPhase::Waiting;
         let running = self.count(|phase| !waits(phase) && phase != StreamPhase::Ended);
@@ -174,7 +174,7 @@
             let bytes = self.cache.count_cached(&hashes) * PREFIX_BLOCK_BYTES;
             count_words(&request.prompt.as_bytes()[..bytes])
         };
-        // Tokens that the caller has already are read like a prompt.
+        // Tokens that the caller already has are prefilled like a prompt.
         let unread = u64::from(stream.prompt_tokens - stream.cached_tokens);
         let remaining = unread + request.generated_tokens.len() as u64;
         stream.phase = if remaining == 0 {
@@ -232,7 +232,7 @@
         self.cache.insert(&hashes, now);
     }
 
-    /// Load now.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> EngineLoad {
         let waiting = self.count(|phase| phase == StreamPhase::Waiting);
@@ -253,7 +253,7 @@
         }
     }
 
-    /// KV cache of a stream whose prompt is read.
+    /// Returns the KV cache of a stream; `None` until its prefill is complete.
     #[must_use]
     pub fn export(&self, attempt: &AttemptId) -> Option<KvCache> {
         let stream = self.streams.get(attempt)?;
@@ -264,7 +264,7 @@
         })
     }
 
-    /// Keeps a KV cache until its stream starts.
+    /// Stores a KV cache until its stream is admitted to the batch.
     pub fn import(&mut self, attempt: AttemptId, kv: KvCache) {
         self.imports.push_back((attempt, kv));
         if self.imports.len() > MAX_IMPORTS {
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: its tokens so far and the caller that reads them.
+//! One stream: its generated tokens and the reader that they are sent to.
 
 use std::time::{Duration, Instant};
 
@@ -8,40 +8,40 @@
 use web::{WebResponse, text_response};
 use wire::engine::{StreamEvent, StreamRequest};
 
-/// Events that wait for a slow reader on the connection; the rest waits in the stream.
+/// Events buffered for a slow reader's connection; further ones stay in the stream.
 const READER_BUFFER_EVENTS: usize = 64;
 
-/// Words that answers are made of.
+/// Vocabulary of the generated tokens.
 const WORDS: [&str; 12] = [
     "the", "licence", "form", "needs", "a", "stall", "number", "and", "fee", "receipt", "from",
     "Sandaga",
 ];
 
-/// How far a stream is.
+/// Phase of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamPhase {
-    /// It waits for a place in the batch.
+    /// Waiting for a batch slot.
     Waiting,
-    /// Its prompt is being read; so many tokens are left.
+    /// Processing the prompt, with the number of remaining tokens.
     Prefill(u64),
-    /// It gets a token a step.
+    /// Generating one token per step.
     Decode,
-    /// It has ended, whole or not.
+    /// Completed or failed.
     Ended,
 }
 
-/// A stream. It outlives its connection for a while, so that it can be resumed.
+/// A stream. It outlives its connection for the linger time, so that it can be resumed.
 #[derive(Debug)]
 pub struct EngineStream {
-    /// What was ordered.
+    /// The request that started it.
     pub request: StreamRequest,
-    /// Number of its arrival.
+    /// Sequence number of its arrival; orders waiting streams of one priority.
     pub arrival: u64,
-    /// How far it is.
+    /// Current phase.
     pub phase: StreamPhase,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens, counted as words.
     pub prompt_tokens: u32,
-    /// Prompt tokens that need not be read.
+    /// Prompt tokens found in the prefix cache or an imported KV cache, which skip prefill.
     pub cached_tokens: u32,
     tokens: Vec<String>,
     end: Option<StreamEvent>,
@@ -51,7 +51,7 @@
 }
 
 impl EngineStream {
-    /// A stream that waits.
+    /// Creates a waiting stream without a reader.
     #[must_use]
     pub fn new(request: StreamRequest, arrival: u64, now: Instant) -> Self {
         let words = request.prompt.split_whitespace().count();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Answers with the events from an index on; an earlier reader gets no more.
+    /// Responds with the events from token index `from` on; an earlier reader gets no more events.
     pub fn attach(&mut self, from: u32, now: Instant) -> WebResponse {
         if from as usize > self.tokens.len() {
             return text_response(http::StatusCode::NOT_FOUND, "no such token yet");
@@ -82,25 +82,25 @@
         http::Response::new(body)
     }
 
-    /// Whether it has something to do or to send.
+    /// Returns whether it has tokens to generate or a reader to send to.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.phase != StreamPhase::Ended || self.reader.is_some()
     }
 
-    /// Whether nobody has read it for so long.
+    /// Returns whether it has had no reader for at least `linger`.
     #[must_use]
     pub fn is_abandoned(&self, linger: Duration, now: Instant) -> bool {
         self.reader.is_none() && now.duration_since(self.detached_since) >= linger
     }
 
-    /// Whether it has a token to get; otherwise the next step ends it.
+    /// Returns whether tokens remain to be generated; otherwise the next step ends the stream.
     fn has_tokens_left(&self) -> bool {
         let count = u32::try_from(self.tokens.len()).unwrap_or(u32::MAX);
         count < self.request.max_tokens
     }
 
-    /// Gets one token, and its end behind the last one.
+    /// Generates one token, and ends the stream after the last one.
     pub fn advance(&mut self) {
         if self.has_tokens_left() {
             let index = u32::try_from(self.tokens.len()).unwrap_or(u32::MAX);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Gives the stream up.
+    /// Ends the stream with an error, unless it has already ended.
     pub fn fail(&mut self, reason: &str) {
         if self.phase == StreamPhase::Ended {
             return;
@@ -134,7 +134,7 @@
         self.end = Some(event);
     }
 
-    /// Sends what the reader can take.
+    /// Sends pending events until the reader's buffer is full.
     pub fn flush(&mut self, now: Instant) {
         let Some(reader) = self.reader.take() else {
             return;
@@ -174,7 +174,8 @@
     }
 }
 
-/// The token at an index: the same for the same prompt and seed on every replica.
+/// Returns the token at an index; it depends only on prompt and seed, so every replica generates
+/// the same.
 fn token_text(request: &StreamRequest, index: u32) -> String {
     let mut state = request.seed ^ (u64::from(index) << 20);
     for byte in request.prompt.bytes() {
