--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! Sending one request and judging its answer.
+//! Sending one request and classifying its response.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,42 +16,42 @@
 use super::plan::{LoadPlan, LoadRequest, RequestKind};
 use crate::deployment::CallerConfig;
 
-/// Longest wait for the head of an answer.
+/// Timeout for the response headers.
 const HEAD_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Longest silence within an answer.
+/// Timeout between two frames of a response body.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadOutcome {
-    /// Who sent it.
+    /// Name of the customer that sent it.
     pub customer: String,
-    /// What became of it.
+    /// Result, by the kind of the request.
     pub result: LoadResult,
 }
 
-/// What became of a chat or of a non-repeatable call.
+/// Result of a chat or of a non-repeatable call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadResult {
-    /// A chat.
+    /// Result of a streamed chat.
     Chat {
         /// How it ended.
         status: ChatStatus,
-        /// From when it was due until the first token.
+        /// Time from when the request was due until the first token; `None` without a token.
         first_token: Option<Duration>,
-        /// Between tokens.
+        /// Times between consecutive tokens.
         token_gaps: Vec<Duration>,
     },
-    /// A non-repeatable call.
+    /// Result of a non-repeatable call.
     Payment {
-        /// Its idempotency key.
+        /// Idempotency key that it was sent with.
         key: String,
-        /// What the caller was told.
+        /// Execution state that the response reported.
         reported: ReportedExecution,
-        /// From when it was due until its answer.
+        /// Time from when the request was due until the response.
         time: Duration,
     },
 }
@@ -59,28 +59,29 @@
 /// How a chat ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChatStatus {
-    /// Whole, with as many tokens as asked for.
+    /// It completed with the requested number of tokens.
     Completed,
-    /// Refused without being run.
+    /// It was refused without being executed.
     Refused,
-    /// An explicit error.
+    /// It ended with an explicit error.
     Failed,
-    /// Ended silently, or with another count of tokens: what never may be.
+    /// It ended without an error but incomplete, or with another number of tokens. This must never
+    /// happen.
     Truncated,
 }
 
-/// What a caller was told of its non-repeatable call.
+/// What a response reported about the execution of a non-repeatable call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedExecution {
-    /// It was run.
+    /// The call was executed.
     Ran,
-    /// It was not run.
+    /// The call was not executed, or not even sent.
     NotRun,
-    /// Nobody knows.
+    /// Unknown, or there was no response.
     Unknown,
 }
 
-/// Sends requests.
+/// Sends the requests of a load.
 #[derive(Debug)]
 pub struct LoadCaller {
     client: WebClient,
@@ -90,11 +91,11 @@
 }
 
 impl LoadCaller {
-    /// A caller of a plan's entries.
+    /// Creates a caller for the entries of a plan.
     ///
     /// # Errors
     ///
-    /// When the example is broken.
+    /// Returns an error if the example is malformed.
     pub fn new(plan: LoadPlan) -> eyre::Result<Self> {
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
         Ok(Self {
@@ -105,7 +106,8 @@
         })
     }
 
-    /// Sends a request that is due at a time, and waits for its end.
+    /// Sends a request and waits until its response ends. Times are measured from `due`, so that a
+    /// late start of the request counts as latency.
     pub async fn send(&self, request: &LoadRequest, due: Instant) -> LoadOutcome {
         let result = match &request.kind {
             RequestKind::Chat { prompt, max_tokens } => {
@@ -126,17 +128,17 @@
         key: Option<&str>,
         body: &Value,
     ) -> Result<Response<Incoming>, ClientError> {
-        let mut last = None;
-        for turn in 0..self.entries.len() {
-            let entry = self.entries[(request.entry + turn) % self.entries.len()];
+        let mut last_error = None;
+        for offset in 0..self.entries.len() {
+            let entry = self.entries[(request.entry + offset) % self.entries.len()];
             let head = caller_request(entry, path, &request.customer.key, key, body)?;
             match self.client.send(entry, head, HEAD_TIMEOUT).await {
-                // A balancer tries another host when one is not there.
-                Err(error) if error.is_unsent() => last = Some(error),
+                // A load balancer also tries another host if a connection fails.
+                Err(error) if error.is_unsent() => last_error = Some(error),
                 result => return result,
             }
         }
-        Err(last.unwrap_or_else(|| ClientError::NotConnected(self.entries[0])))
+        Err(last_error.unwrap_or_else(|| ClientError::NotConnected(self.entries[0])))
     }
 
     async fn chat(
@@ -219,7 +221,7 @@
     Some(error.error.execution)
 }
 
-/// Reads a chat's events to their end.
+/// Reads the events of a chat until the stream ends.
 async fn read_chat(mut body: Incoming, max_tokens: u32, due: Instant) -> LoadResult {
     let mut buffer = BytesMut::new();
     let mut first = None;
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! An open-loop load tool: requests come when they come, however slow the answers are.
+//! An open-loop load generator: requests are sent on schedule, however slow the responses are.
 //!
-//! [`plan`] decides beforehand from a seed who asks what when, [`call`] sends one request,
-//! [`stats`] counts outcomes and [`report`] shows them.
+//! [`plan`] generates the requests from a seed, [`call`] sends one request, [`stats`] counts the
+//! outcomes and [`report`] formats them.
 
 pub mod call;
 pub mod plan;
@@ -30,11 +30,11 @@
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(10);
 const OUTCOME_BUFFER: usize = 1_024;
 
-/// Runs the tool and prints what it found.
+/// Runs the load and prints its report.
 ///
 /// # Errors
 ///
-/// When no entry is known or the service does not tell its executions.
+/// Returns an error if no entry is known or the executions can't be read from the service.
 pub async fn run(options: LoadOptions) -> eyre::Result<()> {
     let (entries, service) = find_addresses(&options)?;
     let plan = LoadPlan::builder()
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-/// Sends a plan's requests and waits for all their outcomes.
+/// Sends the requests of a plan and waits for all outcomes.
 ///
 /// # Errors
 ///
-/// When the example is broken, or the service does not tell its executions.
+/// Returns an error if the example is malformed or the executions can't be read from the service.
 pub async fn run_load(plan: LoadPlan) -> eyre::Result<LoadReport> {
     let requests = plan.requests()?;
     let started = Instant::now();
@@ -101,18 +101,19 @@
             LOOKUP_TIMEOUT,
         )
         .await
-        .wrap_err("the service does not tell its executions")?;
+        .wrap_err("can't read the executions from the service")?;
     Ok(response.value)
 }
 
-/// Entries and service from the command line, else from the sheets of a kept quickstart.
+/// Returns the addresses of entries and service from the command line, or else from the files of a
+/// running quickstart.
 fn find_addresses(options: &LoadOptions) -> eyre::Result<(Vec<SocketAddr>, Option<SocketAddr>)> {
     if !options.entry.is_empty() {
         return Ok((options.entry.clone(), options.service));
     }
     let file = options.folder.join("processes.json");
     let entries = read_addresses(&file, "entry")
-        .wrap_err("name --entry, or run scripts/quickstart --keep beside")?;
+        .wrap_err("pass --entry, or run scripts/quickstart --keep at the same time")?;
     let services = read_addresses(&file, "service")?;
     Ok((entries, services.first().copied()))
 }
@@ -126,7 +127,7 @@
             continue;
         }
         let text = process["address"].as_str().unwrap_or_default();
-        addresses.push(text.parse().wrap_err("an address in the file")?);
+        addresses.push(text.parse().wrap_err("invalid address of a process")?);
     }
     Ok(addresses)
 }
--- a/crates/standin/src/load/plan.rs
+++ b/crates/standin/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Who asks what when, decided from a seed before the first request is sent.
+//! The schedule of requests, generated from a seed before the first one is sent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,38 +10,38 @@
 
 use crate::deployment::{CustomerConfig, Deployment};
 
-/// Share of the questions that want a long answer.
+/// Share of the chats with a long response.
 const LONG_SHARE: f64 = 0.2;
 
-/// Tokens of short answers.
+/// Range of the number of tokens in short responses.
 const SHORT_TOKENS: std::ops::Range<u32> = 8..33;
 
-/// Tokens of long answers.
+/// Range of the number of tokens in long responses.
 const LONG_TOKENS: std::ops::Range<u32> = 64..129;
 
-/// A load.
+/// Parameters of a load.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct LoadPlan {
-    /// The example that prompts, calls and customers come from.
+    /// Example that prompts, calls and customers come from.
     #[builder(default)]
     pub deployment: Deployment,
-    /// The entries; each request takes one at random, and the next one when it is not there.
+    /// Entries; each request goes to a random one, or to the next one if the connection fails.
     pub entries: Vec<SocketAddr>,
-    /// An instance of the service, to reckon payments at the end.
+    /// Instance of the service that payments are reconciled with at the end; `None` skips that.
     pub service: Option<SocketAddr>,
-    /// Requests a second on average.
+    /// Mean arrival rate in requests per second.
     #[builder(default = 20.0)]
     pub rate: f64,
     /// Time over which requests are sent.
     #[builder(default = Duration::from_secs(10))]
     pub duration: Duration,
-    /// Seed of everything random.
+    /// Seed of all random choices.
     #[builder(default = 1)]
     pub seed: u64,
     /// Share of the requests that are non-repeatable calls, from 0 to 1.
     #[builder(default = 0.2)]
     pub payment_share: f64,
-    /// A first token that comes later counts as late.
+    /// Time to first token above which a chat counts as late.
     #[builder(default = Duration::from_millis(1_700))]
     pub late_after: Duration,
 }
@@ -49,44 +49,44 @@
 /// One request of a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadRequest {
-    /// Number in the load.
+    /// Sequence number, which makes its idempotency key unique.
     pub number: usize,
-    /// When it is sent, from the start.
+    /// When it is due, relative to the start of the load.
     pub at: Duration,
-    /// Index of the entry.
+    /// Index of the entry that is tried first.
     pub entry: usize,
-    /// Who sends it.
+    /// Customer that sends it.
     pub customer: CustomerConfig,
-    /// What it asks for.
+    /// Kind of the request, with its content.
     pub kind: RequestKind,
 }
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestKind {
     /// A streamed chat.
     Chat {
-        /// The question.
+        /// Content of the user message.
         prompt: &'static str,
-        /// Most tokens of the answer.
+        /// Maximum number of tokens in the response.
         max_tokens: u32,
     },
     /// A non-repeatable call.
     Payment {
-        /// Its body.
+        /// JSON body of the call.
         body: Value,
     },
 }
 
 impl LoadPlan {
-    /// The requests in the order of their times: a Poisson process.
+    /// Generates the requests in order of time; arrivals form a Poisson process.
     ///
     /// # Errors
     ///
-    /// When the example or a setting can't be used.
+    /// Returns an error if the example is malformed, the rate is not positive or there is no entry.
     pub fn requests(&self) -> eyre::Result<Vec<LoadRequest>> {
         ensure!(self.rate > 0.0, "--rate must be above 0");
-        ensure!(!self.entries.is_empty(), "name at least one --entry");
+        ensure!(!self.entries.is_empty(), "at least one --entry is required");
         let customers = self.deployment.callers()?.customers;
         let prompts = self.deployment.prompts();
         let calls = self.deployment.calls()?;
@@ -133,12 +133,12 @@
     customers: &'plan [CustomerConfig],
 ) -> &'plan CustomerConfig {
     let total: u32 = customers.iter().map(|customer| customer.weight).sum();
-    let mut left = random.random_range(0..total.max(1));
+    let mut remaining = random.random_range(0..total.max(1));
     for customer in customers {
-        if left < customer.weight {
+        if remaining < customer.weight {
             return customer;
         }
-        left -= customer.weight;
+        remaining -= customer.weight;
     }
     &customers[0]
 }
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load showed, as text and as JSON.
+//! Results of a load, as text and as JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,46 +8,46 @@
 
 use super::call::ChatStatus;
 
-/// What a load showed.
+/// Results of a load.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Time over which requests were sent.
+    /// Time over which requests were sent, in seconds.
     pub seconds: f64,
-    /// Chats over all customers.
+    /// Chats of all customers.
     pub chats: ChatCounts,
     /// Chats by customer.
     pub customers: BTreeMap<String, ChatCounts>,
-    /// From when a chat was due until its first token.
+    /// Time from when a chat was due until its first token.
     pub first_token: TimeSummary,
-    /// Between two tokens of a chat.
+    /// Time between two consecutive tokens of a chat.
     pub between_tokens: TimeSummary,
-    /// Non-repeatable calls.
+    /// Non-repeatable calls by outcome.
     pub payments: PaymentCounts,
-    /// From when a non-repeatable call was due until its answer.
+    /// Time from when a non-repeatable call was due until its response.
     pub payment_time: TimeSummary,
 }
 
-/// Chats by how they ended.
+/// Counts of chats by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ChatCounts {
-    /// Sent.
+    /// Sent, whatever the outcome.
     pub offered: u64,
-    /// Answered whole.
+    /// Completed with the requested number of tokens.
     pub whole: u64,
-    /// Of the whole ones, those whose first token came late.
+    /// Of the completed ones, those whose first token was late.
     pub late: u64,
-    /// Refused without being run.
+    /// Refused without being executed.
     pub refused: u64,
-    /// Ended by an explicit error.
+    /// Ended with an explicit error.
     pub failed: u64,
-    /// Ended silently or with another count of tokens.
+    /// Ended incomplete without an error, or with another number of tokens.
     pub cut: u64,
-    /// Tokens that came.
+    /// Tokens received.
     pub tokens: u64,
 }
 
 impl ChatCounts {
-    /// Counts one chat.
+    /// Adds one chat; `late` counts only if it completed.
     pub fn add(&mut self, status: ChatStatus, late: bool, tokens: usize) {
         self.offered += 1;
         self.tokens += tokens as u64;
@@ -63,44 +63,45 @@
     }
 }
 
-/// Non-repeatable calls by what callers were told, reconciled with what the service ran.
+/// Counts of non-repeatable calls by what the responses reported, reconciled with what the service
+/// executed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PaymentCounts {
-    /// Sent.
+    /// Sent, whatever the outcome.
     pub offered: u64,
-    /// Told that it ran.
+    /// Reported as executed.
     pub ran: u64,
-    /// Told that it did not run.
+    /// Reported as not executed.
     pub not_run: u64,
-    /// Told that nobody knows, or got no answer.
+    /// Reported as unknown, or without a response.
     pub unknown: u64,
-    /// Told that it ran, but it did not.
+    /// Reported as executed, but not executed.
     pub lost: u64,
-    /// Ran more than once.
+    /// Executed more than once.
     pub doubled: u64,
-    /// Told that it did not run, but it did.
+    /// Reported as not executed, but executed.
     pub run_though_denied: u64,
-    /// Of the unknown ones, those that ran.
+    /// Of the unknown ones, those that were executed.
     pub unknown_but_run: u64,
 }
 
-/// Times in milliseconds.
+/// Summary of measured times in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct TimeSummary {
-    /// Times that were taken.
+    /// Number of measurements.
     pub count: u64,
-    /// Half are below.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl TimeSummary {
-    /// Summary of a histogram of microseconds.
+    /// Summarizes a histogram of microseconds.
     #[must_use]
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| milliseconds(histogram.value_at_quantile(quantile));
--- a/crates/standin/src/load/stats.rs
+++ b/crates/standin/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! Counting outcomes, and reckoning payments against what the service ran.
+//! Counts outcomes and reconciles payments with what the service executed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use super::call::{LoadOutcome, LoadResult, ReportedExecution};
 use super::report::{ChatCounts, LoadReport, PaymentCounts, TimeSummary};
 
-/// Significant digits of the histograms.
+/// Significant decimal digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest time of the histograms in microseconds; a longer one counts as this.
+/// Maximum time of the histograms in microseconds; longer times are recorded as this.
 const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
-/// Outcomes so far.
+/// Counts and times of the outcomes so far.
 #[derive(Debug)]
 pub struct LoadStats {
     late_after: Duration,
@@ -29,15 +29,15 @@
 }
 
 impl LoadStats {
-    /// Nothing yet; a first token after `late_after` counts as late.
+    /// Creates empty statistics; a first token after `late_after` counts as late.
     ///
     /// # Panics
     ///
-    /// Never: the histograms' settings are sound.
+    /// Never panics: the bounds of the histograms are valid constants.
     #[must_use]
     pub fn new(late_after: Duration) -> Self {
         let histogram = || {
-            Histogram::new_with_max(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS).expect("sound bounds")
+            Histogram::new_with_max(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS).expect("valid bounds")
         };
         Self {
             late_after,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Counts an outcome.
+    /// Adds an outcome.
     pub fn add(&mut self, outcome: LoadOutcome) {
         match outcome.result {
             LoadResult::Chat {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Compares what callers were told with what the service ran.
+    /// Compares what the responses reported with what the service executed.
     pub fn reconcile(&mut self, executions: &[LookupBody]) {
         let counts: BTreeMap<&str, u64> = executions
             .iter()
@@ -108,7 +108,7 @@
         }
     }
 
-    /// All of it.
+    /// Returns the report of a load that was sent over `duration`.
     #[must_use]
     pub fn report(&self, duration: Duration) -> LoadReport {
         LoadReport {
