--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The example deployments: records, customers, prompts and calls from `examples/`.
+//! The example deployments, read from `examples/` at compile time.
 
 use std::str::FromStr;
 
@@ -23,47 +23,47 @@
         match text {
             "ndiaye" => Ok(Self::Ndiaye),
             "agency" => Ok(Self::Agency),
-            _ => Err("write ndiaye or agency".to_owned()),
+            _ => Err("expected ndiaye or agency".to_owned()),
         }
     }
 }
 
-/// Who calls what in a deployment.
+/// The calls of a deployment and the customers that make them.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerConfig {
-    /// The model.
+    /// Name of the model that chats ask for.
     pub model: String,
-    /// The plain service.
+    /// Name of the plain service that is called.
     pub service: String,
-    /// Path of a call that may run once only, below the service.
+    /// Path, below the service, of a call that must not be executed twice.
     pub non_repeatable: String,
-    /// Path of a call that may be repeated, below the service.
+    /// Path, below the service, of a call that is safe to repeat.
     pub repeatable: String,
-    /// The customers.
+    /// The customers that requests are divided among; the first one is the example customer.
     pub customers: Vec<CustomerConfig>,
 }
 
-/// One customer.
+/// A customer as a caller: its credentials and its share of the load.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerConfig {
     /// Its name in the records.
     pub name: String,
-    /// Its bearer key.
+    /// Bearer token that it authenticates with.
     pub key: String,
-    /// Its part of the requests.
+    /// Relative share of the requests of a load.
     pub weight: u32,
 }
 
 impl CallerConfig {
-    /// Path of the non-repeatable call at an entry.
+    /// Returns the path of the non-repeatable call at an entry.
     #[must_use]
     pub fn non_repeatable_path(&self) -> String {
         format!("/v1/services/{}/{}", self.service, self.non_repeatable)
     }
 
-    /// Path of the repeatable call at an entry.
+    /// Returns the path of the repeatable call at an entry.
     #[must_use]
     pub fn repeatable_path(&self) -> String {
         format!("/v1/services/{}/{}", self.service, self.repeatable)
@@ -71,46 +71,46 @@
 }
 
 impl Deployment {
-    /// The records.
+    /// Returns the records of the example, as an operator would apply them.
     ///
     /// # Errors
     ///
-    /// When the example is broken.
+    /// Returns an error if the file of the example is malformed.
     pub fn records(self) -> eyre::Result<Vec<Value>> {
         let text = match self {
             Self::Ndiaye => include_str!("../../../examples/ndiaye/records.json"),
             Self::Agency => include_str!("../../../examples/agency/records.json"),
         };
-        serde_json::from_str(text).wrap_err("in records.json of the example")
+        serde_json::from_str(text).wrap_err("invalid records.json of the example")
     }
 
-    /// Who calls what.
+    /// Returns the calls and customers of the example.
     ///
     /// # Errors
     ///
-    /// When the example is broken.
+    /// Returns an error if the file of the example is malformed.
     pub fn callers(self) -> eyre::Result<CallerConfig> {
         let text = match self {
             Self::Ndiaye => include_str!("../../../examples/ndiaye/callers.json"),
             Self::Agency => include_str!("../../../examples/agency/callers.json"),
         };
-        serde_json::from_str(text).wrap_err("in callers.json of the example")
+        serde_json::from_str(text).wrap_err("invalid callers.json of the example")
     }
 
-    /// Bodies of non-repeatable calls: payments or awards.
+    /// Returns bodies of non-repeatable calls: payments or awards.
     ///
     /// # Errors
     ///
-    /// When the example is broken.
+    /// Returns an error if the file of the example is malformed.
     pub fn calls(self) -> eyre::Result<Vec<Value>> {
         let text = match self {
             Self::Ndiaye => include_str!("../../../examples/ndiaye/payments.json"),
             Self::Agency => include_str!("../../../examples/agency/awards.json"),
         };
-        serde_json::from_str(text).wrap_err("in the calls of the example")
+        serde_json::from_str(text).wrap_err("invalid calls of the example")
     }
 
-    /// Prompts, one a line.
+    /// Returns the example prompts, one per line of the file.
     #[must_use]
     pub fn prompts(self) -> Vec<&'static str> {
         let text = match self {
@@ -120,7 +120,7 @@
         text.lines().collect()
     }
 
-    /// Its region.
+    /// Returns the region that entries and hosts belong to.
     #[must_use]
     pub fn region(self) -> &'static str {
         match self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Its failure domains.
+    /// Returns the failure domains that the quickstart spreads entries and fabric domains over.
     #[must_use]
     pub fn domains(self) -> [&'static str; 3] {
         match self {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,7 +1,7 @@
-//! Switches for faults, the same at every stand-in: `POST /faults` with a [`FaultPlan`] replaces
-//! the whole plan, `GET /faults` tells plan and counts as a [`FaultReport`].
+//! Fault injection, the same at every stand-in: `POST /faults` with a [`FaultPlan`] replaces the
+//! current plan, `GET /faults` returns the plan and the counts as a [`FaultReport`].
 //!
-//! A read is a `GET`, a write is anything else.
+//! A `GET` counts as a read, every other method as a write.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,118 +14,118 @@
 use serde::{Deserialize, Serialize};
 use web::{WebResponse, json_response, parse_json, text_response};
 
-/// Path of the switches.
+/// Path that fault plans are read from and posted to.
 pub const FAULTS_PATH: &str = "/faults";
 
 const THROTTLE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What goes wrong at a stand-in; the default is nothing.
+/// The faults to inject at a stand-in; none by default.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, bon::Builder)]
 #[builder(on(String, into))]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPlan {
-    /// Milliseconds before a request is run. A caller that hangs up meanwhile does not stop it, so
-    /// a write that was given up on takes effect late.
+    /// Delay in milliseconds before a request is executed. It is executed even if the caller
+    /// disconnects during the delay, so that an abandoned write takes effect late.
     #[builder(default)]
     pub latency_ms: u64,
-    /// Milliseconds between running a request and answering it.
+    /// Delay in milliseconds between executing a request and sending the response.
     #[builder(default)]
     pub answer_latency_ms: u64,
-    /// Whether nothing is run at all.
+    /// Outage during which no request is executed.
     #[builder(default)]
     pub outage: OutageMode,
-    /// Next writes that are refused with 503, unrun.
+    /// Number of following writes that are refused with 503 without being executed.
     #[builder(default)]
     pub refuse_next: u64,
-    /// Next writes whose connection is closed, unrun.
+    /// Number of following writes whose connection is closed without executing them.
     #[builder(default)]
     pub drop_next: u64,
-    /// Next writes that are run and whose connection is closed without an answer.
+    /// Number of following writes that are executed and whose response is dropped.
     #[builder(default)]
     pub lose_next: u64,
-    /// Share of the writes, from 0 to 1, that are run and not answered.
+    /// Share of the writes, from 0 to 1, that are executed and whose response is dropped.
     #[builder(default)]
     pub lose_share: f64,
-    /// Seed that chooses the writes of `lose_share`.
+    /// Seed of the random choice of writes for `lose_share`.
     #[builder(default)]
     pub seed: u64,
-    /// Most reads a second; those above get 429.
+    /// Maximum reads per second; those above it get 429. `None` means no limit.
     pub max_reads: Option<u32>,
-    /// Most writes a second; those above get 429.
+    /// Maximum writes per second; those above it get 429. `None` means no limit.
     pub max_writes: Option<u32>,
-    /// Only paths that begin so are affected.
+    /// Prefix of the paths that faults apply to; `None` means every path.
     pub match_path: Option<String>,
-    /// Only requests whose body holds this text are affected.
+    /// Text that a request's body must contain for faults to apply; `None` means every request.
     pub match_body: Option<String>,
-    /// Engine: its steps take so many times as long; 0 counts as 1.
+    /// Engine only: factor by which batch steps are slowed down; values below 1 count as 1.
     #[builder(default)]
     pub slow_factor: f64,
-    /// Engine: it reports that it is about to leave.
+    /// Engine only: whether it reports that its host is leaving.
     #[builder(default)]
     pub leaving: bool,
-    /// Engine: it fails every new stream at once.
+    /// Engine only: whether every new stream fails immediately.
     #[builder(default)]
     pub fail_streams: bool,
 }
 
-/// How a stand-in is out of order.
+/// Kind of outage of a stand-in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutageMode {
-    /// It works.
+    /// Requests are executed as usual.
     #[default]
     None,
-    /// It answers 503.
+    /// Every request is refused with 503.
     Refuse,
-    /// It accepts connections and never answers.
+    /// Connections are accepted, but no request gets a response.
     Hang,
 }
 
-/// Requests since the start, by outcome.
+/// Counts of requests since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultCounts {
-    /// Reads that came in.
+    /// Reads received.
     pub reads: u64,
-    /// Writes that came in.
+    /// Writes received.
     pub writes: u64,
-    /// Writes that were run and not answered.
+    /// Writes that were executed and whose response was dropped.
     pub lost: u64,
-    /// Requests that were refused, dropped, throttled or hung, unrun.
+    /// Requests that were refused, dropped, throttled or left hanging without being executed.
     pub unrun: u64,
 }
 
-/// Answer of `GET /faults`.
+/// Response body of `GET /faults`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultReport {
-    /// The plan in force.
+    /// The current plan; its countdowns hold what remains.
     pub plan: FaultPlan,
-    /// Requests so far.
+    /// Requests since the start, also those before the current plan.
     pub counts: FaultCounts,
 }
 
-/// What becomes of one request.
+/// What to do with one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultDecision {
-    /// It is run.
+    /// Execute it.
     Run {
-        /// Wait before.
+        /// Delay before execution.
         latency: Duration,
-        /// Wait behind.
+        /// Delay between execution and response.
         response_latency: Duration,
-        /// Whether the connection is closed instead of an answer.
+        /// Whether to close the connection instead of sending the response.
         lost: bool,
     },
-    /// 503.
+    /// Respond with 503 without executing it.
     Refuse,
-    /// 429.
+    /// Respond with 429 without executing it.
     Throttle,
-    /// The connection is closed.
+    /// Close the connection without executing it.
     Drop,
-    /// No answer ever.
+    /// Never respond.
     Hang,
 }
 
-/// The switches of one stand-in.
+/// Decides which faults one stand-in injects, and counts its requests.
 #[derive(Debug)]
 pub struct FaultInjector {
     state: Mutex<InjectorState>,
@@ -136,7 +136,7 @@
 struct InjectorState {
     report: FaultReport,
     random: StdRng,
-    window: Instant,
+    window_start: Instant,
     reads: u32,
     writes: u32,
 }
@@ -147,7 +147,7 @@
             state: Mutex::new(InjectorState {
                 report: FaultReport::default(),
                 random: StdRng::seed_from_u64(0),
-                window: Instant::now(),
+                window_start: Instant::now(),
                 reads: 0,
                 writes: 0,
             }),
@@ -157,18 +157,18 @@
 }
 
 impl FaultInjector {
-    /// Requests that run now.
+    /// Number of requests in progress.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Counts a request that runs until [`FaultInjector::end`].
+    /// Counts a request as in progress until [`FaultInjector::end`] is called.
     pub fn begin(&self) {
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Ends what [`FaultInjector::begin`] counted.
+    /// Removes a request counted by [`FaultInjector::begin`].
     pub fn end(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
@@ -177,13 +177,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The plan in force.
+    /// Returns a copy of the current plan.
     #[must_use]
     pub fn plan(&self) -> FaultPlan {
         self.state().report.plan.clone()
     }
 
-    /// Answers a request to [`FAULTS_PATH`].
+    /// Handles a request to [`FAULTS_PATH`].
     pub fn handle(&self, request: &Request<Bytes>) -> WebResponse {
         if request.method() == Method::GET {
             return json_response(StatusCode::OK, &self.state().report);
@@ -198,7 +198,7 @@
         json_response(StatusCode::OK, &state.report)
     }
 
-    /// Decides what becomes of a request, and counts it.
+    /// Decides what to do with a request, and counts it.
     pub fn decide(&self, request: &Request<Bytes>) -> FaultDecision {
         let mut state = self.state();
         let write = request.method() != Method::GET;
@@ -220,7 +220,7 @@
 
 impl InjectorState {
     fn decide(&mut self, request: &Request<Bytes>, write: bool) -> FaultDecision {
-        let throttled = self.count_rate(write);
+        let throttled = self.exceeds_rate(write);
         if !matches_request(&self.report.plan, request) {
             return run_without_faults();
         }
@@ -248,9 +248,9 @@
         }
     }
 
-    fn count_rate(&mut self, write: bool) -> bool {
-        if self.window.elapsed() >= THROTTLE_WINDOW {
-            self.window = Instant::now();
+    fn exceeds_rate(&mut self, write: bool) -> bool {
+        if self.window_start.elapsed() >= THROTTLE_WINDOW {
+            self.window_start = Instant::now();
             self.reads = 0;
             self.writes = 0;
         }
@@ -272,11 +272,11 @@
     }
 }
 
-fn decrement(left: &mut u64) -> bool {
-    if *left == 0 {
+fn decrement(count: &mut u64) -> bool {
+    if *count == 0 {
         return false;
     }
-    *left -= 1;
+    *count -= 1;
     true
 }
 
--- a/crates/standin/src/hostlist.rs
+++ b/crates/standin/src/hostlist.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's host list: serves what its file said a set time ago.
+//! Stand-in for the platform's host list: serves the content of a file with a fixed delay.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -17,11 +17,11 @@
 
 const READ_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the host list.
+/// Serves the host list until interrupted.
 ///
 /// # Errors
 ///
-/// When the file can't be read or the address can't be bound.
+/// Returns an error if the file can't be read or the address can't be bound.
 pub async fn run(options: HostlistOptions) -> eyre::Result<()> {
     let first = read_list(&options.hosts)?;
     let server = Arc::new(HostListServer {
@@ -29,12 +29,12 @@
         lag: Duration::from_millis(options.lag_ms),
         history: Mutex::new(VecDeque::from([(Instant::now(), first)])),
     });
-    tokio::spawn(read_forever(Arc::clone(&server)));
+    tokio::spawn(poll_file(Arc::clone(&server)));
     let faults = Arc::new(FaultInjector::default());
     serve_standin("hostlist", options.listen, server, faults).await
 }
 
-/// The host list.
+/// Request handler of the host list.
 #[derive(Debug)]
 pub struct HostListServer {
     path: PathBuf,
@@ -44,7 +44,7 @@
 
 impl HostListServer {
     fn read_file(&self) {
-        // A file that is just being replaced is read at the next turn.
+        // A file that can't be parsed may be in the middle of being replaced; the next read retries.
         let Ok(list) = read_list(&self.path) else {
             return;
         };
@@ -67,10 +67,10 @@
 
 fn read_list(path: &Path) -> eyre::Result<HostListBody> {
     let bytes = std::fs::read(path).wrap_err_with(|| format!("can't read {}", path.display()))?;
-    parse_json(&bytes).wrap_err_with(|| format!("can't use {}", path.display()))
+    parse_json(&bytes).wrap_err_with(|| format!("invalid host list {}", path.display()))
 }
 
-async fn read_forever(server: Arc<HostListServer>) {
+async fn poll_file(server: Arc<HostListServer>) {
     loop {
         tokio::time::sleep(READ_INTERVAL).await;
         server.read_file();
--- a/crates/standin/src/interrupt.rs
+++ b/crates/standin/src/interrupt.rs
@@ -1,8 +1,8 @@
-//! Being told to stop.
+//! Waiting for SIGINT and SIGTERM.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Signals that end a command in order, with everything that it started.
+/// Signals on which a command shuts down together with the processes it started.
 #[derive(Debug)]
 pub struct ShutdownSignals {
     interrupt: tokio::signal::unix::Signal,
@@ -10,11 +10,11 @@
 }
 
 impl ShutdownSignals {
-    /// Catches the signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// When the system refuses it.
+    /// Returns an error if a handler can't be installed.
     pub fn catch() -> std::io::Result<Self> {
         Ok(Self {
             interrupt: signal(SignalKind::interrupt())?,
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for SIGINT or SIGTERM.
     pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the outside systems, for tests and examples.
+//! Stand-ins for the external systems, for tests, examples and measurements.
 //!
-//! Each is a small process of its own; none is part of the product.
+//! Each runs as a small process of its own; none is part of the server.
 
 pub mod deployment;
 pub mod engine;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The development binary that runs one stand-in.
+//! Development binary that runs one stand-in, the quickstart, the load tool or a measurement.
 
 use std::process::ExitCode;
 
@@ -34,6 +34,6 @@
         Some(StandinCommand::MeasureGateway(options)) => measure::run_gateway(options).await,
         Some(StandinCommand::Relay(options)) => relay::run(options).await,
         Some(StandinCommand::MeasureControl(_)) => measure::run_control().await,
-        None => eyre::bail!("name a command: see --help"),
+        None => eyre::bail!("missing command; see --help"),
     }
 }
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the object store.
+//! Stand-in for the object store. Objects are kept in memory and can't be overwritten.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,18 +12,18 @@
 use crate::options::TableOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
-/// Runs the object store.
+/// Serves the object store until interrupted.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn run(options: TableOptions) -> eyre::Result<()> {
     let server = Arc::new(ObjectServer::default());
     let faults = Arc::new(FaultInjector::default());
     serve_standin("objects", options.listen, server, faults).await
 }
 
-/// The object store.
+/// Request handler of the object store.
 #[derive(Debug, Default)]
 pub struct ObjectServer {
     objects: Mutex<HashMap<String, Bytes>>,
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,7 +1,7 @@
-//! A relay that decides nothing: what forwarding costs at least.
+//! A reverse proxy without routing: the lower bound of the cost of forwarding.
 //!
-//! One thread, as a gateway has, and the same libraries; each request goes to one fixed server and
-//! its answer back as it comes. What a gateway costs beyond this is the price of its decisions.
+//! It uses one thread and the same libraries as a gateway. Each request goes to one fixed server
+//! and the response is streamed back. What a gateway costs beyond this is due to its own logic.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,20 +24,20 @@
 
 use crate::options::RelayOptions;
 
-/// Longest wait for a connection on loopback.
+/// Timeout for a connection on loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections to the server.
+/// Idle connections to the server that are reused.
 type ConnectionPool = Rc<RefCell<Vec<HttpConnection>>>;
 
-/// Relays until the process is ended, and says on standard output where.
+/// Forwards requests until the process is terminated, and prints the address to standard output.
 ///
 /// # Errors
 ///
-/// When no port is free.
+/// Returns an error if no server is given or no port can be bound.
 pub async fn run(options: RelayOptions) -> eyre::Result<()> {
-    let server = options.to.ok_or_eyre("name the server with --to")?;
-    // A thread and runtime of its own, or the connections would run on all cores.
+    let server = options.to.ok_or_eyre("missing option --to")?;
+    // On the default runtime the connections would be spread over all cores.
     let thread = tokio::task::spawn_blocking(move || {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         LocalSet::new().block_on(&runtime, relay(server))
@@ -59,11 +59,11 @@
 async fn serve(stream: TcpStream, server: SocketAddr, pool: ConnectionPool) {
     let service = service_fn(move |request| forward(request, server, Rc::clone(&pool)));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    // The caller sees how its connection ends.
+    // A failed connection is visible to the caller.
     drop(connection.await);
 }
 
-/// Why a request was not relayed; its connection is closed.
+/// Why a request could not be forwarded; hyper closes its connection.
 #[derive(Debug, thiserror::Error)]
 enum RelayError {
     #[error("the request body was cut off")]
--- a/crates/standin/src/rows.rs
+++ b/crates/standin/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a table in memory, for tests that put faults of their own around them.
+//! An in-memory table for tests that wrap it with faults of their own.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
     CommitOutcome, RowChange, RowConflict, RowExpectation, RowRead, TableRow, WriteBatch,
 };
 
-/// Rows with the table's conditional, transactional writes.
+/// Rows with the conditional, atomic batch writes of the table.
 #[derive(Debug, Default)]
 pub struct MemoryRows {
     version: u64,
@@ -15,13 +15,13 @@
 }
 
 impl MemoryRows {
-    /// A row as it stands.
+    /// Returns the current row, or `None` if it does not exist.
     #[must_use]
     pub fn row(&self, key: &str) -> Option<TableRow> {
         self.rows.get(key).cloned()
     }
 
-    /// Reads a row; `known` need not be sent again.
+    /// Reads a row; a row whose version is still `known` is reported as unchanged.
     #[must_use]
     pub fn read(&self, key: &str, known: Option<RowVersion>) -> RowRead {
         match self.rows.get(key) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Every row whose key starts with `prefix`, ordered by key.
+    /// Returns every row whose key starts with `prefix`, ordered by key.
     #[must_use]
     pub fn scan(&self, prefix: &str) -> Vec<TableRow> {
         let rows = self.rows.values();
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// Commits a batch: all of it, or none.
+    /// Commits a batch atomically; if any expectation fails, nothing is written.
     pub fn commit(&mut self, batch: &WriteBatch) -> CommitOutcome {
         let conflicts = self.conflicts(batch);
         if !conflicts.is_empty() {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving a stand-in: whole requests to its handler, with the faults that are switched on.
+//! HTTP server of a stand-in: passes complete requests to the handler and injects faults.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -18,22 +18,22 @@
 
 const MAX_REQUEST_BYTES: usize = 64 << 20;
 
-/// Answers whole requests.
+/// Handles requests whose body has been read completely.
 pub trait StandinHandler: Send + Sync + 'static {
-    /// Answers one request; every failure is an answer too.
+    /// Handles one request; failures are reported as error responses.
     fn handle(&self, request: Request<Bytes>) -> impl Future<Output = WebResponse> + Send;
 }
 
-/// The connection is closed without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the response is dropped by an injected fault")]
 pub struct ResponseDropped;
 
-/// Serves a stand-in until the process is interrupted, and says on standard output where.
+/// Serves a stand-in until the process is interrupted, and prints the address to standard output.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn serve_standin<H: StandinHandler>(
     name: &str,
     address: Option<SocketAddr>,
@@ -109,8 +109,8 @@
             response_latency,
             lost,
         } => {
-            // Hyper drops a request's future when its caller hangs up. A real store goes on with
-            // what it was given, so the work has a task of its own.
+            // hyper drops a request's future when the caller disconnects. A real store still
+            // completes the request, so it runs in a task of its own.
             let running = tokio::spawn(async move {
                 faults.begin();
                 tokio::time::sleep(latency).await;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,7 +1,8 @@
 //! Stand-in for a plain service: licence records and payments, or a badge registry.
 //!
-//! It counts executions of every call by idempotency key, so that a test can tell lost and
-//! doubled payments. It never deduplicates: running a call twice is the harm that is looked for.
+//! It counts executions of every call by idempotency key, so that a test can detect lost and
+//! duplicate payments. It does not deduplicate, because duplicate execution is the fault that the
+//! tests look for.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -28,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// When the book can't be opened or the address can't be bound.
+/// Returns an error if the execution log can't be opened or the address can't be bound.
 pub async fn run(options: ServiceOptions) -> eyre::Result<()> {
     let faults = Arc::new(FaultInjector::default());
     let server = Arc::new(PlainService {
@@ -38,15 +39,15 @@
     serve_standin("service", options.listen, server, faults).await
 }
 
-/// The service.
+/// Request handler of one instance of the service.
 #[derive(Debug)]
 pub struct PlainService {
     log: Mutex<ExecutionLog>,
     faults: Arc<FaultInjector>,
 }
 
-/// Executions by key. Instances of one service share them by a file, as real ones share a
-/// database: a look-up at one instance must tell what another one ran.
+/// Executions by key. Instances of one service share them through a file, as real ones share a
+/// database, so that a lookup at one instance also returns what another one executed.
 #[derive(Debug)]
 struct ExecutionLog {
     file: Option<File>,
@@ -54,7 +55,7 @@
     entries: BTreeMap<CallId, LookupBody>,
 }
 
-/// What names a call: two customers may use the same key.
+/// Identifies a call; two customers may use the same key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct CallId {
     key: String,
@@ -104,7 +105,8 @@
         })
     }
 
-    /// Notes one execution. A line is one write in append mode, so lines never mix.
+    /// Records one execution. Each line is a single write in append mode, so that the lines of
+    /// concurrent instances don't interleave.
     fn record(&mut self, id: CallId, response: Value) -> std::io::Result<()> {
         let Some(file) = &mut self.file else {
             self.count(id, response);
@@ -121,7 +123,7 @@
         entry.answer = Some(response);
     }
 
-    /// Reads what other instances noted since the last time.
+    /// Reads the lines that were appended, by this and other instances, since the last call.
     fn read_new_lines(&mut self) -> std::io::Result<()> {
         let Some(file) = &mut self.file else {
             return Ok(());
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the transactional table: rows in memory behind one lock.
+//! Stand-in for the transactional table. Rows are kept in memory behind one lock, which makes
+//! every batch atomic.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -17,18 +18,18 @@
 use crate::options::TableOptions;
 use crate::serve::{StandinHandler, serve_standin};
 
-/// Runs the table.
+/// Serves the table until interrupted.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn run(options: TableOptions) -> eyre::Result<()> {
     let server = Arc::new(TableServer::default());
     let faults = Arc::new(FaultInjector::default());
     serve_standin("table", options.listen, server, faults).await
 }
 
-/// The table.
+/// Request handler of the table.
 #[derive(Debug, Default)]
 pub struct TableServer {
     rows: Mutex<TableRows>,
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the weight store: `GET /weights/{model}/{version}` streams bytes. All downloads
-//! share one rate.
+//! Stand-in for the weight store: `GET /weights/{model}/{version}` streams zeros. All downloads
+//! share one rate limit.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -17,11 +17,11 @@
 const CHUNK_BYTES: usize = 64 << 10;
 const CHUNK_BUFFER: usize = 4;
 
-/// Runs the weight store.
+/// Serves the weight store until interrupted.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn run(options: WeightsOptions) -> eyre::Result<()> {
     let server = Arc::new(WeightServer {
         bytes: options.bytes,
@@ -34,7 +34,7 @@
     serve_standin("weights", options.listen, server, faults).await
 }
 
-/// The weight store.
+/// Request handler of the weight store.
 #[derive(Debug)]
 pub struct WeightServer {
     bytes: usize,
@@ -48,11 +48,11 @@
 }
 
 impl RateLimiter {
-    /// Waits for the turn of so many bytes; turns of all downloads form one line.
+    /// Waits until `bytes` may be sent; all downloads share one queue.
     async fn acquire(&self, bytes: usize) {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         let time = Duration::from_secs_f64(f64::from(bytes) / f64::from(self.bytes_per_second));
-        let until = {
+        let deadline = {
             let mut next_free = self
                 .next_free
                 .lock()
@@ -60,7 +60,7 @@
             *next_free = (*next_free).max(Instant::now()) + time;
             *next_free
         };
-        tokio::time::sleep_until(until.into()).await;
+        tokio::time::sleep_until(deadline.into()).await;
     }
 }
 
