--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines that form replicas by orders and stream events.
+//! Model engines that form replicas as ordered and stream events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,31 +15,31 @@
 };
 use super::stream::StreamRun;
 
-/// What a request's body holds that ends the engine which begins to run it.
+/// Content of a request body that crashes the engine or instance that executes the request.
 pub const CRASH_BODY: &[u8] = b"ends what runs it";
 
-/// One engine; dropped, its process is gone.
+/// One engine; dropping it closes its listener and connections, as when its process dies.
 #[derive(Debug)]
 pub struct SiteEngine {
-    /// Its id.
+    /// Instance id in the registry.
     pub id: String,
     server: SiteServer,
 }
 
 impl SiteEngine {
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Loses new connections on their way, as a link that loses packets, until what it returns is
+    /// Makes new connections time out, as with packet loss on the link, until the returned guard is
     /// dropped.
     pub async fn lose_connections(&self) -> ConnectionLossGuard {
         self.server.lose_connections().await
     }
 
-    /// Takes no more connections, as an engine does that leaves; what it works on goes on.
+    /// Stops accepting connections, as an engine that leaves does; requests in progress continue.
     pub fn stop_listening(&self) {
         self.server.stop_listening();
     }
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Its port can't be opened.
+    /// Returns an error if no port can be bound.
     pub fn start(&self, id: &str, fabric: &str, zone: &str) -> std::io::Result<SiteEngine> {
         let groups = self.clone();
         let name = id.to_owned();
@@ -83,20 +83,20 @@
         })
     }
 
-    /// Lets an engine fall silent: its connections stand and nothing comes any more.
+    /// Makes an engine unresponsive: its connections stay open, but it sends nothing more.
     pub fn make_unresponsive(&self, id: &str) {
         self.with(id, |engine| engine.unresponsive = true);
     }
 
-    /// Takes an engine's entry out of the registry, as the platform does after its silence, or
-    /// where it leaves without a word; it serves on.
+    /// Removes an engine from the registry, as the platform does when it stops reporting or leaves
+    /// without notice; the engine continues to serve.
     pub fn expire(&self, id: &str) {
         self.with(id, |engine| engine.listed = false);
         self.store.remove("servers", id);
     }
 
-    /// Ends an engine's process, as a request does whose body holds [`CRASH_BODY`]: connections break
-    /// and nobody listens any more.
+    /// Crashes an engine, as a request whose body contains [`CRASH_BODY`] does: its connections and
+    /// its listener are closed.
     pub fn crash(&self, id: &str) {
         self.with(id, |engine| {
             engine.unresponsive = true;
@@ -105,33 +105,33 @@
         self.crashed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Engines whose processes have crashed.
+    /// Returns the number of engines that have crashed.
     #[must_use]
     pub fn crashed(&self) -> usize {
         self.crashed.load(Ordering::Relaxed)
     }
 
-    /// Puts an entry into the registry that knows nothing of the engine's replica.
+    /// Writes a stale registry entry, without the engine's current replica.
     pub fn write_stale_entry(&self, id: &str) {
         let group = self.with(id, |engine| engine.group.take()).flatten();
         self.register(id);
         self.with(id, |engine| engine.group = group);
     }
 
-    /// Lets an engine announce that it leaves.
+    /// Makes an engine report that it is draining.
     pub fn drain(&self, id: &str) {
         self.with(id, |engine| engine.draining = true);
         self.register(id);
     }
 
-    /// Sets how many events each stream has.
+    /// Sets the number of events of new streams at all engines.
     pub fn set_events(&self, events: usize) {
         for engine in self.lock().values_mut() {
             engine.events = events;
         }
     }
 
-    /// Members of the replicas that serve, the heads first.
+    /// Returns the members of each open replica by rank, so that the head comes first.
     #[must_use]
     pub fn serving(&self) -> Vec<Vec<String>> {
         let engines = self.lock();
@@ -143,7 +143,7 @@
         open.collect()
     }
 
-    /// How often a request ran.
+    /// Returns how often a request was executed, over all engines.
     #[must_use]
     pub fn execution_count(&self, request: &str) -> usize {
         let engines = self.lock();
@@ -151,7 +151,7 @@
         ran.filter(|id| *id == request).count()
     }
 
-    /// Whether a request began to run at an engine.
+    /// Returns whether an engine started to execute a request.
     #[must_use]
     pub fn ran_at(&self, id: &str, request: &str) -> bool {
         let ran = self.with(id, |engine| {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Writes what an engine says now into its entry, if it has one.
+    /// Updates the registry entry of an engine that is listed.
     pub(super) fn refresh_entry(&self, id: &str) {
         if self.with(id, |engine| engine.listed) == Some(true) {
             self.register(id);
@@ -219,7 +219,7 @@
                 .any(|member| self.is_in_other_group(member, &group))
         {
             self.record_violation(format!(
-                "{} took a request while a host was in another",
+                "{} accepted a request while one of its hosts was in another group",
                 group.name
             ));
         }
@@ -228,13 +228,13 @@
             engine.executed.push(request_id.clone());
             engine.running += 1;
         });
-        let first: usize = request.header("last-event-id").parse().unwrap_or(0);
+        let last_event_id: usize = request.header("last-event-id").parse().unwrap_or(0);
         let events = self.with(id, |engine| engine.events).unwrap_or(0);
         let run = StreamRun {
             groups: self.clone(),
             id: id.to_owned(),
             group,
-            next: first + 1,
+            next: last_event_id + 1,
             last: events,
             crashes_engine: contains(&request.body, CRASH_BODY),
             started: false,
--- a/crates/standin/src/site/groups.rs
+++ b/crates/standin/src/site/groups.rs
@@ -1,4 +1,4 @@
-//! Which engines of a site form which replicas.
+//! Membership of engines in replicas, which the platform calls groups.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicUsize;
@@ -24,38 +24,38 @@
     pub address: String,
     pub orders: u64,
     pub loaded: Option<String>,
-    /// Models on its host; it keeps the last one.
+    /// Model staged on its host; only the latest one is kept.
     pub staged: Option<String>,
     pub group: Option<Group>,
     pub unresponsive: bool,
     pub draining: bool,
-    /// Whether the registry names it.
+    /// Whether it has a registry entry.
     pub listed: bool,
     pub events: usize,
-    /// Streams that run here as a head.
+    /// Streams in progress at this head.
     pub running: usize,
-    /// Replica whose requests were cancelled here.
+    /// Group that was closed with the cancel mode; its streams fail.
     pub cancelled: Option<String>,
-    /// Ids of requests that began to run here.
+    /// Ids of requests whose execution started here.
     pub executed: Vec<String>,
-    /// Ends its process.
+    /// Crashes the engine when notified.
     pub crash: Arc<Notify>,
 }
 
-/// What all engines of a site share: who is where, and who lives.
+/// State of all engines; clones share it.
 #[derive(Debug, Clone)]
 pub struct SiteGroups {
     pub(super) store: SiteStore,
     engines: Arc<Mutex<BTreeMap<String, EngineState>>>,
-    /// Joins of a host whose group's head was open, and requests that began in an incomplete
-    /// replica. Both must stay empty.
+    /// Hosts that joined a group while the head of their old group was open, and requests that
+    /// started in an incomplete replica. Neither must happen.
     violations: Arc<Mutex<Vec<String>>>,
-    /// Engines whose processes have crashed.
+    /// Number of engines that have crashed.
     pub(super) crashed: Arc<AtomicUsize>,
 }
 
 impl SiteGroups {
-    /// No engines yet.
+    /// Creates a site without engines, whose registry is in `store`.
     #[must_use]
     pub fn new(store: &SiteStore) -> Self {
         Self {
@@ -84,7 +84,7 @@
         Some(group.name)
     }
 
-    /// Whether all members of a head's group live and are in it.
+    /// Returns whether all members respond and are in the group.
     pub(super) fn is_complete(&self, group: &Group) -> bool {
         let engines = self.lock();
         group.members.iter().all(|member| {
@@ -99,14 +99,14 @@
         own.is_some_and(|own| own.name != group.name)
     }
 
-    pub(super) fn record_violation(&self, text: String) {
+    pub(super) fn record_violation(&self, description: String) {
         let violations = self.violations.lock();
         violations
             .unwrap_or_else(PoisonError::into_inner)
-            .push(text);
+            .push(description);
     }
 
-    /// What must never have happened.
+    /// Returns descriptions of the violated invariants; tests expect none.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let violations = self.violations.lock();
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections all end with it.
+//! A small HTTP server that closes all its connections when it is dropped.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,7 +21,7 @@
 pub(super) type SiteBody = UnsyncBoxBody<Bytes, std::io::Error>;
 pub(super) type SiteResponse = Response<SiteBody>;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub(super) struct SiteRequest {
     pub path: String,
@@ -49,20 +49,20 @@
     }
 }
 
-/// Marks an answer after which the connection is closed without a word.
+/// Marks a response after which the connection is closed without `connection: close`.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CloseAfterResponse;
 
-/// Time from such an answer to the close; the answer is written in it.
+/// Delay between such a response and the close, in which the response is written.
 const CLOSE_DELAY: Duration = Duration::from_millis(15);
 
-/// Connections that wait to be taken; few, so that the queue can be filled.
+/// Length of the accept queue; short, so that [`SiteServer::lose_connections`] can fill it.
 const BACKLOG: u32 = 64;
 
-/// Time after which a connection that is not made shows that the queue is full.
+/// The accept queue counts as full when a connection is not established within this time.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// New connections to a server are lost until it is dropped.
+/// Makes new connections to a server time out until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionLossGuard {
     paused: watch::Sender<bool>,
@@ -75,11 +75,11 @@
     }
 }
 
-/// A running server; dropped, it closes its listener and all its connections at once.
+/// A running server; dropping it closes its listener and all connections immediately.
 #[derive(Debug)]
 pub(super) struct SiteServer {
     pub address: SocketAddr,
-    /// Ends it as if it were dropped.
+    /// Stops it as if it were dropped when notified.
     pub crash: Arc<Notify>,
     closing: Arc<Notify>,
     paused: watch::Sender<bool>,
@@ -110,7 +110,7 @@
         let serving = async move {
             let mut connections = JoinSet::new();
             loop {
-                // The sender lives as long as this task.
+                // This can't fail: the sender lives as long as this task.
                 drop(pause.wait_for(|paused| !paused).await);
                 let accepted = tokio::select! {
                     () = closed.notified() => break,
@@ -139,8 +139,8 @@
         })
     }
 
-    /// Loses new connections on their way, for as long as what it returns is held: nobody takes
-    /// them, and the queue is full. Those that are open go on.
+    /// Makes new connections time out until the returned guard is dropped: the server stops
+    /// accepting and the accept queue is filled. Open connections are not affected.
     pub async fn lose_connections(&self) -> ConnectionLossGuard {
         self.paused.send_replace(true);
         let mut queued = Vec::new();
@@ -157,13 +157,13 @@
         }
     }
 
-    /// Takes no more connections; those that are open go on.
+    /// Stops accepting connections; open ones continue.
     pub fn stop_listening(&self) {
         self.closing.notify_one();
     }
 }
 
-/// Serves one connection; after an answer marked [`CloseAfterResponse`] it is closed, as if for its age.
+/// Serves one connection; after an answer marked [`CloseAfterResponse`] it is closed, as a server does with connections of a maximum age.
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(SiteRequest) -> F + Clone + Send + 'static,
@@ -183,7 +183,7 @@
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // The other side sees how its connection ends.
+    // A failed connection is visible to the client.
     tokio::select! {
         ended = connection.as_mut() => drop(ended),
         () = async {
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,7 +1,8 @@
-//! The users' platform in small: its store of rows, its engines with replicas, its plain services.
+//! A small in-process version of the users' platform: its row store, its engines with replicas and
+//! its plain services.
 //!
-//! Everything runs in the test's own process and speaks the platform's published calls on
-//! loopback, so that tests run the clients that are shipped.
+//! It runs in the test's process and serves the platform's published HTTP API on loopback, so that
+//! tests exercise the production clients.
 
 mod engine;
 mod groups;
--- a/crates/standin/src/site/orders.rs
+++ b/crates/standin/src/site/orders.rs
@@ -1,4 +1,4 @@
-//! How an engine takes orders.
+//! Execution of the orders that engines receive.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use super::groups::{Group, SiteGroups};
 use super::http::{SiteRequest, SiteResponse, text_response};
 
-/// Time for a join; a spare that held the model and one that did not take the same here.
+/// Duration of a join, whether or not the model was staged on the host before.
 const JOIN_DURATION: Duration = Duration::from_millis(60);
 
-/// Time from the order to open until the head serves.
+/// Time from the order to open until the head serves requests.
 const OPEN_DURATION: Duration = Duration::from_millis(60);
 
 impl SiteGroups {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Notes the end of a stream; a head that was closing is done with its last one.
+    /// Records the end of a stream; a closing head becomes ready after its last one.
     pub(super) fn end_stream(&self, id: &str) {
         let closed = self.with(id, |engine| {
             engine.running -= 1;
@@ -150,11 +150,11 @@
         StatusCode::OK
     }
 
-    fn set_state_after(&self, id: &str, time: Duration, from: &'static str, to: &'static str) {
+    fn set_state_after(&self, id: &str, delay: Duration, from: &'static str, to: &'static str) {
         let (groups, id) = (self.clone(), id.to_owned());
         let name = self.group_name(&id);
         tokio::spawn(async move {
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(delay).await;
             groups.with(&id, |engine| {
                 if let Some(group) = &mut engine.group
                     && Some(&group.name) == name.as_ref()
--- a/crates/standin/src/site/service.rs
+++ b/crates/standin/src/site/service.rs
@@ -12,25 +12,25 @@
 use super::http::{CloseAfterResponse, SiteRequest, SiteResponse, SiteServer, text_response};
 use super::store::SiteStore;
 
-/// Time that a slow instance takes for a call.
+/// Response time of a slow instance.
 const SLOW_DELAY: Duration = Duration::from_millis(40);
 
-/// How an instance behaves.
+/// Behaviour of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// It answers.
+    /// Executes a call and responds.
     Healthy,
-    /// It answers after [`SLOW_DELAY`].
+    /// Responds after [`SLOW_DELAY`].
     Slow,
-    /// It says that it is full.
+    /// Rejects each call with 503 without executing it.
     Overloaded,
-    /// It runs a call and its answer never comes.
+    /// Executes a call but never responds.
     Unresponsive,
-    /// It fails each call after it ran.
+    /// Responds with 500 after executing a call.
     Failing,
-    /// It answers as if another request had been asked for.
+    /// Responds with the id of another request.
     WrongRequestId,
-    /// It answers and closes the connection a moment later, without saying so.
+    /// Responds, then closes the connection shortly after without announcing it.
     ClosesConnection,
 }
 
@@ -39,11 +39,11 @@
     mode: ServiceMode,
     executed: Vec<String>,
     received_headers: Vec<String>,
-    /// Ends its process.
+    /// Crashes the instance when notified.
     crash: Option<Arc<Notify>>,
 }
 
-/// One instance; dropped, its process is gone.
+/// One instance; dropping it closes its listener and connections, as when its process dies.
 #[derive(Debug)]
 pub struct SiteInstance {
     state: Arc<Mutex<InstanceState>>,
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Its port can't be opened.
+    /// Returns an error if no port can be bound.
     pub fn start(store: &SiteStore, id: &str, zone: &str) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(InstanceState {
             mode: ServiceMode::Healthy,
@@ -78,7 +78,7 @@
         Ok(Self { state, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address
@@ -89,18 +89,18 @@
         update(&mut state)
     }
 
-    /// Changes how it behaves.
+    /// Changes its behaviour for the following requests.
     pub fn set_mode(&self, mode: ServiceMode) {
         self.with(|state| state.mode = mode);
     }
 
-    /// How often a request ran here.
+    /// Returns how often a request was executed here.
     #[must_use]
     pub fn execution_count(&self, request: &str) -> usize {
         self.with(|state| state.executed.iter().filter(|id| *id == request).count())
     }
 
-    /// Headers of the requests that came, one text each.
+    /// Returns the headers of each received request, in debug format.
     #[must_use]
     pub fn received_headers(&self) -> Vec<String> {
         self.with(|state| state.received_headers.clone())
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The store of rows: reads, the feed of changes, transactions.
+//! The row store: paged reads, the change feed and transactions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,31 +13,31 @@
 
 use super::http::{SiteRequest, SiteResponse, SiteServer, json_response, text_response};
 
-/// How the store answers.
+/// Behaviour of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Handles requests as usual.
     Healthy,
-    /// Not at all.
+    /// Accepts requests but never responds.
     Unresponsive,
-    /// With 503.
+    /// Responds with 503.
     Unavailable,
 }
 
-/// A row's table and key; all rows stand in the empty part.
+/// Table and key of a row; all rows are in the partition with the empty name.
 type RowKey = (String, String);
 
 #[derive(Debug)]
 struct StoreState {
     rows: BTreeMap<RowKey, (Option<Vec<u8>>, u64)>,
     version: u64,
-    /// Changes up to this version are compacted.
+    /// The feed can't be read from before this version.
     compacted_version: u64,
     mode: StoreMode,
     calls: u64,
 }
 
-/// A store; clones share it.
+/// An in-memory store; clones share its rows.
 #[derive(Debug, Clone)]
 pub struct SiteStore {
     state: Arc<Mutex<StoreState>>,
@@ -62,11 +62,11 @@
 }
 
 impl SiteStore {
-    /// Serves it on a port of its own for as long as the runtime lives.
+    /// Serves the store on a free port until the runtime shuts down.
     ///
     /// # Errors
     ///
-    /// The port can't be opened.
+    /// Returns an error if no port can be bound.
     pub fn serve(&self) -> std::io::Result<SocketAddr> {
         let store = self.clone();
         let server = SiteServer::start(move |request| {
@@ -83,12 +83,12 @@
         change(&mut state)
     }
 
-    /// Writes a row.
+    /// Writes a row and notifies readers of the feed.
     pub fn put(&self, table: &str, key: &str, value: &[u8]) {
         self.write(table, key, Some(value.to_vec()));
     }
 
-    /// Keys of a table's rows.
+    /// Returns the keys of the rows in a table.
     #[must_use]
     pub fn keys(&self, table: &str) -> Vec<String> {
         self.with(|state| {
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Removes a row.
+    /// Removes a row; the feed reports it as removed.
     pub fn remove(&self, table: &str, key: &str) {
         self.write(table, key, None);
     }
@@ -112,19 +112,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Changes how the store answers.
+    /// Changes the behaviour of the store, also for feed requests that are waiting.
     pub fn set_mode(&self, mode: StoreMode) {
         self.with(|state| state.mode = mode);
         self.changed.notify_waiters();
     }
 
-    /// Forgets the history of changes.
+    /// Discards the history of changes; feeds from an older version get 410.
     pub fn compact(&self) {
         self.with(|state| state.compacted_version = state.version);
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the number of requests received.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.with(|state| state.calls)
@@ -185,7 +185,7 @@
                 return self.page(&rows, false);
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            // A change or the end of the wait; both lead to another look.
+            // The loop checks again after a change as well as after the timeout.
             drop(tokio::time::timeout(left, changed).await);
         }
     }
--- a/crates/standin/src/site/stream.rs
+++ b/crates/standin/src/site/stream.rs
@@ -1,4 +1,4 @@
-//! A stream that an engine writes, as long as its replica is whole.
+//! A stream of events from an engine, which stalls while its replica is incomplete.
 
 use std::time::{Duration, Instant};
 
@@ -7,22 +7,22 @@
 
 use super::groups::{Group, SiteGroups};
 
-/// Pause between two events of a stream.
+/// Interval between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time after which a head that misses a member breaks.
+/// Time after which a stream fails while a member of its replica is missing.
 const STALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A stream in progress.
+/// A stream in progress; dropping it ends the request at the head.
 pub(super) struct StreamRun {
     pub groups: SiteGroups,
     pub id: String,
     pub group: Group,
     pub next: usize,
     pub last: usize,
-    /// Whether its request ends the engine after the first event.
+    /// Whether the request crashes the engine after the first event.
     pub crashes_engine: bool,
-    /// Whether its first event was written.
+    /// Whether the first event has been written.
     pub started: bool,
 }
 
@@ -33,11 +33,11 @@
         }
         tokio::time::sleep(EVENT_INTERVAL).await;
         let wait_started = Instant::now();
-        // Without a member nothing moves; its own process may be gone as well.
+        // No event is produced while a member is missing; the head itself may have crashed too.
         while !self.groups.is_complete(&self.group) {
             let left = self.groups.group_name(&self.id).as_ref() != Some(&self.group.name);
             if left || wait_started.elapsed() > STALL_TIMEOUT {
-                return Some(Err(std::io::Error::other("the replica broke")));
+                return Some(Err(std::io::Error::other("the replica lost a member")));
             }
             tokio::time::sleep(EVENT_INTERVAL).await;
         }
