--- a/crates/standin/src/stack/caller.rs
+++ b/crates/standin/src/stack/caller.rs
@@ -1,4 +1,4 @@
-//! Calling a system's entries as the example customer.
+//! Calls to a system's entries as the example customer.
 
 use std::time::Instant;
 
@@ -12,28 +12,28 @@
 
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Bearer key of the example customer.
+/// Bearer token of the example customer.
 pub const CUSTOMER_KEY: &str = "ndiaye-sandaga-desk";
 
-/// An answer read whole.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct CallerResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// When to come back.
+    /// Value of the `retry-after` header, if present.
     pub retry_after: Option<String>,
-    /// Its body.
+    /// Raw body.
     pub body: Vec<u8>,
 }
 
 impl CallerResponse {
-    /// The body as JSON; null when it is none.
+    /// Parses the body as JSON; null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The body as text.
+    /// Returns the body as text; invalid UTF-8 is replaced.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -41,11 +41,12 @@
 }
 
 impl TestStack {
-    /// Sends a call to an entry as the example customer; the answer's body is still streaming.
+    /// Sends a request to an entry as the example customer, and returns once the response headers
+    /// have arrived.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when there is no answer, as from an entry that dies.
+    /// Returns a [`ClientError`] if there is no response, for example because the entry crashed.
     pub async fn open(
         &self,
         entry: usize,
@@ -66,15 +67,15 @@
         }
         let request = builder
             .body(full_body(body.to_string()))
-            .expect("a request");
+            .expect("valid request");
         self.client.send(address, request, WAIT_TIMEOUT).await
     }
 
-    /// Calls an entry as the example customer and reads the whole answer.
+    /// Calls an entry as the example customer and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when there is no whole answer.
+    /// Returns a [`ClientError`] if the response is missing or incomplete.
     pub async fn try_call(
         &self,
         entry: usize,
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Calls an entry as the example customer; the answer must come whole.
+    /// Calls an entry as the example customer; panics without a complete response.
     pub async fn call(
         &self,
         entry: usize,
@@ -113,14 +114,14 @@
             .unwrap_or_else(|error| panic!("{path}: {error}"))
     }
 
-    /// Asks an entry for a completion, not streamed.
+    /// Requests a completion from an entry without streaming.
     pub async fn complete(&self, entry: usize, prompt: &str, max_tokens: u32) -> CallerResponse {
         let body =
             json!({ "model": self.callers.model, "prompt": prompt, "max_tokens": max_tokens });
         self.call(entry, "/v1/completions", &[], &body).await
     }
 
-    /// Waits until an entry answers completions.
+    /// Waits until an entry completes a request of one token.
     pub async fn wait_until_serving(&self, entry: usize) {
         let started = Instant::now();
         loop {
@@ -130,7 +131,7 @@
             }
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "entry {entry} serves not: {}",
+                "entry {entry} is not serving: {}",
                 response.text()
             );
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/standin/src/stack/faults.rs
+++ b/crates/standin/src/stack/faults.rs
@@ -1,4 +1,4 @@
-//! Switching faults on and off, and reading what the stand-ins saw.
+//! Fault injection at the stand-ins of a system, and reading their state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use super::{TestStack, WAIT_TIMEOUT};
 use crate::faults::{FAULTS_PATH, FaultPlan, FaultReport};
 
-/// Largest text of a node's metrics, in bytes.
+/// Maximum size of a node's metrics text.
 const MAX_METRICS_BYTES: usize = 4 << 20;
 
 impl TestStack {
@@ -27,11 +27,11 @@
         response.value
     }
 
-    /// A node's metrics as Prometheus text.
+    /// Returns a node's metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// When the admin listener does not answer.
+    /// Returns an error if the admin listener does not respond.
     pub async fn metrics(&self, admin: SocketAddr) -> eyre::Result<String> {
         let request = json_request(Method::GET, admin, "/metrics", None::<&()>)?;
         let response = self.client.send(admin, request, WAIT_TIMEOUT).await?;
@@ -39,49 +39,49 @@
         Ok(String::from_utf8(body.to_vec())?)
     }
 
-    /// Replaces the faults of the stand-in at an address; the default plan ends all of them.
+    /// Replaces the fault plan of the stand-in at an address; the default plan removes all faults.
     pub async fn set_faults(&self, address: SocketAddr, plan: &FaultPlan) {
         let response: JsonResponse<FaultReport> = self
             .client
             .json(Method::POST, address, FAULTS_PATH, Some(plan), WAIT_TIMEOUT)
             .await
-            .unwrap_or_else(|error| panic!("faults are not taken: {error}"));
-        assert!(response.status.is_success(), "faults are not taken");
+            .unwrap_or_else(|error| panic!("can't set faults: {error}"));
+        assert!(response.status.is_success(), "the fault plan was rejected");
     }
 
-    /// Faults and counts of the stand-in at an address.
+    /// Returns the fault plan and the request counts of the stand-in at an address.
     pub async fn fault_report(&self, address: SocketAddr) -> FaultReport {
         self.get(address, FAULTS_PATH).await
     }
 
-    /// Replaces the table's faults.
+    /// Replaces the fault plan of the table.
     pub async fn set_table_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.table.address, plan).await;
     }
 
-    /// Replaces the object store's faults.
+    /// Replaces the fault plan of the object store.
     pub async fn set_objects_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.objects.address, plan).await;
     }
 
-    /// Replaces the host list's faults.
+    /// Replaces the fault plan of the host list.
     pub async fn set_hostlist_faults(&self, plan: &FaultPlan) {
         self.set_faults(self.hostlist.address, plan).await;
     }
 
-    /// Replaces the faults of every instance of the service.
+    /// Replaces the fault plan of every instance of the service.
     pub async fn set_service_faults(&self, plan: &FaultPlan) {
         for service in &self.services {
             self.set_faults(service.address, plan).await;
         }
     }
 
-    /// Replaces the faults of one engine.
+    /// Replaces the fault plan of one engine.
     pub async fn set_engine_faults(&self, engine: usize, plan: &FaultPlan) {
         self.set_faults(self.engines[engine].address, plan).await;
     }
 
-    /// Executions at the service by idempotency key, over all its instances and customers.
+    /// Returns the number of executions by idempotency key, over all instances and customers.
     pub async fn executions(&self) -> BTreeMap<String, u64> {
         let entries: Vec<LookupBody> = self.get(self.services[0].address, "/executions").await;
         let mut executions = BTreeMap::new();
@@ -91,13 +91,13 @@
         executions
     }
 
-    /// What an engine reports of itself.
+    /// Returns the state that an engine reports.
     pub async fn engine_state(&self, engine: usize) -> EngineState {
         self.get(self.engines[engine].address, "/state").await
     }
 
-    /// Indices of the engines of every replica, by rank, as the engines report them. Engines that
-    /// are dead, paused or out of order may not be among them.
+    /// Returns the indices of each replica's engines by rank, as the engines report them. Engines
+    /// that do not respond are left out.
     pub async fn replica_engines(&self) -> BTreeMap<ReplicaId, Vec<usize>> {
         let mut ranks: BTreeMap<ReplicaId, Vec<(u32, usize)>> = BTreeMap::new();
         for (index, engine) in self.engines.iter().enumerate() {
--- a/crates/standin/src/stack/mod.rs
+++ b/crates/standin/src/stack/mod.rs
@@ -1,7 +1,7 @@
-//! A whole system in separate processes on loopback, for tests and measurements.
+//! A complete system in separate processes on loopback, for tests and measurements.
 #![expect(
     clippy::missing_panics_doc,
-    reason = "a test's scaffolding reports by panicking"
+    reason = "test scaffolding reports failures by panicking"
 )]
 
 mod caller;
@@ -25,19 +25,20 @@
 pub use plan::{HostPlacement, StackPlan};
 pub use process::StackProcess;
 
-/// Generous bound on anything that a test waits for.
+/// Timeout for anything that a test waits for; long enough for a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// The operators' key of a test's system.
+/// Operator key of a test system.
 pub const OPERATOR_KEY: &str = "operators-of-the-test-stack";
 
-/// The key that seals resume tokens in a test's system.
+/// Key that signs resume tokens in a test system.
 const RESUME_KEY: &str = "resume-key-of-the-test-stack";
 
-/// The key that the entries share for their links.
+/// Key that the entries authenticate peer connections with.
 const PEER_KEY: &str = "peer-key-of-the-test-stack";
 
-/// Variables with the keys of the entries, and of the operators' client.
+/// Environment variables that keys and addresses are passed in, to the entries and to the operator
+/// client.
 const OPERATOR_VARIABLE: &str = "STACK_OPERATOR_KEY";
 const RESUME_VARIABLE: &str = "STACK_RESUME_KEY";
 const PEER_VARIABLE: &str = "STACK_PEER_KEY";
@@ -47,27 +48,27 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for a graceful stop.
+/// Timeout for a graceful shutdown, after which a process is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A whole system in processes.
+/// A complete system of processes; dropping it kills them and removes its directory.
 #[derive(Debug)]
 pub struct TestStack {
-    /// The table.
+    /// Transactional table.
     pub table: StackProcess,
-    /// The object store.
+    /// Object store.
     pub objects: StackProcess,
-    /// The host list.
+    /// Host list, which serves `hosts.json` of the system's directory.
     pub hostlist: StackProcess,
-    /// The weight store, where there is one.
+    /// Weight store; `None` unless [`StackPlan::weights`] was called.
     pub weights: Option<StackProcess>,
-    /// The instances of the plain service.
+    /// Instances of the plain service, which share one execution log.
     pub services: Vec<StackProcess>,
-    /// The engines, one for each host.
+    /// Engines, one per host.
     pub engines: Vec<StackProcess>,
-    /// The entries.
+    /// Entries, in the order in which they were started.
     pub entries: Vec<StackProcess>,
-    /// A caller's client.
+    /// HTTP client for calls to any process of the system.
     pub client: WebClient,
     placements: Vec<HostPlacement>,
     deployment: Deployment,
@@ -111,20 +112,20 @@
     }
 }
 
-/// Loopback address of the entries' listeners for peers. Connections within a system start from
-/// 127.0.0.1; on that address one of them could take a free port before its entry listens there.
+/// Loopback address of the entries' peer listeners. Outgoing connections of a system start from
+/// 127.0.0.1; on that address one of them could take the free port before the entry binds it.
 const PEER_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
-/// An address with a port that was free a moment ago: entries must know each other's before they
-/// start.
+/// Returns an address whose port was free when checked. Entries must know each other's addresses
+/// before they start.
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind((PEER_IP, 0)).expect("a free port");
+    let listener = TcpListener::bind((PEER_IP, 0)).expect("free port");
     listener.local_addr().expect("bound")
 }
 
 impl TestStack {
     fn records(&self, replicas: u32, hosts_per_replica: u32) -> Value {
-        let mut records = self.deployment.records().expect("a sound example");
+        let mut records = self.deployment.records().expect("valid example");
         let spec = &mut records[0]["spec"];
         spec["hosts_per_replica"] = json!(hosts_per_replica);
         if spec["versions"].is_array() {
@@ -141,12 +142,12 @@
         Value::from(records)
     }
 
-    /// Starts one more entry; entries take the plan's failure domains in turn.
+    /// Starts another entry; entries are assigned to the plan's failure domains round-robin.
     pub fn add_entry(&mut self, name: &str) {
         self.add_entry_with(name, &json!({}));
     }
 
-    /// Starts one more entry whose settings differ in the sections of `patch`.
+    /// Starts another entry; the sections of `patch` override its settings.
     pub fn add_entry_with(&mut self, name: &str, patch: &Value) {
         let domain = self.entry_domains[self.entries.len() % self.entry_domains.len()].clone();
         let settings = self.write_settings(name, &domain, patch);
@@ -181,7 +182,7 @@
         file.display().to_string()
     }
 
-    /// Writes records with the operators' client.
+    /// Applies records with the operator client.
     pub fn apply(&self, records: &Value) {
         let path = self.directory.join("records.json");
         std::fs::File::create(&path)
@@ -189,11 +190,12 @@
             .expect("writable");
         let mut command = self.operator_command();
         command.args(["apply", &path.display().to_string()]);
-        let status = command.status().expect("the client runs");
-        assert!(status.success(), "the records are not accepted");
+        let status = command.status().expect("operator client starts");
+        assert!(status.success(), "the records were rejected");
     }
 
-    /// The operators' client with its access to every entry; add a command and run it.
+    /// Returns a command that runs the operator client with access to every entry; the caller adds
+    /// the arguments.
     #[must_use]
     pub fn operator_command(&self) -> Command {
         let admins: Vec<String> = self
@@ -220,7 +222,7 @@
         );
     }
 
-    /// Stops every process: entries are asked first, so that they end what is in progress.
+    /// Stops entries gracefully, so that they finish requests in progress, then engines and services.
     pub fn stop(&mut self) {
         for entry in &self.entries {
             entry.signal("TERM");
@@ -233,8 +235,8 @@
         self.services.clear();
     }
 
-    /// Kills an engine and starts it anew under the same host name and address, with a new boot
-    /// number and no assignment.
+    /// Kills an engine and restarts it with the same host name and address, a new boot number and no
+    /// assignment.
     pub fn restart_engine(&mut self, engine: usize) {
         self.engines[engine].restart();
     }
--- a/crates/standin/src/stack/plan.rs
+++ b/crates/standin/src/stack/plan.rs
@@ -1,4 +1,4 @@
-//! What a system consists of, and starting it.
+//! Configuration of a test system, and starting it.
 
 use std::path::{Path, PathBuf};
 
@@ -10,19 +10,20 @@
 
 use super::{StackProcess, TestStack, write_hosts};
 
-/// Whole systems at once, so that a busy machine does not make healthy processes look dead.
+/// Limits how many systems run at once. On an overloaded machine healthy processes miss deadlines
+/// and appear dead.
 static STACK_PERMITS: Semaphore = Semaphore::const_new(3);
 
-/// Where a host stands.
+/// Placement of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostPlacement {
-    /// Its fabric domain.
+    /// Fabric domain; a replica's hosts must share one.
     pub fabric: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
 }
 
-/// What a whole system consists of.
+/// Builder of a test system.
 #[derive(Debug, Clone)]
 pub struct StackPlan {
     name: String,
@@ -43,9 +44,8 @@
 }
 
 impl StackPlan {
-    /// Two replicas of four hosts behind three entries that run `binary`, the path of the built
-    /// `bramleyspring`; the built `standin` lies beside it. All stand in one fabric domain and one
-    /// failure domain.
+    /// Two replicas of four hosts behind three entries, in one fabric domain and one failure domain.
+    /// `binary` is the path of the built `bramleyspring`; `standin` must be in the same directory.
     #[must_use]
     pub fn new(name: &str, binary: impl Into<PathBuf>) -> Self {
         Self {
@@ -67,92 +67,92 @@
         }
     }
 
-    /// Engines, one for each host.
+    /// Sets the number of engines; each runs on a host of its own.
     #[must_use]
     pub fn engines(mut self, count: usize) -> Self {
         self.engines = count;
         self
     }
 
-    /// Entry processes.
+    /// Sets the number of entries.
     #[must_use]
     pub fn entries(mut self, count: usize) -> Self {
         self.entries = count;
         self
     }
 
-    /// Instances of the plain service; they share one book of executions.
+    /// Sets the number of instances of the plain service, which share one execution log.
     #[must_use]
     pub fn services(mut self, count: usize) -> Self {
         self.services = count;
         self
     }
 
-    /// Replicas wanted.
+    /// Sets the number of replicas in the model's record.
     #[must_use]
     pub fn replicas(mut self, count: u32) -> Self {
         self.replicas = count;
         self
     }
 
-    /// Hosts of one replica.
+    /// Sets the number of hosts per replica.
     #[must_use]
     pub fn hosts_per_replica(mut self, count: u32) -> Self {
         self.hosts_per_replica = count;
         self
     }
 
-    /// Microseconds of one step of an engine's batch.
+    /// Sets the duration of one batch step of the engines, in microseconds.
     #[must_use]
     pub fn step_us(mut self, time: u64) -> Self {
         self.step_us = time;
         self
     }
 
-    /// One section of the entries' settings, such as `("config", json!({"poll": "200ms"}))`.
+    /// Sets one section of the entries' settings, such as `("config", json!({"poll": "200ms"}))`.
     #[must_use]
     pub fn settings(mut self, section: &str, values: Value) -> Self {
         self.settings.insert(section.to_owned(), values);
         self
     }
 
-    /// Fabric domains `f0`, `f1`, …, each with an equal run of the hosts.
+    /// Sets the number of fabric domains `f0`, `f1`, …; each has an equal share of consecutive hosts.
     #[must_use]
     pub fn fabrics(mut self, count: usize) -> Self {
         self.fabrics = count.max(1);
         self
     }
 
-    /// Failure domains: fabric domains and entries take them in turn.
+    /// Sets the failure domains, which fabric domains and entries are assigned to round-robin.
     #[must_use]
     pub fn domains(mut self, names: &[&str]) -> Self {
-        assert!(!names.is_empty(), "name a failure domain");
+        assert!(!names.is_empty(), "at least one failure domain is required");
         self.domains = names.iter().map(|&name| name.to_owned()).collect();
         self
     }
 
-    /// Further options of every engine, such as `["--fencing"]`.
+    /// Sets additional options of every engine, such as `["--fencing"]`.
     #[must_use]
     pub fn engine_options(mut self, options: &[&str]) -> Self {
         self.engine_options = options.iter().map(|&text| text.to_owned()).collect();
         self
     }
 
-    /// Further options of the host list, such as `["--lag-ms", "2000"]`.
+    /// Sets additional options of the host list, such as `["--lag-ms", "2000"]`.
     #[must_use]
     pub fn hostlist_options(mut self, options: &[&str]) -> Self {
         self.hostlist_options = options.iter().map(|&text| text.to_owned()).collect();
         self
     }
 
-    /// A weight store that every engine loads from, with options such as `["--rate", "1000000"]`.
+    /// Adds a weight store that every engine loads from, with options such as `["--rate", "1000000"]`.
     #[must_use]
     pub fn weights(mut self, options: &[&str]) -> Self {
         self.weights_options = Some(options.iter().map(|&text| text.to_owned()).collect());
         self
     }
 
-    /// Records, customers and region of another example.
+    /// Sets the example that records, customers and region come from.
     #[must_use]
     pub fn deployment(mut self, deployment: Deployment) -> Self {
         self.deployment = deployment;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Starts everything, applies the records and waits until every entry serves.
+    /// Starts all processes, applies the records and waits until every entry serves.
     pub async fn start(self) -> TestStack {
         let stack = self.clone().start_without_records().await;
         let records = stack.records(self.replicas, self.hosts_per_replica);
@@ -179,7 +179,7 @@
         stack
     }
 
-    /// Starts everything without any record.
+    /// Starts all processes without applying records.
     pub async fn start_without_records(self) -> TestStack {
         let permit = STACK_PERMITS.acquire().await.expect("never closed");
         let directory = self.create_directory();
@@ -197,7 +197,7 @@
             arguments.extend(options.iter().map(String::as_str));
             start_standin("weights", &arguments)
         });
-        let store = weights.as_ref().map(|store| store.address.to_string());
+        let weights_address = weights.as_ref().map(|store| store.address.to_string());
         let step = self.step_us.to_string();
         let mut engines = Vec::new();
         let mut placements = Vec::new();
@@ -205,8 +205,8 @@
             let host = format!("h{number:02}");
             let mut arguments = vec!["engine", "--host", &host, "--step-us", &step];
             arguments.extend(self.engine_options.iter().map(String::as_str));
-            if let Some(store) = &store {
-                arguments.extend(["--weights", store]);
+            if let Some(address) = &weights_address {
+                arguments.extend(["--weights", address]);
             }
             engines.push(start_standin(&host, &arguments));
             placements.push(self.placement(number));
@@ -227,7 +227,7 @@
             client: WebClient::default(),
             placements,
             deployment: self.deployment,
-            callers: self.deployment.callers().expect("a sound example"),
+            callers: self.deployment.callers().expect("valid example"),
             entry_domains: self.domains,
             settings: self.settings,
             peer_addresses: Vec::new(),
@@ -244,7 +244,7 @@
     fn create_directory(&self) -> PathBuf {
         let name = format!("bramleyspring-{}-{}", self.name, std::process::id());
         let directory = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&directory).expect("a directory for the test");
+        std::fs::create_dir_all(&directory).expect("temporary directory can be created");
         directory
     }
 }
--- a/crates/standin/src/stack/process.rs
+++ b/crates/standin/src/stack/process.rs
@@ -1,4 +1,4 @@
-//! One process of a system.
+//! Processes of a test system.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
     RESUME_VARIABLE, WAIT_TIMEOUT,
 };
 
-/// One started process; killed when it is dropped.
+/// A running process; it is killed on drop.
 #[derive(Debug)]
 pub struct StackProcess {
-    /// Its name.
+    /// Name in messages; node or host name of an entry or engine.
     pub name: String,
-    /// Where it listens.
+    /// Address that it printed on startup.
     pub address: SocketAddr,
     admin: Arc<OnceLock<SocketAddr>>,
     program: PathBuf,
@@ -26,7 +26,7 @@
 }
 
 impl StackProcess {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it prints the address it listens on.
     #[must_use]
     pub fn start(name: &str, program: &Path, arguments: &[&str]) -> Self {
         let mut child = Command::new(program)
@@ -36,10 +36,13 @@
             .env(PEER_VARIABLE, PEER_KEY)
             .stdout(Stdio::piped())
             .spawn()
-            .unwrap_or_else(|error| panic!("{name} does not start: {error}"));
+            .unwrap_or_else(|error| panic!("can't start {name}: {error}"));
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-        let line = lines.next().expect("a first line").expect("readable");
-        let address = parse_address(&line).expect("an address");
+        let line = lines
+            .next()
+            .expect("first line of output")
+            .expect("readable output");
+        let address = parse_address(&line).expect("address in the first line");
         let admin = Arc::new(OnceLock::new());
         let found = Arc::clone(&admin);
         std::thread::spawn(move || drain_output(lines, &found));
@@ -53,13 +56,13 @@
         }
     }
 
-    /// Its process id.
+    /// Returns the process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Where its admin listener is; blocks until the process says so.
+    /// Returns the address of the admin listener; blocks the thread until the process prints it.
     #[must_use]
     pub fn admin_blocking(&self) -> SocketAddr {
         let started = Instant::now();
@@ -69,14 +72,14 @@
             }
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "{} names no admin address",
+                "{} printed no admin address",
                 self.name
             );
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Where its admin listener is; waits until the process says so.
+    /// Returns the address of the admin listener; waits until the process prints it.
     pub async fn admin(&self) -> SocketAddr {
         let started = Instant::now();
         loop {
@@ -86,7 +89,7 @@
             let name = &self.name;
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "{name} names no admin address"
+                "{name} printed no admin address"
             );
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -98,18 +101,18 @@
             .args(["-s", signal, &self.child.id().to_string()])
             .status()
             .expect("kill runs");
-        assert!(status.success(), "{} takes no {signal}", self.name);
+        assert!(status.success(), "can't send {signal} to {}", self.name);
     }
 
-    /// Waits until the process ended by itself.
+    /// Waits until the process exits.
     pub fn wait(&mut self) {
         self.child.wait().expect("the process can be waited for");
     }
 
-    /// Waits until the process ended by itself, and kills it after a limit.
-    pub fn wait_or_kill(&mut self, limit: Duration) {
+    /// Waits until the process exits, and kills it after `timeout`.
+    pub fn wait_or_kill(&mut self, timeout: Duration) {
         let started = Instant::now();
-        while started.elapsed() < limit {
+        while started.elapsed() < timeout {
             if matches!(self.child.try_wait(), Ok(Some(_))) {
                 return;
             }
@@ -118,13 +121,13 @@
         self.kill();
     }
 
-    /// Kills the process; its address refuses connections from then on.
+    /// Kills the process; its address then refuses connections.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Kills the process and starts it anew under the same name and address.
+    /// Kills the process and restarts it with the same name and address.
     pub fn restart(&mut self) {
         self.kill();
         let listen = self.address.to_string();
@@ -147,7 +150,8 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// Reads on, so that the process never blocks on a full pipe.
+/// Reads the remaining output, so that the process never blocks on a full pipe, and stores the
+/// admin address.
 fn drain_output(lines: Lines<BufReader<ChildStdout>>, admin: &OnceLock<SocketAddr>) {
     for line in lines.map_while(Result::ok) {
         let Some(address) = parse_address(&line) else {
