--- a/crates/standin/src/measure/chat.rs
+++ b/crates/standin/src/measure/chat.rs
@@ -1,4 +1,4 @@
-//! One stream, through an entry or straight from an engine, with the times of its tokens.
+//! Streams through an entry or directly from an engine, with the times of their tokens.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,19 +20,19 @@
 /// Times of one stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamTimes {
-    /// Until the first token.
+    /// Time to first token.
     pub first: Duration,
-    /// Between two tokens on average.
+    /// Mean time between two tokens.
     pub gap: Duration,
-    /// Tokens.
+    /// Number of tokens received.
     pub tokens: u32,
 }
 
-/// Opens a stream through an entry.
+/// Opens a completion stream through an entry.
 ///
 /// # Errors
 ///
-/// When it is refused.
+/// Returns an error if the request fails or is refused.
 pub async fn open_entry_stream(
     stack: &TestStack,
     entry: SocketAddr,
@@ -49,20 +49,23 @@
     ensure_success(stack.client.send(entry, request, WAIT_TIMEOUT).await?).await
 }
 
-/// Opens a stream at the leading engine of a replica.
+/// Opens a stream directly at the rank 0 engine of a replica.
 ///
 /// # Errors
 ///
-/// When it is refused.
+/// Returns an error if the engine is idle or not rank 0, or if the request fails or is refused.
 pub async fn open_engine_stream(
     stack: &TestStack,
     engine: &EngineState,
     attempt: &str,
     max_tokens: u32,
 ) -> eyre::Result<Response<Incoming>> {
-    let assignment = engine.assignment.as_ref().ok_or_eyre("an idle engine")?;
+    let assignment = engine
+        .assignment
+        .as_ref()
+        .ok_or_eyre("the engine has no assignment")?;
     eyre::ensure!(assignment.rank == 0 && assignment.role == ReplicaRole::Both);
-    let order = StreamRequest {
+    let stream_request = StreamRequest {
         attempt: attempt.parse()?,
         replica: assignment.replica.clone(),
         incarnation: assignment.incarnation,
@@ -75,7 +78,7 @@
         generated_tokens: Vec::new(),
     };
     let address = assignment.hosts[0].address;
-    let request = json_request(Method::POST, address, "/streams", Some(&order))?;
+    let request = json_request(Method::POST, address, "/streams", Some(&stream_request))?;
     ensure_success(stack.client.send(address, request, WAIT_TIMEOUT).await?).await
 }
 
@@ -88,11 +91,11 @@
     bail!("{status}: {}", String::from_utf8_lossy(&body))
 }
 
-/// Reads a stream to its end; `marker` stands once in every token's line.
+/// Reads a stream to its end; `marker` occurs exactly once in the event of every token.
 ///
 /// # Errors
 ///
-/// When the connection breaks or not all tokens come.
+/// Returns an error if the connection fails or not exactly `max_tokens` tokens arrive.
 pub async fn read_stream_times(
     response: Response<Incoming>,
     marker: &str,
@@ -107,7 +110,7 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        // An event is written whole, so that no marker is split between two frames.
+        // Events are written as a whole, so a marker is never split between two frames.
         let text = String::from_utf8_lossy(&data);
         let found = u32::try_from(text.matches(marker).count())?;
         if found == 0 {
@@ -117,8 +120,11 @@
         last = Instant::now();
         first.get_or_insert(last);
     }
-    eyre::ensure!(tokens == max_tokens, "{tokens} of {max_tokens} tokens");
-    let first = first.ok_or_eyre("no token")?;
+    eyre::ensure!(
+        tokens == max_tokens,
+        "received {tokens} of {max_tokens} tokens"
+    );
+    let first = first.ok_or_eyre("received no token")?;
     Ok(StreamTimes {
         first: first.duration_since(started),
         gap: last.duration_since(first) / (tokens - 1).max(1),
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -1,5 +1,5 @@
-//! What control costs a node: CPU time, memory, bytes over the links and calls of the table,
-//! by the number of nodes, of records and of hosts; with the slopes worked out to letter size.
+//! Cost of control per node: CPU time, memory, bytes on peer connections and calls to the table, by
+//! the number of nodes, records and hosts, extrapolated linearly to full scale.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use super::process::{cpu_seconds, resident_kib};
 use crate::stack::{StackPlan, TestStack};
 
-/// Nodes, records and hosts that are measured.
+/// Numbers of nodes, records and hosts that are measured.
 const NODE_COUNTS: [usize; 5] = [3, 6, 12, 24, 48];
 const RECORD_COUNTS: [usize; 4] = [50, 200, 600, 1_500];
 const HOST_COUNTS: [usize; 4] = [24, 48, 96, 192];
 
-/// The sizes to which the slopes are worked out.
+/// Sizes that the fitted lines are extrapolated to.
 const FULL_SCALE_NODES: f64 = 410.0;
 const FULL_SCALE_RECORDS: f64 = 2_000.0;
 const FULL_SCALE_HOSTS: f64 = 1_500.0;
 
-/// Hosts of one replica in these runs.
+/// Hosts per replica in the runs that vary the number of hosts.
 const HOSTS_PER_REPLICA: usize = 4;
 
-/// Time in which a system comes to rest, and time of one reading.
+/// Time for a system to settle, and time between the two readings that rates are computed from.
 const SETTLE_DURATION: Duration = Duration::from_secs(15);
 const READING_DURATION: Duration = Duration::from_secs(15);
 
-/// Records of one file of the operators' client.
+/// Records that are applied at once by the operator client.
 const RECORDS_PER_FILE: usize = 250;
 
-/// Measures and prints.
+/// Runs the measurements and prints the results.
 ///
 /// # Errors
 ///
-/// When `/proc`, a node's metrics or the table's counts can't be read.
+/// Returns an error if `/proc`, a node's metrics or the table's counts can't be read.
 pub async fn run(binary: &Path) -> eyre::Result<()> {
     let mut nodes = Vec::new();
     for count in NODE_COUNTS {
@@ -74,7 +74,7 @@
         .step_us(50_000)
 }
 
-/// Customers like those of the example, each with a key of its own.
+/// Applies customers like those of the example, each with a key of its own.
 fn apply_customers(stack: &TestStack, count: usize) {
     let numbers: Vec<usize> = (0..count).collect();
     for part in numbers.chunks(RECORDS_PER_FILE) {
@@ -94,15 +94,15 @@
     })
 }
 
-/// What control costs while nobody calls.
+/// Cost of control without any requests.
 struct ControlCost {
-    /// Processor time of a node in hundredths of a core.
+    /// CPU usage per node, in percent of a core.
     cpu: RoundSpread,
-    /// Resident memory of a node in MiB.
+    /// Resident memory per node in MiB.
     memory: RoundSpread,
-    /// Bytes that a node sends and receives over its links in a second.
+    /// Bytes per second that a node sends and receives on its peer connections.
     bytes: RoundSpread,
-    /// Reads and writes of the table in a second, of all nodes together.
+    /// Reads and writes per second at the table, by all nodes together.
     reads: f64,
     writes: f64,
 }
@@ -126,12 +126,12 @@
         cpu: RoundSpread::of(&cpu),
         memory: RoundSpread::of(&memory),
         bytes: RoundSpread::of(&bytes),
-        reads: rate(count(table_before.reads), count(table_after.reads)),
-        writes: rate(count(table_before.writes), count(table_after.writes)),
+        reads: rate(as_f64(table_before.reads), as_f64(table_after.reads)),
+        writes: rate(as_f64(table_before.writes), as_f64(table_after.writes)),
     })
 }
 
-fn count(number: u64) -> f64 {
+fn as_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
@@ -195,7 +195,7 @@
     ];
     let numbers: Vec<f64> = costs
         .iter()
-        .map(|(number, _)| count(*number as u64))
+        .map(|(number, _)| as_f64(*number as u64))
         .collect();
     for (name, values) in columns {
         let Some((base, slope)) = fit_line(&numbers, &values).ok_or_eyre("one size only").ok()
@@ -209,20 +209,20 @@
     }
 }
 
-/// Least-squares line through points: its value at 0 and its slope.
+/// Fits a line by least squares; returns its intercept and slope, or `None` if all `xs` are equal.
 fn fit_line(xs: &[f64], ys: &[f64]) -> Option<(f64, f64)> {
-    let size = count(xs.len() as u64);
+    let size = as_f64(xs.len() as u64);
     let mean_x = xs.iter().sum::<f64>() / size;
     let mean_y = ys.iter().sum::<f64>() / size;
-    let spread: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
-    if spread <= 0.0 {
+    let sum_xx: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
+    if sum_xx <= 0.0 {
         return None;
     }
-    let joint: f64 = xs
+    let sum_xy: f64 = xs
         .iter()
         .zip(ys)
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = joint / spread;
+    let slope = sum_xy / sum_xx;
     Some((mean_y - slope * mean_x, slope))
 }
--- a/crates/standin/src/measure/cost.rs
+++ b/crates/standin/src/measure/cost.rs
@@ -1,4 +1,4 @@
-//! What one entry costs: CPU time of requests and tokens, memory of open streams.
+//! Cost of one entry: CPU time per request and token, memory per open stream.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,22 +14,22 @@
 use super::process::{cpu_seconds, resident_kib};
 use crate::stack::{StackPlan, TestStack};
 
-/// Streams at once.
+/// Number of concurrent streams.
 const CONCURRENT_STREAMS: usize = 64;
 
-/// Time of one round.
+/// Duration of one round.
 const ROUND_DURATION: Duration = Duration::from_secs(4);
 
-/// Tokens of a long answer, so that tokens outweigh the request.
+/// Tokens of a long response, so that the cost of tokens dominates that of the request.
 const LONG_ANSWER: u32 = 256;
 
-/// Open streams at which memory is read.
+/// Numbers of open streams at which memory is read.
 const OPEN_STREAMS: [usize; 3] = [100, 600, 1_100];
 
-/// Streams that are opened at once.
+/// Streams that are opened concurrently.
 const OPEN_BATCH: usize = 50;
 
-/// An engine that never keeps the entry waiting.
+/// Engine options with which the engine is never the bottleneck.
 const UNCONSTRAINED_ENGINE: [&str; 6] = [
     "--slots",
     "4096",
@@ -39,11 +39,11 @@
     "0",
 ];
 
-/// Measures and prints.
+/// Runs the measurements and prints the results.
 ///
 /// # Errors
 ///
-/// When a stream fails or `/proc` can't be read.
+/// Returns an error if a stream fails or `/proc` can't be read.
 pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
     let stack = StackPlan::new("measure-cost", binary)
         .entries(1)
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Work of one round and the entry's CPU time for it, in seconds.
+/// Work of one round and the CPU time in seconds that the entry spent on it.
 struct RoundWork {
     requests: f64,
     tokens: f64,
@@ -118,7 +118,8 @@
     Ok(completed)
 }
 
-/// Opens more and more streams at a fresh entry; KiB for each, from the first to the last count.
+/// Opens an increasing number of streams at a new entry; returns the KiB per stream between the
+/// first and the last reading.
 async fn measure_memory(binary: &Path) -> eyre::Result<f64> {
     let stack = StackPlan::new("measure-memory", binary)
         .entries(1)
@@ -143,12 +144,13 @@
     Ok((last.1 - first.1) / (last.0 - first.0))
 }
 
-/// Opens one stream and reads on; the entry has it whole once its first token came.
+/// Opens one stream and keeps reading it in the background. Once the first token has arrived, the
+/// entry has allocated everything that the stream needs.
 async fn open_stream(stack: &TestStack) -> eyre::Result<JoinHandle<()>> {
     let entry = stack.entries[0].address;
     let mut response = open_entry_stream(stack, entry, 10_000).await?;
     let first = response.body_mut().frame().await;
-    first.ok_or_eyre("a stream ended")??;
+    first.ok_or_eyre("the stream ended before its first token")??;
     Ok(tokio::spawn(drain(response)))
 }
 
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -1,5 +1,5 @@
-//! What a gateway costs beside a plain relay: processor time of requests and events, memory of
-//! open streams.
+//! Cost of a gateway compared with a plain relay: CPU time per request and event, memory per open
+//! stream.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,24 +21,24 @@
 use super::process::{cpu_seconds, resident_kib};
 use crate::site::{SiteEngine, SiteGroups, SiteInstance, SiteStore};
 
-/// Callers at once of plain calls, within what one instance takes, and of streams.
+/// Concurrent callers of plain calls, below the capacity of one instance, and of streams.
 const PLAIN_CALLERS: usize = 8;
 const STREAM_CALLERS: usize = 200;
 
-/// Streams at which memory is read.
+/// Number of open streams at which memory is read.
 const OPEN_STREAMS: usize = 300;
 
-/// Events of a stream, and of one that is to stay open.
+/// Events of a stream, and of a stream that must stay open during a reading.
 const EVENTS: usize = 30;
 const OPEN_EVENTS: usize = 10_000;
 
-/// Time of one round.
+/// Duration of one round.
 const ROUND_DURATION: Duration = Duration::from_secs(4);
 
-/// Longest wait for a connection on loopback, and for a replica to serve.
+/// Timeout for a connection on loopback, for the start of a process and for a replica to serve.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A platform with one replica and one instance, in this process.
+/// An in-process platform with one replica and one service instance.
 struct BenchmarkSite {
     store: SiteStore,
     groups: SiteGroups,
@@ -46,7 +46,7 @@
     instance: SiteInstance,
 }
 
-/// A process that forwards.
+/// A gateway or relay in a process of its own; it is killed on drop.
 struct ForwarderProcess {
     child: Child,
     address: SocketAddr,
@@ -54,13 +54,13 @@
 
 impl Drop for ForwarderProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 }
 
-/// One way to forward, with its figures.
+/// Results of one forwarder: microseconds of CPU time per unit, and KiB per stream.
 #[derive(Debug, Default)]
 struct ForwardCost {
     plain_us: Vec<f64>,
@@ -68,11 +68,11 @@
     stream_kib: f64,
 }
 
-/// Measures and prints.
+/// Runs the measurements and prints the results.
 ///
 /// # Errors
 ///
-/// When a process does not start, a call fails, or `/proc` can't be read.
+/// Returns an error if a process does not start, a call fails or `/proc` can't be read.
 pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
     let site = BenchmarkSite::start()?;
     let gateway = site.gateway(binary).await?;
@@ -81,7 +81,7 @@
     let stream_relay = site.relay(head).await?;
     site.groups.set_events(OPEN_EVENTS);
     let mut costs = [ForwardCost::default(), ForwardCost::default()];
-    // First of all: what later rounds need lies in memory that was freed before.
+    // Memory is measured first, because later rounds reuse memory that earlier ones have freed.
     costs[0].stream_kib = measure_memory(&gateway).await?;
     costs[1].stream_kib = measure_memory(&stream_relay).await?;
     site.groups.set_events(EVENTS);
@@ -130,21 +130,23 @@
         })
     }
 
-    /// The address of the replica's head.
+    /// Returns the address of the replica's head.
     fn head(&self) -> eyre::Result<SocketAddr> {
         let serving = self.groups.serving();
         let head = serving.first().and_then(|members| members.first());
-        let head = head.ok_or_eyre("no replica serves")?;
+        let head = head.ok_or_eyre("no replica is serving")?;
         let engine = self.engines.iter().find(|engine| engine.id == *head);
-        Ok(engine.ok_or_eyre("the head is gone")?.address())
+        Ok(engine
+            .ok_or_eyre("the head is not among the engines")?
+            .address())
     }
 
     async fn gateway(&self, binary: &Path) -> eyre::Result<ForwarderProcess> {
-        let any = "127.0.0.1:0";
+        let any_port = "127.0.0.1:0";
         let settings = json!({
             "node": "measured", "failure_domain": "z0", "store": self.store.serve()?,
             "first_start": true,
-            "listen": {"requests": any, "readiness": any, "metrics": any},
+            "listen": {"requests": any_port, "readiness": any_port, "metrics": any_port},
             "bounds": {"stop_grace_s": 8, "repeat_ratio": 0.2, "repeat_window_s": 10,
                 "repeat_extra": 130, "load_window_s": 5, "fencing": false},
         });
@@ -155,17 +157,19 @@
         let (forwarder, line) = start(command).await?;
         std::fs::remove_file(&file)?;
         let line: serde_json::Value = serde_json::from_str(&line)?;
-        let address = line["requests"].as_str().ok_or_eyre("no address")?;
+        let address = line["requests"]
+            .as_str()
+            .ok_or_eyre("no address in the first line")?;
         let waiting = async {
             while self.groups.serving().is_empty() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
-            // The registry tells of the replica a moment after it serves.
+            // The registry lists the replica shortly after it starts serving.
             tokio::time::sleep(Duration::from_secs(1)).await;
         };
         tokio::time::timeout(WAIT_TIMEOUT, waiting)
             .await
-            .wrap_err("no replica came to serve")?;
+            .wrap_err("no replica started serving in time")?;
         Ok(ForwarderProcess {
             child: forwarder,
             address: address.parse()?,
@@ -184,16 +188,19 @@
     }
 }
 
-/// Starts a process and reads the first line of its output; the others are read and dropped.
+/// Starts a process and returns the first line of its output; the remaining lines are discarded.
 async fn start(mut command: Command) -> eyre::Result<(Child, String)> {
     let mut child = command.stdout(Stdio::piped()).spawn()?;
-    let output = child.stdout.take().ok_or_eyre("no output")?;
+    let output = child
+        .stdout
+        .take()
+        .ok_or_eyre("standard output is not piped")?;
     let output = tokio::process::ChildStdout::from_std(output)?;
     let mut lines = BufReader::new(output).lines();
     let line = tokio::time::timeout(WAIT_TIMEOUT, lines.next_line())
         .await
-        .wrap_err("the process does not say where it listens")??
-        .ok_or_eyre("no first line")?;
+        .wrap_err("the process did not print its address in time")??
+        .ok_or_eyre("the process printed nothing")?;
     tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
     Ok((child, line))
 }
@@ -241,13 +248,13 @@
     let response = connection.send(request).await?;
     eyre::ensure!(
         response.status().is_success(),
-        "answered {}",
+        "unexpected status {}",
         response.status()
     );
     Ok(response)
 }
 
-/// Reads an answer to its end; how many events it held.
+/// Reads a response to its end and returns the number of events.
 async fn read_events(response: Response<Incoming>) -> eyre::Result<u32> {
     let mut body = response.into_body();
     let mut events = 0;
@@ -259,7 +266,7 @@
     Ok(events)
 }
 
-/// Microseconds of the forwarder's processor time for each unit that the callers got.
+/// Returns the microseconds of the forwarder's CPU time per unit of work that `caller` reports.
 async fn measure<F, C>(forwarder: &ForwarderProcess, callers: usize, caller: C) -> eyre::Result<f64>
 where
     F: Future<Output = eyre::Result<u32>>,
@@ -304,7 +311,7 @@
     .await
 }
 
-/// KiB of the forwarder for each stream that it holds open.
+/// Returns the KiB of resident memory per stream that the forwarder holds open.
 async fn measure_memory(forwarder: &ForwarderProcess) -> eyre::Result<f64> {
     let before = resident_kib(forwarder.child.id())?;
     let mut open: Vec<JoinHandle<()>> = Vec::new();
@@ -312,7 +319,7 @@
         let mut connection = HttpConnection::connect(forwarder.address, WAIT_TIMEOUT).await?;
         let response = send_request(&mut connection, "/chat/x", &format!("m{number}")).await?;
         open.push(tokio::spawn(async move {
-            // The connection must live as long as its answer is read.
+            // The connection must outlive the reading of its response.
             let _connection = connection;
             drop(read_events(response).await);
         }));
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -1,7 +1,8 @@
-//! Measuring the request path: what it adds to an engine called directly, and what it costs.
+//! Measurements of the request path, a gateway and the control plane: added latency, CPU time and
+//! memory.
 //!
-//! Every figure compares two ways within one run, or divides by processor time of the entry's
-//! process, so that other work on the machine distorts it little.
+//! Figures compare two paths within one run or are based on the CPU time of the measured process,
+//! so that other load on the machine distorts them little.
 
 pub mod chat;
 pub mod control;
@@ -17,11 +18,11 @@
 use crate::interrupt::ShutdownSignals;
 use crate::options::MeasureOptions;
 
-/// Runs all measurements and prints them.
+/// Measures the latency and the cost of the request path and prints the results.
 ///
 /// # Errors
 ///
-/// When the binary is not built beside this program, or a call fails.
+/// Returns an error if the server binary is not built next to this program, or a call fails.
 pub async fn run(options: MeasureOptions) -> eyre::Result<()> {
     let binary = server_binary()?;
     let mut signals = ShutdownSignals::catch()?;
@@ -36,11 +37,11 @@
     cost::run(binary, rounds).await
 }
 
-/// Runs the measurements of a gateway and prints them.
+/// Measures the cost of a gateway and prints the results.
 ///
 /// # Errors
 ///
-/// When the binary is not built beside this program, or a call fails.
+/// Returns an error if the server binary is not built next to this program, or a call fails.
 pub async fn run_gateway(options: MeasureOptions) -> eyre::Result<()> {
     let binary = server_binary()?;
     let mut signals = ShutdownSignals::catch()?;
@@ -50,18 +51,18 @@
     }
 }
 
-/// Runs the measurements of control and prints them.
+/// Measures the cost of control and prints the results.
 ///
 /// # Errors
 ///
-/// When the binary is not built beside this program, or a reading fails.
+/// Returns an error if the server binary is not built next to this program, or a reading fails.
 pub async fn run_control() -> eyre::Result<()> {
     control::run(&server_binary()?).await
 }
 
 fn server_binary() -> eyre::Result<PathBuf> {
-    let own = std::env::current_exe().wrap_err("this program's own path is unknown")?;
-    let binary = own.with_file_name("bramleyspring");
+    let program = std::env::current_exe().wrap_err("can't determine the path of this program")?;
+    let binary = program.with_file_name("bramleyspring");
     eyre::ensure!(
         binary.exists(),
         "{} is not built: run scripts/measure-path",
@@ -70,19 +71,19 @@
     Ok(binary)
 }
 
-/// Median with the lowest and highest of some rounds.
+/// Median and range of the results of several rounds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoundSpread {
-    /// The middle.
+    /// Median; the upper one of an even number of rounds.
     pub median: f64,
-    /// The lowest round.
+    /// Lowest result.
     pub lowest: f64,
-    /// The highest round.
+    /// Highest result.
     pub highest: f64,
 }
 
 impl RoundSpread {
-    /// Spread of the rounds; of no round it is all zero.
+    /// Summarizes the rounds; all values are zero if there are none.
     #[must_use]
     pub fn of(rounds: &[f64]) -> Self {
         let mut sorted = rounds.to_vec();
--- a/crates/standin/src/measure/path.rs
+++ b/crates/standin/src/measure/path.rs
@@ -1,4 +1,5 @@
-//! What the path adds to an engine called directly: both ways in turns, one stream at a time.
+//! Latency that the request path adds to a direct call of the engine. Both are measured
+//! alternately, one stream at a time.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,23 +11,23 @@
 use super::chat::{StreamTimes, open_engine_stream, open_entry_stream, read_stream_times};
 use crate::stack::{StackPlan, TestStack};
 
-/// Pairs of streams in a round.
+/// Pairs of streams per round.
 const PAIRS_PER_ROUND: usize = 60;
 
-/// Tokens of a stream.
+/// Tokens per stream.
 const TOKENS_PER_STREAM: u32 = 32;
 
-/// Text that stands once in each token's event of a completion.
+/// Text that occurs exactly once in each token event of a completion.
 pub const ENTRY_TOKEN_MARKER: &str = "\"finish_reason\":null";
 
-/// Text that stands once in each token's event of an engine.
+/// Text that occurs exactly once in each token event of an engine.
 const ENGINE_TOKEN_MARKER: &str = "\"event\":\"token\"";
 
-/// Measures and prints.
+/// Runs the measurement and prints the results.
 ///
 /// # Errors
 ///
-/// When a stream fails.
+/// Returns an error if a stream fails.
 pub async fn run(binary: &Path, rounds: usize) -> eyre::Result<()> {
     let stack = StackPlan::new("measure-path", binary)
         .entries(1)
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// Medians of one round in milliseconds.
+/// Median times of one round in milliseconds.
 struct RoundTimes {
     first: f64,
     gap: f64,
@@ -108,6 +109,9 @@
 
 async fn leader_engine(stack: &TestStack) -> eyre::Result<EngineState> {
     let replicas = stack.replica_engines().await;
-    let members = replicas.values().next().ok_or_eyre("no replica")?;
+    let members = replicas
+        .values()
+        .next()
+        .ok_or_eyre("no engine reports a replica")?;
     Ok(stack.engine_state(members[0]).await)
 }
