--- a/crates/standin/tests/load_plan.rs
+++ b/crates/standin/tests/load_plan.rs
@@ -1,4 +1,5 @@
-//! A load is decided by its seed, and its outcomes are reckoned against what the service ran.
+//! Guards against a load that differs between runs of one seed, requests that miss the configured
+//! rates and shares, and wrong counts when payments are reconciled with the service's executions.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 fn plan(seed: u64) -> LoadPlan {
     LoadPlan::builder()
-        .entries(vec!["127.0.0.1:1".parse().expect("an address")])
+        .entries(vec!["127.0.0.1:1".parse().expect("valid address")])
         .rate(200.0)
         .duration(Duration::from_secs(50))
         .seed(seed)
@@ -17,32 +18,35 @@
 }
 
 #[test]
-fn seed_decides() {
-    let requests = plan(3).requests().expect("a sound plan");
-    assert_eq!(requests, plan(3).requests().expect("a sound plan"));
-    assert_ne!(requests, plan(4).requests().expect("a sound plan"));
+fn seed_determines_requests() {
+    let requests = plan(3).requests().expect("valid plan");
+    assert_eq!(requests, plan(3).requests().expect("valid plan"));
+    assert_ne!(requests, plan(4).requests().expect("valid plan"));
 }
 
 #[test]
-fn rates_hold() {
-    let requests = plan(3).requests().expect("a sound plan");
+fn rate_and_shares_are_met() {
+    let requests = plan(3).requests().expect("valid plan");
     let expected = 10_000;
     assert!(
         requests.len().abs_diff(expected) < 400,
         "{}",
         requests.len()
     );
-    let paying = |kind: &RequestKind| matches!(kind, RequestKind::Payment { .. });
-    let payments = requests.iter().filter(|one| paying(&one.kind)).count();
+    let is_payment = |kind: &RequestKind| matches!(kind, RequestKind::Payment { .. });
+    let payments = requests
+        .iter()
+        .filter(|request| is_payment(&request.kind))
+        .count();
     assert!(payments.abs_diff(expected / 5) < 200, "{payments}");
-    let largest = requests
+    let largest_customer = requests
         .iter()
-        .filter(|one| one.customer.name == "sandaga-traders");
-    assert!(largest.count().abs_diff(expected * 6 / 10) < 300);
+        .filter(|request| request.customer.name == "sandaga-traders");
+    assert!(largest_customer.count().abs_diff(expected * 6 / 10) < 300);
 }
 
 #[test]
-fn payments_reckoned() {
+fn payments_are_reconciled() {
     use ReportedExecution::{NotRun, Ran, Unknown};
     let mut stats = LoadStats::new(Duration::from_secs(1));
     let cases = [
@@ -54,7 +58,7 @@
         ("unknown", Unknown, 1),
         ("unknown-too", Unknown, 0),
     ];
-    let mut book = Vec::new();
+    let mut executions_by_key = Vec::new();
     for (key, reported, executions) in cases {
         let result = LoadResult::Payment {
             key: key.to_owned(),
@@ -64,7 +68,7 @@
         let customer = "sandaga-traders".to_owned();
         stats.add(LoadOutcome { customer, result });
         if executions > 0 {
-            book.push(LookupBody {
+            executions_by_key.push(LookupBody {
                 key: key.to_owned(),
                 customer: None,
                 executions,
@@ -72,7 +76,7 @@
             });
         }
     }
-    stats.reconcile(&book);
+    stats.reconcile(&executions_by_key);
     let report = stats.report(Duration::from_secs(1));
     let counts = report.payments;
     assert_eq!((counts.offered, counts.ran), (7, 3));
