--- a/crates/standin/src/quickstart.rs
+++ b/crates/standin/src/quickstart.rs
@@ -1,4 +1,5 @@
-//! A whole system for a newcomer: started, called once in both ways, and stopped.
+//! A complete example system for new users: starts it, sends one chat and one non-repeatable call,
+//! and stops it.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -17,10 +18,10 @@
 const PROCESSES_FILE: &str = "processes.json";
 const CALLERS_FILE: &str = "callers.json";
 
-/// No balancer has to notice that these entries stop, so that a newcomer need not wait for it.
+/// Short, because no load balancer has to notice that these entries stop.
 const DRAIN_GRACE: &str = "200ms";
 
-/// One process, as `processes.json` lists it.
+/// A process in `processes.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct ProcessInfo {
     name: String,
@@ -29,7 +30,7 @@
     address: String,
 }
 
-/// One entry, as `callers.json` lists it.
+/// An entry in `callers.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct EntryAddress {
     name: String,
@@ -38,7 +39,7 @@
     admin: String,
 }
 
-/// What a caller needs, as `callers.json` holds it.
+/// Content of `callers.json`: the addresses, keys and paths that a caller needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct CallerInfo {
     entries: Vec<EntryAddress>,
@@ -53,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// When the binary is not built beside this program, or a call fails.
+/// Returns an error if the server binary is not built next to this program, or a call fails.
 pub async fn run(options: QuickstartOptions) -> eyre::Result<()> {
     let mut signals = ShutdownSignals::catch()?;
     let deployment = options.deployment;
@@ -78,13 +79,13 @@
         }
     }
     stack.stop();
-    println!("everything is stopped");
+    println!("all processes are stopped");
     result
 }
 
 async fn start(deployment: Deployment) -> eyre::Result<TestStack> {
-    let own = std::env::current_exe().wrap_err("this program's own path is unknown")?;
-    let binary = own.with_file_name("bramleyspring");
+    let program = std::env::current_exe().wrap_err("can't determine the path of this program")?;
+    let binary = program.with_file_name("bramleyspring");
     eyre::ensure!(
         binary.exists(),
         "{} is not built: run scripts/quickstart",
@@ -100,7 +101,7 @@
         .settings("entry", json!({ "drain_grace": DRAIN_GRACE }))
         .start()
         .await;
-    println!("every entry serves");
+    println!("all entries are serving");
     Ok(stack)
 }
 
@@ -110,11 +111,11 @@
     callers: &CallerConfig,
 ) -> eyre::Result<()> {
     let prompts = deployment.prompts();
-    let prompt = prompts.first().ok_or_eyre("no example prompt")?;
+    let prompt = prompts.first().ok_or_eyre("the example has no prompt")?;
     println!("\n{prompt}");
     stream_chat(stack, &callers.model, prompt).await?;
     let calls = deployment.calls()?;
-    let call = calls.first().ok_or_eyre("no example call")?;
+    let call = calls.first().ok_or_eyre("the example has no call")?;
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let key = format!("quickstart-{}", since_epoch.as_millis());
     let path = callers.non_repeatable_path();
@@ -147,7 +148,7 @@
     let text = String::from_utf8_lossy(&received);
     eyre::ensure!(
         text.trim_end().ends_with("data: [DONE]"),
-        "the stream did not end whole"
+        "the stream ended without [DONE]"
     );
     Ok(())
 }
@@ -157,7 +158,8 @@
     stack: &TestStack,
     callers: &CallerConfig,
 ) -> eyre::Result<[PathBuf; 2]> {
-    std::fs::create_dir_all(folder).wrap_err_with(|| format!("can't make {}", folder.display()))?;
+    std::fs::create_dir_all(folder)
+        .wrap_err_with(|| format!("can't create {}", folder.display()))?;
     let processes = folder.join(PROCESSES_FILE);
     let file = folder.join(CALLERS_FILE);
     write_json(&file, &caller_info(stack, callers)?)?;
@@ -165,7 +167,7 @@
     Ok([processes, file])
 }
 
-/// Writes beside and renames, so that a reader who waits for the file never sees half of it.
+/// Writes to a temporary file and renames it, so that a reader never sees a partial file.
 fn write_json<T: Serialize>(path: &Path, value: &T) -> eyre::Result<()> {
     let temporary = path.with_extension("new");
     let text = serde_json::to_string_pretty(value)?;
@@ -207,7 +209,7 @@
     let customer = callers
         .customers
         .first()
-        .ok_or_eyre("no example customer")?;
+        .ok_or_eyre("the example has no customer")?;
     let entries = stack
         .entries
         .iter()
