--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// A burst of four times the capacity for 10 s, whose refused callers retry up to five times.
+/// A burst of four times the capacity for 10 s, whose refused clients retry up to five times.
 pub fn retry_times() {
     println!("| return | answered on time | offers a caller | refused in the end |");
     println!("|---|---|---|---|");
@@ -177,11 +177,11 @@
         let burst = poisson_calls(13, rate * 4.0, (5.0, 15.0), |_, _| {});
         let rest = poisson_calls(14, rate * 0.5, (0.0, 60.0), |call, _| call.customer = 1);
         let result = Simulation::new(&scenario).run(&merge_calls(vec![burst, rest]));
-        let callers = result.select(|job| job.call.customer == 0);
-        let offers: u32 = callers.iter().map(|job| job.retries + 1).sum();
-        let refused = callers.iter().filter(|job| job.refused).count();
+        let clients = result.select(|job| job.call.customer == 0);
+        let offers: u32 = clients.iter().map(|job| job.retries + 1).sum();
+        let refused = clients.iter().filter(|job| job.refused).count();
         #[allow(clippy::cast_precision_loss)]
-        let count = callers.len() as f64;
+        let count = clients.len() as f64;
         #[allow(clippy::cast_precision_loss)]
         let refused = refused as f64 / count;
         println!(
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -107,8 +107,8 @@
     /// Admits a request or refuses it immediately.
     ///
     /// Designed for a demand of 2 to 10 times the capacity. A request that waits and is then late
-    /// costs its caller the wait and the target the work, which shows as busy targets while hardly
-    /// any answer is on time. It is therefore refused while its caller can still act, with a retry
+    /// costs its client the wait and the target the work, which shows as busy targets while hardly
+    /// any answer is on time. It is therefore refused while its client can still act, with a retry
     /// time at which there will be capacity.
     pub fn offer(&mut self, now: Duration, request: AdmissionRequest) -> OfferOutcome {
         self.advance(now);
@@ -277,7 +277,7 @@
 
     /// Removes and returns the requests that can't meet their deadline any more.
     ///
-    /// They get their final answer immediately: a caller that learns of the failure early can still
+    /// They get their final answer immediately: a client that learns of the failure early can still
     /// act, and sending a request that is already late would take the slot of one that is not.
     pub fn expire(&mut self, now: Duration) -> Vec<RequestKey> {
         let mut expired = Vec::new();
@@ -292,7 +292,7 @@
         expired
     }
 
-    /// Returns when the caller of an expired request of this cost should retry.
+    /// Returns when the client of an expired request of this cost should retry.
     pub fn retry_after(&mut self, now: Duration, cost: u32) -> Duration {
         let backlog = self.normal.backlog() + self.background.backlog();
         let rate = self.drain_rate.rate();
@@ -303,7 +303,7 @@
             .reserve(now, excess.min(Duration::from_hours(1)), cost, rate)
     }
 
-    /// Removes a request whose caller has disconnected; returns false if it is not waiting.
+    /// Removes a request whose client has disconnected; returns false if it is not waiting.
     pub fn cancel(&mut self, key: RequestKey) -> bool {
         let Some(entry) = self.requests.remove(key) else {
             return false;
--- a/crates/policy/src/admission/request.rs
+++ b/crates/policy/src/admission/request.rs
@@ -36,9 +36,9 @@
     Admitted(RequestKey),
     /// The request gets its final answer now; nothing was executed.
     Refused {
-        /// Reason for the refusal, reported to the caller.
+        /// Reason for the refusal, reported to the client.
         reason: RefusalReason,
-        /// Time after which the caller should retry.
+        /// Time after which the client should retry.
         retry_after: Duration,
     },
 }
--- a/crates/policy/src/admission/retry_after.rs
+++ b/crates/policy/src/admission/retry_after.rs
@@ -1,16 +1,16 @@
-//! Retry times for refused callers.
+//! Retry times for refused clients.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Minimum retry time for a refused caller.
+/// Minimum retry time for a refused client.
 ///
-/// With less, immediate retries of a caller could add more load than its first request.
+/// With less, immediate retries of a client could add more load than its first request.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Maximum retry time for a refused caller.
+/// Maximum retry time for a refused client.
 ///
 /// Users who are told to wait longer give up, and capacity may be available long before.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
@@ -20,11 +20,11 @@
 /// Two entries that refuse the same burst compute the same times; the jitter keeps them apart.
 const JITTER: f64 = 0.2;
 
-/// Assigns retry times to refused callers at the rate at which work drains.
+/// Assigns retry times to refused clients at the rate at which work drains.
 ///
-/// Designed for a burst of many times the capacity. If all refused callers retried after the same
+/// Designed for a burst of many times the capacity. If all refused clients retried after the same
 /// delay, the burst would repeat as a whole, which shows as bursts of refusals at regular
-/// intervals. Each refusal therefore reserves the next interval of drained work for its caller.
+/// intervals. Each refusal therefore reserves the next interval of drained work for its client.
 #[derive(Debug)]
 pub(super) struct RetrySchedule {
     reserved_until: Duration,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the time after which a caller should retry whose request of `cost` was refused.
+    /// Returns the time after which a client should retry whose request of `cost` was refused.
     ///
     /// `excess` is the time by which the current wait is too long; `rate` is the units of cost
     /// drained per second.
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -68,7 +68,7 @@
 /// Designed for 3 to 410 entries, each of which sees only its part of the demand and delayed load
 /// reports. If each entry took all free slots in a report, the targets would be oversubscribed by a
 /// factor of the number of entries, which causes long queues at the engines and late first tokens
-/// for all callers. If each kept to an equal share, the slots of entries that the load balancer
+/// for all clients. If each kept to an equal share, the slots of entries that the load balancer
 /// favors less would stay idle, which causes refusals at one entry while accelerators are idle.
 ///
 /// Each entry therefore scales what it had in use at the time of the report by the same ratio of
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -27,7 +27,7 @@
 
 /// Number of random holders of the adapter that are considered in addition to the samples.
 ///
-/// With an adapter on 3 of 1,500 engines, hardly any sample would have it, and the caller would
+/// With an adapter on 3 of 1,500 engines, hardly any sample would have it, and the client would
 /// wait until it is loaded.
 const ADAPTER_SAMPLES: usize = 3;
 
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Builder)]
 pub struct HealthSettings {
     /// Number of consecutive failures after which a target is ejected. One or two failures may be
-    /// due to the caller or to a lost connection.
+    /// due to the client or to a lost connection.
     #[builder(default = 3)]
     pub consecutive_failures: u32,
     /// Factor above the median slowness from which a target counts as a straggler.
--- a/crates/policy/src/placement/state.rs
+++ b/crates/policy/src/placement/state.rs
@@ -51,7 +51,7 @@
     Full,
     /// The attempt failed, was refused or timed out; counts against the target's health.
     Failed,
-    /// The caller disconnected or the attempt was no longer needed; says nothing about the target.
+    /// The client disconnected or the attempt was no longer needed; says nothing about the target.
     Cancelled,
 }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -106,7 +106,7 @@
     pub idempotent: bool,
     /// Whether any byte of the request could have reached a target.
     pub possibly_sent: bool,
-    /// Time after which an answer is of no use to the caller, since the node's start.
+    /// Time after which an answer is of no use to the client, since the node's start.
     pub deadline: Duration,
 }
 
@@ -118,7 +118,7 @@
         /// Delay before the next attempt.
         wait: Duration,
     },
-    /// The request has failed; the caller gets its final answer now.
+    /// The request has failed; the client gets its final answer now.
     GiveUp(GiveUpReason),
 }
 
@@ -143,7 +143,7 @@
 /// Returns the delay after attempt number `attempt`, uniformly distributed between zero and twice
 /// the exponentially growing mean.
 ///
-/// All callers of a lost target fail at the same time, and equal delays would send them to the next
+/// All clients of a lost target fail at the same time, and equal delays would send them to the next
 /// target in a single burst.
 fn backoff<R: Rng>(settings: &RetrySettings, attempt: u32, rng: &mut R) -> Duration {
     let doublings = attempt.saturating_sub(1).min(16);
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -4,7 +4,7 @@
 ///
 /// When a record replaces a version by a new one, draining all replicas of the old version at once
 /// would leave the model without a serving replica until the weights of the new version are loaded,
-/// and all callers would be refused for minutes. Old replicas are therefore drained as new ones
+/// and all clients would be refused for minutes. Old replicas are therefore drained as new ones
 /// start to serve. If there are no free hosts to start new replicas first, at most one part in
 /// `steps` of the desired replicas, rounded up, is missing at a time.
 ///
--- a/crates/policy/tests/admission_class.rs
+++ b/crates/policy/tests/admission_class.rs
@@ -17,7 +17,7 @@
     name.parse().expect("a name")
 }
 
-/// Requests of one caller at a constant rate, in simulated time steps.
+/// Requests of one client at a constant rate, in simulated time steps.
 #[derive(Debug)]
 struct Sender {
     customer: CustomerId,
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -32,7 +32,7 @@
 }
 
 /// The load balancer sends four fifths of the calls to a third of the entries. With equal shares
-/// these would refuse callers while slots are idle.
+/// these would refuse clients while slots are idle.
 #[test]
 fn uneven_load_balancing_leaves_no_slot_idle() {
     for entries in [3, 24] {
@@ -50,7 +50,7 @@
 }
 
 /// All entries see the same free slots in the same outdated report. If each took all of them,
-/// requests would queue at the engines and callers' first tokens would be late.
+/// requests would queue at the engines and clients' first tokens would be late.
 #[test]
 fn entries_do_not_oversubscribe_slots() {
     let (scaled, goodput) = run(24, 2.0, ShareKind::Scaled, (0.0, 0.0));
@@ -60,7 +60,7 @@
 }
 
 /// Reports stop for 20 seconds, as when the links between failure domains are cut. At normal load,
-/// callers must not be affected.
+/// clients must not be affected.
 #[test]
 fn lost_reports_do_not_stop_requests() {
     let (outage, _) = run(6, 0.7, ShareKind::Scaled, (10.0, 30.0));
--- a/crates/policy/tests/load/early_refusal.rs
+++ b/crates/policy/tests/load/early_refusal.rs
@@ -26,7 +26,7 @@
     (result, goodput)
 }
 
-/// Demand rises to 2 and to 10 times the capacity. Without refusal, all callers wait in one long
+/// Demand rises to 2 and to 10 times the capacity. Without refusal, all clients wait in one long
 /// queue and hardly any first token is on time, although all engines are busy.
 #[test]
 fn goodput_stays_near_capacity() {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Refused callers retry when they were told to. If all retried at the same time, goodput would
+/// Refused clients retry when they were told to. If all retried at the same time, goodput would
 /// drop with each burst.
 #[test]
 fn retries_do_not_reduce_goodput() {
@@ -49,7 +49,7 @@
 }
 
 /// At a demand of twice the capacity every engine becomes three times slower. A queue limit that
-/// was right before now makes every caller wait too long, and no answer is on time.
+/// was right before now makes every client wait too long, and no answer is on time.
 #[test]
 fn refusal_adapts_to_capacity() {
     let run = |queue| {
@@ -69,7 +69,7 @@
     assert!(fair > 0.9 && fifo < 0.2, "{fair} versus {fifo}");
 }
 
-/// A burst of four times the capacity lasts 10 seconds. Callers that retry at the assigned times
+/// A burst of four times the capacity lasts 10 seconds. Clients that retry at the assigned times
 /// are eventually served; if they retry every second, they meet the same overload again.
 #[test]
 fn retry_times_serve_the_whole_burst() {
@@ -149,7 +149,7 @@
     );
 }
 
-/// A hundred callers are refused at the same time. If all got the same retry time, they would
+/// A hundred clients are refused at the same time. If all got the same retry time, they would
 /// return in one burst.
 #[test]
 fn retry_times_are_spread() {
@@ -175,7 +175,7 @@
     assert!(most <= 30, "{most} of 100 retry within a second");
 }
 
-/// Targets stop answering while requests wait. Callers are told as soon as the deadline can't be
+/// Targets stop answering while requests wait. Clients are told as soon as the deadline can't be
 /// met, not after a timeout of their own.
 #[test]
 fn expired_requests_are_removed_immediately() {
--- a/crates/policy/tests/load/prefix_affinity.rs
+++ b/crates/policy/tests/load/prefix_affinity.rs
@@ -36,7 +36,7 @@
     Simulation::new(&scenario).run(&calls)
 }
 
-/// Many callers share a few long prompts. A target with the prompt in its cache returns the first
+/// Many clients share a few long prompts. A target with the prompt in its cache returns the first
 /// token sooner.
 #[test]
 fn cached_prefixes_reduce_first_token_time() {
--- a/crates/policy/tests/load/simulation/mod.rs
+++ b/crates/policy/tests/load/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Discrete-event simulation of callers, entries and engines, to measure what a decision does for
-//! callers.
+//! Discrete-event simulation of clients, entries and engines, to measure what a decision does for
+//! clients.
 
 #![allow(clippy::cast_precision_loss)]
 
--- a/crates/policy/tests/load/simulation/workload.rs
+++ b/crates/policy/tests/load/simulation/workload.rs
@@ -64,9 +64,9 @@
     pub report_timing: (f64, f64),
     /// Start and end of the time without reports, in seconds.
     pub report_outage: (f64, f64),
-    /// Maximum number of retries by a refused caller.
+    /// Maximum number of retries by a refused client.
     pub max_retries: u32,
-    /// Delay before a retry, instead of the one that the caller was given.
+    /// Delay before a retry, instead of the one that the client was given.
     pub fixed_retry_after: Option<Duration>,
     pub seed: u64,
 }
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -61,7 +61,7 @@
 }
 
 /// One engine is four times slower for 20 seconds and then recovers. With the baselines, its
-/// callers' first tokens are late.
+/// clients' first tokens are late.
 #[test]
 fn straggler_is_ejected() {
     let slow = |scenario: &mut Scenario| scenario.engines[3].slowdown = (4.0, 10.0, 30.0);
@@ -74,7 +74,7 @@
 }
 
 /// One engine fails every stream immediately and therefore looks idle. Selection by reported load
-/// sends it more and more calls, and callers have to wait for the retries.
+/// sends it more and more calls, and clients have to wait for the retries.
 #[test]
 fn fast_failures_attract_no_requests() {
     let failing = |scenario: &mut Scenario| scenario.engines[3].failing = (10.0, 30.0);
@@ -192,7 +192,7 @@
 }
 
 /// The entry's own network fails, so that every target appears to fail. The entry must keep
-/// sending, or callers would be refused long after the network has recovered.
+/// sending, or clients would be refused long after the network has recovered.
 #[test]
 fn most_targets_stay_in_use() {
     let mut fixture = Fixture::new(10);
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -15,7 +15,7 @@
         .build()
 }
 
-/// Every target fails for a minute while callers send 100 requests per second. Without the budget
+/// Every target fails for a minute while clients send 100 requests per second. Without the budget
 /// each request would be sent four times, and the targets would get 400 requests per second while
 /// they are struggling.
 #[test]
--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -166,7 +166,7 @@
 /// one that had just begun to serve. Each request at a head adds `WAIT_PER_REQUEST`.
 ///
 /// If as many requests wait at each target as can begin in time, one more would be late and delay
-/// those behind it. It is refused at once, while its caller still has time to retry.
+/// those behind it. It is refused at once, while its client still has time to retry.
 ///
 /// # Errors
 ///
--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -13,7 +13,7 @@
 /// Splits a stream into whole events and keeps the last event id.
 ///
 /// A target that crashes leaves a partial event behind. If it were forwarded, it would merge with
-/// the first event of the target that resumes the stream, and the caller would read an event that
+/// the first event of the target that resumes the stream, and the client would read an event that
 /// no target sent.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
--- a/crates/serving/src/plan/coverage.rs
+++ b/crates/serving/src/plan/coverage.rs
@@ -7,7 +7,7 @@
 /// Lower bound on the share of a model, which avoids a division by zero.
 const MIN_SHARE: f64 = 1e-6;
 
-/// Number of hosts that serve a model, divided by the share of the work expected for it. Callers of
+/// Number of hosts that serve a model, divided by the share of the work expected for it. Clients of
 /// the model with the lowest coverage wait the longest and are refused the most.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Coverage(f64);
--- a/crates/serving/src/plan/forming.rs
+++ b/crates/serving/src/plan/forming.rs
@@ -13,7 +13,7 @@
 ///
 /// A replica closes within seconds. If its spares joined another replica meanwhile, its remaining
 /// hosts would be too few for a successor: with one departed host, a model lost all four, and its
-/// callers were refused.
+/// clients were refused.
 pub(super) fn reserve_for_successors<'a>(
     closing: &[(&ModelConfig, usize)],
     free: &mut Vec<&'a HostState>,
--- a/crates/serving/src/plan/staging.rs
+++ b/crates/serving/src/plan/staging.rs
@@ -2,7 +2,7 @@
 //! domain.
 //!
 //! With two hosts lost every few seconds and one model per host, a domain soon has three hosts of
-//! one model, two of the other and no replica of either. Their callers are refused for the many
+//! one model, two of the other and no replica of either. Their clients are refused for the many
 //! seconds that a load takes. A host that also has the weights of the other model joins within two
 //! seconds.
 
--- a/crates/serving/src/plan/state.rs
+++ b/crates/serving/src/plan/state.rs
@@ -101,7 +101,7 @@
     /// is opened again.
     pub never_reopen: &'a FastSet<(ReplicaId, u64)>,
     /// Whether hosts without weights may join replicas. It is set before the first request, when
-    /// loads are quick and no caller waits for a spare, and if no host of the domain has weights.
+    /// loads are quick and no client waits for a spare, and if no host of the domain has weights.
     pub may_load_members: bool,
     /// Whether hosts may stage second models, which takes up the weight store without being urgent.
     pub may_stage: bool,
--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -44,7 +44,7 @@
 /// to a single target per arrival.
 const MIN_CRASHES_TO_SUSPECT: usize = 2;
 
-/// Time for which a crash counts as evidence. A caller whose request crashes targets sends it again
+/// Time for which a crash counts as evidence. A client whose request crashes targets sends it again
 /// for minutes.
 pub const CRASH_RETENTION: Duration = Duration::from_mins(10);
 
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -71,7 +71,7 @@
         &mut self.buckets[last]
     }
 
-    /// Counts a request that a caller sent.
+    /// Counts a request that a client sent.
     pub fn record_request(&mut self, now: Duration) {
         self.bucket(now).requests += 1;
     }
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Limits on what a caller may send, and how long it may take.
+/// Limits on what a client may send, and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
     /// Maximum size of the request head in bytes.
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -11,7 +11,7 @@
 /// still bring requests.
 const FULL_SERVICE_TIME: Duration = Duration::from_millis(2600);
 
-/// Minimum time between the signal and the exit, in which the load balancer and callers learn of
+/// Minimum time between the signal and the exit, in which the load balancer and clients learn of
 /// the shutdown.
 const MIN_DURATION: Duration = Duration::from_millis(3200);
 
@@ -45,7 +45,7 @@
     ///
     /// A load balancer with too few healthy nodes in a failure domain keeps sending to nodes that
     /// stop until they are gone, and during a rolling restart there always are some. A stream
-    /// accepted in the last seconds would be cut off halfway, and its caller, whom another node
+    /// accepted in the last seconds would be cut off halfway, and its client, whom another node
     /// could have served, would have waited for nothing. So once the load balancer has had time to
     /// react, only requests that are sure to end in time are accepted.
     #[must_use]
--- a/crates/serving/src/timing.rs
+++ b/crates/serving/src/timing.rs
@@ -42,7 +42,7 @@
     /// A request that gets a slot still waits for the current decode pass and for its own prefill.
     /// At a full replica each queue position delays the first token by 40 to 70 ms, out of a target
     /// of 200 to 400 ms. A limit without those two terms let half of the answers be late while all
-    /// replicas were full, and still refused callers.
+    /// replicas were full, and still refused clients.
     ///
     /// The prefill is that of a typical prompt rather than of the request, since otherwise the
     /// largest requests would be refused first.
--- a/crates/serving/tests/choose_target.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -31,7 +31,7 @@
 }
 
 /// In a burst, all slots are in use and as many requests wait as can begin in time. One more would
-/// be late and delay the others, so it is refused and its caller can retry.
+/// be late and delay the others, so it is refused and its client can retry.
 #[test]
 fn full_targets_refuse() {
     let candidates = [candidate(reported(32)), candidate(reported(40))];
@@ -126,7 +126,7 @@
 }
 
 /// A target accepts a limited number of connections from all nodes together. Beyond it the target
-/// resets connections, and callers lose their answers.
+/// resets connections, and clients lose their answers.
 #[test]
 fn connection_limit_kept() {
     let narrow = TargetCandidate {
--- a/crates/serving/tests/event_splitter.rs
+++ b/crates/serving/tests/event_splitter.rs
@@ -30,7 +30,7 @@
     assert_eq!(splitter.last_id(), Some(4));
 }
 
-/// An engine that resumes a stream may repeat events that the caller already has.
+/// An engine that resumes a stream may repeat events that the client already has.
 #[test]
 fn repeated_event_dropped() {
     let mut splitter = EventSplitter::after(Some(2));
@@ -46,7 +46,7 @@
 }
 
 properties! {
-    /// However the network splits a stream into chunks, the caller gets the same bytes.
+    /// However the network splits a stream into chunks, the client gets the same bytes.
     fn any_chunks(count: u8, cuts: Vec<u8>) -> bool {
         let bytes = stream(1..=u64::from(count));
         let mut splitter = EventSplitter::default();
--- a/crates/serving/tests/plan/fabric_layout.rs
+++ b/crates/serving/tests/plan/fabric_layout.rs
@@ -77,7 +77,7 @@
 
 /// The larger of two models with equal shares must get a replica in each domain. It had none in a
 /// sixth of the domains: small replicas were placed where most hosts were free until it no longer
-/// fit, and its callers waited at the other domains.
+/// fit, and its clients waited at the other domains.
 #[test]
 fn large_model_placed() {
     let models = [model("large", 16, 0.5), model("small", 4, 0.5)];
--- a/crates/serving/tests/plan/fabric_plan.rs
+++ b/crates/serving/tests/plan/fabric_plan.rs
@@ -52,7 +52,7 @@
 }
 
 /// If a member is lost and a spare has the weights, the remaining members and the spare form a new
-/// replica, so that callers whose streams stopped are served again within a second.
+/// replica, so that clients whose streams stopped are served again within a second.
 #[test]
 fn lost_member_replaced() {
     let mut hosts = large_replica(MemberState::Open);
@@ -63,7 +63,7 @@
 }
 
 /// If a member is lost and no host can replace it, the head keeps accepting requests that make no
-/// progress. It is told to cancel them, so that their callers get an answer at once.
+/// progress. It is told to cancel them, so that their clients get an answer at once.
 #[test]
 fn irreplaceable_member_closes() {
     let mut hosts = large_replica(MemberState::Open);
@@ -140,7 +140,7 @@
 
 /// A replica of the large model closes because one of its hosts drains, and two spares have both
 /// models. When both spares formed a replica of the small model at once, the three remaining hosts
-/// stayed idle, and callers of the large model were refused until a new host came.
+/// stayed idle, and clients of the large model were refused until a new host came.
 #[test]
 fn spare_reserved_for_successor() {
     for state in [MemberState::Open, MemberState::Closing] {
--- a/crates/serving/tests/plan/rebalancing.rs
+++ b/crates/serving/tests/plan/rebalancing.rs
@@ -53,7 +53,7 @@
 }
 
 /// Three hosts of a large replica were left over, and no serving small replica gave up the fourth.
-/// So callers of the large model waited for seconds while small replicas were half idle.
+/// So clients of the large model waited for seconds while small replicas were half idle.
 #[test]
 fn surplus_replica_yields() {
     let steps = with_fleet(Domain::new(degraded_domain()), 2, 12).plan();
--- a/crates/serving/tests/plan/staged_hosts.rs
+++ b/crates/serving/tests/plan/staged_hosts.rs
@@ -57,7 +57,7 @@
     assert_eq!(staged(&steps), Vec::new());
 }
 
-/// While callers wait, the weight store is left to urgent loads.
+/// While clients wait, the weight store is left to urgent loads.
 #[test]
 fn none_staged_under_load() {
     let steps = Domain::new(vec![warm("a", "large")]).plan();
@@ -66,7 +66,7 @@
 
 /// A replica of the large model loses two hosts at once, and its domain has one spare of each
 /// model. With one model per host, no replica of four hosts could be formed for many seconds, and
-/// callers of the model would be refused. With a second one staged, the spare of the small model
+/// clients of the model would be refused. With a second one staged, the spare of the small model
 /// joins.
 #[test]
 fn any_spare_joins() {
@@ -97,7 +97,7 @@
 
 /// A domain has lost its large replica and has three hosts left that have both models, and the
 /// fleet has more coverage of the small model. If they formed small replicas of two hosts each,
-/// there would never be four free hosts for the large model, and its callers would be refused
+/// there would never be four free hosts for the large model, and its clients would be refused
 /// permanently while small replicas are half idle.
 #[test]
 fn large_model_not_starved() {
--- a/crates/serving/tests/prompt_backlog.rs
+++ b/crates/serving/tests/prompt_backlog.rs
@@ -78,7 +78,7 @@
 }
 
 /// Without hints, about one prompt in ten waits behind others while another head has no backlog,
-/// and its caller gets the first token after half a second. With hints this must be rare.
+/// and its client gets the first token after half a second. With hints this must be rare.
 #[test]
 fn hints_spread_prompts() {
     let (random, hinted) = (late_fraction(false), late_fraction(true));
--- a/crates/serving/tests/shutdown_plan.rs
+++ b/crates/serving/tests/shutdown_plan.rs
@@ -13,7 +13,7 @@
 
 /// While the nodes of a failure domain are stopped one after another, the load balancer keeps
 /// sending to them. A stream of up to eight seconds that is accepted six seconds after the signal
-/// would be cut off halfway, so it must be refused while its caller can still be served elsewhere.
+/// would be cut off halfway, so it must be refused while its client can still be served elsewhere.
 #[test]
 fn late_stream_refused() {
     let now = Duration::from_secs(106);
--- a/crates/serving/tests/stall_detector.rs
+++ b/crates/serving/tests/stall_detector.rs
@@ -12,7 +12,7 @@
     assert!(!detector.should_probe(Duration::from_mins(1) + STALL_TIMEOUT / 2));
 }
 
-/// If a member is lost, all streams of the replica stop at once, and callers would wait for seconds
+/// If a member is lost, all streams of the replica stop at once, and clients would wait for seconds
 /// until the head notices. Progress of a single stream shows that the replica works.
 #[test]
 fn stall_of_all_streams_probed() {
