--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -52,12 +52,12 @@
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
     (host, boot): (&HostId, BootNumber),
-    answer_age: Option<Duration>,
+    response_age: Option<Duration>,
 ) {
     let fingerprint = request.fingerprint();
     let crashed = CrashedRequest {
         fingerprint,
-        answer_age,
+        response_age,
     };
     let is_first = node.with_interrupted(|interrupted| interrupted.add(host, boot, crashed));
     if is_first {
@@ -102,12 +102,12 @@
         .iter()
         .take(MAX_LOGGED_FINGERPRINTS)
         .map(|request| {
-            let answer_age = request.answer_age.map(|age| age.as_millis().to_string());
+            let response_age = request.response_age.map(|age| age.as_millis().to_string());
             let fingerprint = request.fingerprint.to_string();
             format!(
                 "{}:{}",
                 &fingerprint[..8],
-                answer_age.as_deref().unwrap_or("-")
+                response_age.as_deref().unwrap_or("-")
             )
         });
     let named: Vec<String> = named.collect();
--- a/crates/gateway/src/crash_records.rs
+++ b/crates/gateway/src/crash_records.rs
@@ -69,7 +69,7 @@
     fingerprint: String,
     /// Time since the response began, in milliseconds; `None` if it had not.
     #[serde(rename = "ran_ms")]
-    answer_age_ms: Option<u64>,
+    response_age_ms: Option<u64>,
 }
 
 impl From<&CrashedRequest> for RequestRow {
@@ -77,7 +77,7 @@
         let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         Self {
             fingerprint: request.fingerprint.to_string(),
-            answer_age_ms: request.answer_age.map(millis),
+            response_age_ms: request.response_age.map(millis),
         }
     }
 }
@@ -89,7 +89,7 @@
         let fingerprint: RequestFingerprint = row.fingerprint.parse()?;
         Ok(Self {
             fingerprint,
-            answer_age: row.answer_age_ms.map(Duration::from_millis),
+            response_age: row.response_age_ms.map(Duration::from_millis),
         })
     }
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -221,8 +221,8 @@
             // A call to a plain service runs from the moment it is sent, a stream from its first
             // event.
             let is_plain = target.membership.is_none();
-            let answer_age = is_plain.then(|| node.now().saturating_sub(sent_at));
-            record_interrupted(node, request, (&target.id, target.boot), answer_age);
+            let response_age = is_plain.then(|| node.now().saturating_sub(sent_at));
+            record_interrupted(node, request, (&target.id, target.boot), response_age);
             Err(AttemptOutcome::Ambiguous(error.to_string()))
         }
     }
@@ -370,8 +370,8 @@
 impl TargetResponse {
     /// Records that the connection broke before the end of the body.
     pub fn record_broken(&self, node: &Rc<GatewayNode>, request: &AdmittedRequest) {
-        let answer_age = node.now().saturating_sub(self.started_at);
-        record_interrupted(node, request, (&self.host, self.boot), Some(answer_age));
+        let response_age = node.now().saturating_sub(self.started_at);
+        record_interrupted(node, request, (&self.host, self.boot), Some(response_age));
     }
 
     /// Returns the connection to the pool after the end of the body.
--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -32,8 +32,9 @@
 pub struct CrashedRequest {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Time since its answer began; `None` if no answer had begun.
-    pub answer_age: Option<Duration>,
+    /// Time since its response began, or since it was sent if its service is a plain one; `None` if
+    /// it is a stream that had not begun.
+    pub response_age: Option<Duration>,
 }
 
 /// Crashes that must involve a request, and no other barred request, before it is barred. Two
@@ -51,9 +52,9 @@
 /// Maximum number of crashes kept; beyond it the oldest are dropped.
 const MAX_CRASHES: usize = 1024;
 
-/// Answer age assumed for a request whose answer had not begun. It was queued while others ran, so
-/// of two requests that were at equally many crashes the running one is the likelier cause.
-const QUEUED_ANSWER_AGE: Duration = Duration::from_secs(10);
+/// Response age assumed for a request whose response had not begun. It was queued while others ran,
+/// so of two requests that were at equally many crashes the running one is the likelier cause.
+const QUEUED_RESPONSE_AGE: Duration = Duration::from_secs(10);
 
 /// A crash of one target process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -78,7 +79,7 @@
 #[derive(Debug)]
 struct CrashRecord {
     at: Duration,
-    /// Requests at the target, with the age of their answers.
+    /// Requests at the target, with the age of their responses.
     requests: FastMap<RequestFingerprint, Duration>,
 }
 
@@ -87,8 +88,8 @@
 /// Dozens of requests run at a target when it crashes, and they move on together, so each of them
 /// has soon been at two or three crashes. The request that was at the most crashes explains them;
 /// those crashes then no longer count against the others. Of two requests that were at equally
-/// many crashes, the one with the younger answers is the likelier cause, since it crashes a target
-/// as soon as it begins to run.
+/// many crashes, the one with the younger responses is the likelier cause, since it crashes a
+/// target as soon as it begins to run.
 #[derive(Debug, Default)]
 pub struct PoisonDetector {
     crashes: FastMap<TargetCrash, CrashRecord>,
@@ -132,7 +133,7 @@
             requests: FastMap::default(),
         });
         for request in requests {
-            let age = request.answer_age.unwrap_or(QUEUED_ANSWER_AGE);
+            let age = request.response_age.unwrap_or(QUEUED_RESPONSE_AGE);
             let known = record.requests.entry(request.fingerprint).or_insert(age);
             *known = age.min(*known);
         }
--- a/crates/serving/tests/poison_requests.rs
+++ b/crates/serving/tests/poison_requests.rs
@@ -20,7 +20,7 @@
 fn request(fingerprint: u128, millis: u64) -> CrashedRequest {
     CrashedRequest {
         fingerprint: RequestFingerprint(fingerprint),
-        answer_age: Some(Duration::from_millis(millis)),
+        response_age: Some(Duration::from_millis(millis)),
     }
 }
 
@@ -29,9 +29,9 @@
 }
 
 /// Requests that move together from one crashed target to the next are at the same crashes. Only
-/// the one whose answer had just begun each time must be barred.
+/// the one whose response had just begun each time must be barred.
 #[test]
-fn only_youngest_answer_barred() {
+fn only_youngest_response_barred() {
     let mut detector = PoisonDetector::default();
     for index in 0..MIN_CRASHES_TO_BAR {
         let requests = [request(1, 50), request(2, 700), request(3, 300)];
@@ -58,7 +58,7 @@
     for index in 0..MIN_CRASHES_TO_BAR {
         let queued = CrashedRequest {
             fingerprint: RequestFingerprint(2),
-            answer_age: None,
+            response_age: None,
         };
         detector.record(crash(index), seconds(index), &[queued, request(1, 400)]);
     }
