--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -138,7 +138,7 @@
                 // the outcome is unknown, and the ledger may remove settled claims that are much
                 // older than a ticket.
                 self.pool
-                    .record_ended(address, Duration::ZERO, CallOutcome::Answered);
+                    .record_ended(address, Duration::ZERO, CallOutcome::Responded);
                 return SendOutcome::Unsent(
                     "the deadline expired before the call was sent".to_owned(),
                 );
@@ -148,7 +148,7 @@
             let timeout = self.settings.call_timeout();
             let outcome = self.service.call(address, &call.request, timeout).await;
             let call_outcome = match &outcome {
-                Ok(_) => CallOutcome::Answered,
+                Ok(_) => CallOutcome::Responded,
                 Err(_) => CallOutcome::Failed,
             };
             self.pool
--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -51,12 +51,12 @@
             self.record(EventCode::CallSent, call, &address.to_string());
             let outcome = self.service.call(address, &call.request, timeout).await;
             let call_outcome = match &outcome {
-                Ok(response) if !is_instance_failure(response.status) => CallOutcome::Answered,
+                Ok(response) if !is_instance_failure(response.status) => CallOutcome::Responded,
                 Ok(_) | Err(_) => CallOutcome::Failed,
             };
             self.pool
                 .record_ended(address, started.elapsed(), call_outcome);
-            if let (Ok(response), CallOutcome::Answered) = (&outcome, call_outcome) {
+            if let (Ok(response), CallOutcome::Responded) = (&outcome, call_outcome) {
                 return Ok(response_from_service(response));
             }
             may_have_run |= !matches!(&outcome, Err(ServiceError::Unsent(_)));
--- a/crates/entry/src/services/instances.rs
+++ b/crates/entry/src/services/instances.rs
@@ -65,7 +65,7 @@
     pub fn record_ended(&self, address: SocketAddr, elapsed: Duration, outcome: CallOutcome) {
         let now = self.now();
         let mut state = self.state();
-        if outcome == CallOutcome::Answered {
+        if outcome == CallOutcome::Responded {
             state.budget.record_success();
         }
         let instance = state.instances.entry(address).or_default();
--- a/crates/policy/src/service.rs
+++ b/crates/policy/src/service.rs
@@ -28,8 +28,8 @@
 /// Result of a call to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The instance answered, with any status that the caller does not count as a failure.
-    Answered,
+    /// The instance sent a response whose status the caller does not count as a failure.
+    Responded,
     /// The call failed or timed out; consecutive failures eject the instance.
     Failed,
 }
@@ -43,7 +43,7 @@
     /// Records that a call ended after `elapsed`.
     pub fn record_ended(&mut self, now: Duration, elapsed: Duration, outcome: CallOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if outcome == CallOutcome::Answered {
+        if outcome == CallOutcome::Responded {
             self.failures = 0;
             self.ejected_until = None;
             self.latency += (elapsed.as_secs_f64() - self.latency) * LATENCY_WEIGHT;
--- a/crates/policy/tests/service_choice.rs
+++ b/crates/policy/tests/service_choice.rs
@@ -10,11 +10,11 @@
     vec![InstanceStats::default(); 3]
 }
 
-/// Sends a call every 10 ms; `answer` returns an instance's latency and outcome.
+/// Sends a call every 10 ms; `respond` returns an instance's latency and outcome.
 fn send_calls(
     instances: &mut [InstanceStats],
     calls: u64,
-    answer: impl Fn(usize) -> (Duration, CallOutcome),
+    respond: impl Fn(usize) -> (Duration, CallOutcome),
 ) -> [usize; 3] {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts = [0; 3];
@@ -30,7 +30,7 @@
         let index = choose_instance(instances, now, |_| true, &mut rng).expect("there are three");
         instances[index].record_sent();
         counts[index] += 1;
-        let (elapsed, outcome) = answer(index);
+        let (elapsed, outcome) = respond(index);
         in_progress.push((now + elapsed, index, elapsed, outcome));
     }
     counts
@@ -39,7 +39,7 @@
 /// Equal instances get about the same number of calls.
 #[test]
 fn equal_instances_share_the_calls() {
-    let fast = |_| (Duration::from_millis(20), CallOutcome::Answered);
+    let fast = |_| (Duration::from_millis(20), CallOutcome::Responded);
     let counts = send_calls(&mut instances(), 3_000, fast);
     assert!(counts.iter().all(|count| *count > 700), "{counts:?}");
 }
@@ -49,7 +49,7 @@
 fn slow_instance_gets_few_calls() {
     let counts = send_calls(&mut instances(), 3_000, |index| {
         let factor = if index == 0 { 10 } else { 1 };
-        (Duration::from_millis(20 * factor), CallOutcome::Answered)
+        (Duration::from_millis(20 * factor), CallOutcome::Responded)
     });
     assert!(counts[0] < 450, "{counts:?}");
 }
@@ -59,7 +59,7 @@
 fn failing_instance_gets_hardly_any_calls() {
     let counts = send_calls(&mut instances(), 3_000, |index| match index {
         0 => (Duration::from_millis(1), CallOutcome::Failed),
-        _ => (Duration::from_millis(20), CallOutcome::Answered),
+        _ => (Duration::from_millis(20), CallOutcome::Responded),
     });
     assert!((2..=40).contains(&counts[0]), "{counts:?}");
 }
