--- a/crates/events/src/code.rs
+++ b/crates/events/src/code.rs
@@ -149,8 +149,8 @@
     /// The table contains a lower revision than the one in force, possibly because it was restored
     /// from a backup. The node does not go back to it. Apply the lost amendments again.
     ConfigRegressed = 303, "config_regressed", Error;
-    /// The store is unavailable to a majority of the nodes. They continue to serve with the
-    /// configuration in force, but can't accept amendments. Check the store.
+    /// According to a majority of the nodes, the store is unavailable to all of them. Service continues
+    /// with the configuration in force, but no amendment can be accepted. Check the store.
     StoreDown = 304, "store_down", Warn;
     /// The node reaches neither the table nor a peer that does, and no longer serves requests. Check
     /// its network.
