--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, header};
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use crate::error::RequestError;
 
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -7,7 +7,7 @@
 use policy::placement::AttemptOutcome;
 use policy::retry::RetryDecision;
 use target::EngineClient;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use crate::attempt::{AttemptError, AttemptKind, AttemptResult, AttemptRun, AttemptTarget};
 use crate::context::EntryContext;
--- a/crates/entry/src/completion_handler.rs
+++ b/crates/entry/src/completion_handler.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use web::body::channel_body;
 use web::{WebResponse, json_response};
-use wire::caller::{ErrorCode, LAST_EVENT_ID_HEADER};
+use wire::client_api::{ErrorCode, LAST_EVENT_ID_HEADER};
 
 use crate::completion::{CompletionResult, CompletionRun};
 use crate::context::EntryContext;
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -19,7 +19,7 @@
 use domain::ModelName;
 use policy::retry::{GiveUpReason, RetryDecision};
 use tokio::sync::{mpsc, oneshot, watch};
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 use xtra::{Address, Mailbox};
 
 use crate::error::RequestError;
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -6,7 +6,7 @@
 use policy::admission::{AdmissionQueue, AdmissionRequest, OfferOutcome, RequestKey};
 use policy::capacity::{CapacityShare, ShareSettings};
 use policy::placement::CandidateList;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use super::index::ReplicaIndex;
 use super::request::{DispatchEventSender, DispatchRequest, SlotGuard, SlotInfo};
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -5,7 +5,7 @@
 use domain::RequestId;
 use http::{HeaderValue, Method, StatusCode, header};
 use web::{WebResponse, json_response};
-use wire::caller::{ErrorBody, ErrorCode, ErrorDetail, ExecutionState};
+use wire::client_api::{ErrorBody, ErrorCode, ErrorDetail, ExecutionState};
 
 /// Error that ends a client request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -6,7 +6,7 @@
 use control::ConfigView;
 use domain::record::{CustomerRecord, ModelGrant};
 use domain::{AdapterName, CustomerId, ModelName, RequestId, VersionName};
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 use wire::openai::{ChatRequest, CompletionRequest, MessageContent, PromptText};
 
 use crate::digest::ContentDigest;
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::HeaderMap;
-use wire::caller::{ErrorCode, LAST_EVENT_ID_HEADER, REQUEST_TIMEOUT_HEADER};
+use wire::client_api::{ErrorCode, LAST_EVENT_ID_HEADER, REQUEST_TIMEOUT_HEADER};
 use wire::service::{IDEMPOTENCY_KEY_HEADER, MAX_IDEMPOTENCY_KEY_BYTES};
 
 use crate::error::RequestError;
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -3,7 +3,7 @@
 use domain::record::CustomerRecord;
 use http::StatusCode;
 use web::{WebResponse, json_response};
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 use wire::openai::{ModelEntry, ModelList};
 
 use crate::error::RequestError;
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes of the client API.
 
 use http::Method;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use crate::error::RequestError;
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -13,7 +13,7 @@
 use platform::TableStore;
 use target::{EngineClient, ServiceClient};
 use web::{BodyError, WebHandler, WebRequest, WebResponse, parse_json, read_body, text_response};
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 use wire::openai::{ChatRequest, CompletionRequest};
 
 use crate::auth::authenticate;
--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -32,7 +32,7 @@
 use target::service::LookupRequest;
 use target::{ServiceClient, ServiceError, ServiceResponse};
 use web::WebResponse;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use super::{
     CALL_RETRY_AFTER, PendingCall, STORE_RETRY_AFTER, ServiceDispatcher, no_instance,
--- a/crates/entry/src/services/idempotent.rs
+++ b/crates/entry/src/services/idempotent.rs
@@ -10,7 +10,7 @@
 use policy::service::CallOutcome;
 use target::{ServiceClient, ServiceError, ServiceResponse};
 use web::WebResponse;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use super::{CALL_RETRY_AFTER, PendingCall, ServiceDispatcher, no_instance, response_from_service};
 use crate::error::RequestError;
--- a/crates/entry/src/services/mod.rs
+++ b/crates/entry/src/services/mod.rs
@@ -17,7 +17,7 @@
 use target::{ServiceClient, ServiceResponse};
 use web::WebResponse;
 use web::body::full_body;
-use wire::caller::ErrorCode;
+use wire::client_api::ErrorCode;
 
 use crate::error::RequestError;
 use crate::headers::{idempotency_key, request_deadline};
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
-use wire::caller::{ERROR_EVENT, ErrorBody, RESUME_EVENT};
+use wire::client_api::{ERROR_EVENT, ErrorBody, RESUME_EVENT};
 
 use crate::error::RequestError;
 use crate::formatter::{ResponseFormatter, json_event, text_event};
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use web::body::full_body;
 use web::{ClientError, WebBody, WebClient, read_body};
-use wire::caller::{ErrorBody, ExecutionState};
+use wire::client_api::{ErrorBody, ExecutionState};
 use wire::service::IDEMPOTENCY_KEY_HEADER;
 
 use super::plan::{LoadPlan, LoadRequest, RequestKind};
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -79,7 +79,7 @@
     ///
     /// A server may close an idle connection while a request is being written to it. The sender
     /// can't tell then whether the server read the request. A payment would end with execution
-    /// state `unknown`, which costs the caller more than the milliseconds of a new connection.
+    /// state `unknown`, which costs the client more than the milliseconds of a new connection.
     #[must_use]
     pub fn unpooled() -> Self {
         Self::with_idle_connections(0)
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -128,7 +128,7 @@
 pub struct NodeStatus {
     /// Id of the node.
     pub node: NodeId,
-    /// Whether the node accepts callers' requests.
+    /// Whether the node accepts client requests.
     pub ready: bool,
     /// Readiness of the node, which explains `ready` in a few words.
     #[serde(rename = "standing")]
--- a/crates/wire/src/client_api.rs
+++ b/crates/wire/src/client_api.rs
@@ -1,21 +1,21 @@
-//! Headers, stream events and error responses of the protocol between callers and entry nodes.
+//! Headers, stream events and error responses of the protocol between clients and entry nodes.
 
 use serde::{Deserialize, Serialize};
 
 /// Header with the time in seconds within which the response must start.
 pub const REQUEST_TIMEOUT_HEADER: &str = "x-request-timeout";
 
-/// Header with the id of the last event that a caller received before it resumes a stream.
+/// Header with the id of the last event that a client received before it resumes a stream.
 pub const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// Name of the last event of a stream on a node that shuts down. It asks the caller to send the same
+/// Name of the last event of a stream on a node that shuts down. It asks the client to send the same
 /// request again, at once and to any entry node, with [`LAST_EVENT_ID_HEADER`].
 pub const RESUME_EVENT: &str = "resume";
 
 /// Name of the event that ends a stream with an error; its data is an [`ErrorBody`].
 pub const ERROR_EVENT: &str = "error";
 
-/// Whether a target ran the request, which decides whether the caller may safely repeat it.
+/// Whether a target ran the request, which decides whether the client may safely repeat it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionState {
@@ -79,7 +79,7 @@
 pub struct ErrorDetail {
     /// Error code.
     pub code: ErrorCode,
-    /// What failed, and how the caller can resolve it.
+    /// What failed, and how the client can resolve it.
     pub message: String,
     /// Error type of the `OpenAI` protocol: `invalid_request_error` or `server_error`.
     #[serde(rename = "type")]
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Wire formats of all protocols, and their conversion from and to domain types.
 
 pub mod admin;
-pub mod caller;
+pub mod client_api;
 pub mod engine;
 pub mod hostlist;
 pub mod openai;
--- a/tests/system/availability.rs
+++ b/tests/system/availability.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use serde_json::json;
 use standin::stack::{CallerResponse, TestStack, WAIT_TIMEOUT};
-use wire::caller::REQUEST_TIMEOUT_HEADER;
+use wire::client_api::REQUEST_TIMEOUT_HEADER;
 
 const POLL: Duration = Duration::from_millis(20);
 
