--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -161,7 +161,7 @@
 
 /// A burst of four times the capacity for 10 s, whose refused clients retry up to five times.
 pub fn retry_times() {
-    println!("| return | answered on time | offers a caller | refused in the end |");
+    println!("| return | on time | offers per client | refused in the end |");
     println!("|---|---|---|---|");
     for (name, fixed_retry_after) in [
         ("as told", None),
@@ -251,7 +251,7 @@
         call.entry = rand::Rng::random_range(rng, 0..entries);
         if rand::Rng::random_bool(rng, 0.1) {
             call.prompt *= 8;
-            call.answer *= 4;
+            call.response *= 4;
         }
     })
 }
--- a/crates/policy/src/admission/drain_rate.rs
+++ b/crates/policy/src/admission/drain_rate.rs
@@ -5,7 +5,7 @@
 /// Time constant of the exponential decay of observations.
 ///
 /// Chosen for hosts that join and leave within seconds: a longer time would predict the rate of
-/// replicas that are gone, a shorter one would follow the noise of single long answers.
+/// replicas that are gone, a shorter one would follow the noise of single long responses.
 const DECAY_TIME: Duration = Duration::from_secs(5);
 
 /// Minimum observed time for a rate estimate, in seconds.
--- a/crates/policy/src/admission/fair_queue.rs
+++ b/crates/policy/src/admission/fair_queue.rs
@@ -149,8 +149,8 @@
 
     /// Charges or refunds the difference between the actual and the predicted cost of a request.
     ///
-    /// Otherwise a customer that understates the length of its answers would be served beyond its
-    /// share indefinitely.
+    /// Otherwise a customer that understates the length of its responses would be served beyond
+    /// its share indefinitely.
     pub fn adjust_charge(&mut self, customer: CustomerKey, difference: f64) {
         if let Some(queue) = self.customers.get_mut(&customer) {
             queue.virtual_time = (queue.virtual_time + difference / queue.share.max(1.0)).max(0.0);
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -23,8 +23,8 @@
 
 /// Maximum predicted wait, as a fraction of the time that a request can wait.
 ///
-/// Predictions are off by up to the duration of the answers in progress. A request admitted at the
-/// very limit is late half of the time and takes the place of one that would have been on time.
+/// Predictions are off by up to the duration of the responses in progress. A request admitted at
+/// the very limit is late half of the time and takes the place of one that would have been on time.
 const MAX_WAIT_FRACTION: f64 = 0.85;
 
 /// Maximum fraction of the time to a request's deadline that is reserved for the target's own work.
@@ -108,8 +108,8 @@
     ///
     /// Designed for a demand of 2 to 10 times the capacity. A request that waits and is then late
     /// costs its client the wait and the target the work, which shows as busy targets while hardly
-    /// any answer is on time. It is therefore refused while its client can still act, with a retry
-    /// time at which there will be capacity.
+    /// any response is on time. It is therefore refused while its client can still act, with a
+    /// retry time at which there will be capacity.
     pub fn offer(&mut self, now: Duration, request: AdmissionRequest) -> OfferOutcome {
         self.advance(now);
         let cost = f64::from(request.cost.max(1));
@@ -277,8 +277,9 @@
 
     /// Removes and returns the requests that can't meet their deadline any more.
     ///
-    /// They get their final answer immediately: a client that learns of the failure early can still
-    /// act, and sending a request that is already late would take the slot of one that is not.
+    /// They get their final response immediately: a client that learns of the failure early can
+    /// still act, and sending a request that is already late would take the slot of one that is
+    /// not.
     pub fn expire(&mut self, now: Duration) -> Vec<RequestKey> {
         let mut expired = Vec::new();
         while let Some((send_by, key)) = self.send_deadlines.first().copied() {
--- a/crates/policy/src/admission/request.rs
+++ b/crates/policy/src/admission/request.rs
@@ -24,7 +24,7 @@
     pub priority: i32,
     /// Time by which the first token is due, since the node's start.
     pub deadline: Duration,
-    /// Predicted number of tokens, prompt and answer together.
+    /// Predicted number of tokens, prompt and response together.
     pub cost: u32,
 }
 
@@ -34,7 +34,7 @@
     /// The request waits until [`AdmissionQueue::next`](super::AdmissionQueue::next) returns its
     /// key.
     Admitted(RequestKey),
-    /// The request gets its final answer now; nothing was executed.
+    /// The request gets its final response now; nothing was executed.
     Refused {
         /// Reason for the refusal, reported to the client.
         reason: RefusalReason,
--- a/crates/policy/src/admission/shares.rs
+++ b/crates/policy/src/admission/shares.rs
@@ -11,7 +11,7 @@
 
 /// Number of even shares that a customer may use before it counts as over its share. Customers
 /// differ in size even on a quiet day, and refusing the larger ones to reserve places for customers
-/// that send nothing reduces the number of answers.
+/// that send nothing reduces the number of responses.
 const ALLOWED_SHARES: u32 = 2;
 
 /// Minimum number of customers that even shares are computed for. With fewer customers two even
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -24,7 +24,7 @@
 const MAX_WINDOW_RATIO: f64 = 2.0;
 const MIN_WINDOW_RATIO: f64 = 0.7;
 
-/// Factor applied to the window when a target answers that it is full.
+/// Factor applied to the window when a target responds that it is full.
 const FULL_DECREASE: f64 = 0.95;
 
 /// Minimum interval between two such decreases. A burst of refusals is one congestion signal and
@@ -198,9 +198,9 @@
         self.snapshot(now);
     }
 
-    /// Records that a target answered that it is full, and decreases the window.
+    /// Records that a target responded that it is full, and decreases the window.
     ///
-    /// This matters when reports don't arrive: the window is then outdated, and such answers are
+    /// This matters when reports don't arrive: the window is then outdated, and such responses are
     /// the only sign that other entries have taken the slots.
     pub fn record_full(&mut self, now: Duration) {
         let recent = self
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -13,10 +13,10 @@
     pub consecutive_failures: u32,
     /// Factor above the median slowness from which a target counts as a straggler.
     ///
-    /// Below 2, the normal variation between long and short answers would eject healthy targets.
+    /// Below 2, the normal variation between long and short responses would eject healthy targets.
     #[builder(default = 2.5)]
     pub straggler_ratio: f64,
-    /// Minimum number of answers before a target can count as a straggler.
+    /// Minimum number of observations before a target can count as a straggler.
     #[builder(default = 4)]
     pub min_samples: u32,
     /// Duration of the first ejection; doubled each time, up to `max_ejection_time`.
@@ -33,12 +33,12 @@
     pub max_ejected_fraction: f64,
 }
 
-/// Half-life of a target's measured slowness without new answers.
+/// Half-life of a target's measured slowness without new observations.
 ///
 /// A straggler gets hardly any requests, so without decay it would remain a straggler forever.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(20);
 
-/// Weight of a new answer in the moving average of the slowness.
+/// Weight of a new observation in the moving average of the slowness.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
 /// Bounds of a single observation, to limit the effect of outliers.
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records that a probe was sent; no other one is sent until it is answered.
+    /// Records that a probe was sent; no other one is sent until it has ended.
     pub(super) fn start_probe(&mut self, now: Duration, settings: &HealthSettings) {
         self.probing = true;
         self.ejected_until = Some(now + settings.max_ejection_time);
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -153,7 +153,7 @@
     ///
     /// A cancelled attempt yields no time to first token. Without this, a target that stalls would
     /// lose to every hedged request and its slowness would never be detected.
-    pub fn record_unanswered(
+    pub fn record_missing_first_token(
         &mut self,
         choice: &PlacementChoice,
         now: Duration,
--- a/crates/policy/src/placement/state.rs
+++ b/crates/policy/src/placement/state.rs
@@ -74,7 +74,8 @@
     reported_at: Duration,
     changes: VecDeque<LoadChange>,
     stream_delta: i32,
-    /// Highest prefill rate reported so far, in prompt tokens per second; initially the assumed one.
+    /// Highest prefill rate reported so far, in prompt tokens per second; initially the assumed
+    /// one.
     prompt_rate: f64,
     /// Time at which the prefill of all prompts sent so far is expected to be done.
     prefill_done_at: Duration,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -106,7 +106,7 @@
     pub idempotent: bool,
     /// Whether any byte of the request could have reached a target.
     pub possibly_sent: bool,
-    /// Time after which an answer is of no use to the client, since the node's start.
+    /// Time after which a response is of no use to the client, since the node's start.
     pub deadline: Duration,
 }
 
@@ -118,7 +118,7 @@
         /// Delay before the next attempt.
         wait: Duration,
     },
-    /// The request has failed; the client gets its final answer now.
+    /// The request has failed; the client gets its final response now.
     GiveUp(GiveUpReason),
 }
 
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -68,7 +68,7 @@
     assert!(on_time > 0.95, "{on_time} on time");
 }
 
-/// An answer that an engine is full decreases the window, but a burst of them does so only once.
+/// A response that an engine is full decreases the window, but a burst of them does so only once.
 #[test]
 fn refusal_burst_decreases_window_once() {
     let settings = ShareSettings::builder().entries(3).build();
--- a/crates/policy/tests/load/early_refusal.rs
+++ b/crates/policy/tests/load/early_refusal.rs
@@ -49,7 +49,7 @@
 }
 
 /// At a demand of twice the capacity every engine becomes three times slower. A queue limit that
-/// was right before now makes every client wait too long, and no answer is on time.
+/// was right before now makes every client wait too long, and no response is on time.
 #[test]
 fn refusal_adapts_to_capacity() {
     let run = |queue| {
@@ -175,7 +175,7 @@
     assert!(most <= 30, "{most} of 100 retry within a second");
 }
 
-/// Targets stop answering while requests wait. Clients are told as soon as the deadline can't be
+/// Targets stop responding while requests wait. Clients are told as soon as the deadline can't be
 /// met, not after a timeout of their own.
 #[test]
 fn expired_requests_are_removed_immediately() {
--- a/crates/policy/tests/load/simulation/mod.rs
+++ b/crates/policy/tests/load/simulation/mod.rs
@@ -336,7 +336,7 @@
             let prefill = f64::from(call.prompt - cached) / spec.prompt_rate * factor;
             let first_token_at = engine.prefill_done_at.max(now) + seconds(prefill + 0.01);
             engine.prefill_done_at = first_token_at;
-            let end = first_token_at + seconds(f64::from(call.answer) * TOKEN_TIME * factor);
+            let end = first_token_at + seconds(f64::from(call.response) * TOKEN_TIME * factor);
             self.schedule(first_token_at, Event::FirstToken(index, attempt));
             self.schedule(end, Event::Ended(index, attempt, AttemptOutcome::Finished));
         }
--- a/crates/policy/tests/load/simulation/workload.rs
+++ b/crates/policy/tests/load/simulation/workload.rs
@@ -8,7 +8,7 @@
 
 use crate::baseline::{PlacementKind, QueueKind, ShareKind};
 
-/// Time per token of an answer, in seconds.
+/// Time per token of a response, in seconds.
 pub const TOKEN_TIME: f64 = 0.036;
 /// Time after a call's arrival up to which a first token counts as on time.
 pub const FIRST_TOKEN_LIMIT: Duration = Duration::from_millis(1_700);
@@ -44,8 +44,10 @@
     pub at: f64,
     pub entry: usize,
     pub customer: usize,
+    /// Length of the prompt in tokens.
     pub prompt: u32,
-    pub answer: u32,
+    /// Length of the response in tokens.
+    pub response: u32,
     /// Identifier of the shared part of the prompt, and its length in tokens.
     pub shared: (u64, u32),
 }
@@ -91,19 +93,19 @@
         }
     }
 
-    /// Returns how many answers per second the engines can give, at `prompt` and `answer` tokens
-    /// each.
-    pub fn capacity(&self, prompt: u32, answer: u32) -> f64 {
+    /// Returns how many calls per second the engines can complete, at `prompt` tokens of prompt and
+    /// `response` tokens of response each.
+    pub fn capacity(&self, prompt: u32, response: u32) -> f64 {
         let rates = self.engines.iter().map(|engine| {
             let prefill = f64::from(prompt) / engine.prompt_rate + 0.01;
-            let duration = prefill + f64::from(answer) * TOKEN_TIME;
+            let duration = prefill + f64::from(response) * TOKEN_TIME;
             (f64::from(engine.slots) / duration).min(1.0 / prefill)
         });
         rates.sum()
     }
 }
 
-/// Generates calls as a Poisson process with a mean rate per second, with answers of 20 to 180
+/// Generates calls as a Poisson process with a mean rate per second, with responses of 20 to 180
 /// tokens.
 pub fn poisson_calls(
     seed: u64,
@@ -124,7 +126,7 @@
             entry: 0,
             customer: 0,
             prompt: rng.random_range(100..700),
-            answer: rng.random_range(20..180),
+            response: rng.random_range(20..180),
             shared: (calls.len() as u64, 0),
         };
         adjust(&mut call, &mut rng);
@@ -194,7 +196,7 @@
     }
 
     pub fn cost(&self) -> u32 {
-        self.call.prompt / 8 + self.call.answer
+        self.call.prompt / 8 + self.call.response
     }
 
     pub fn request(&self, affinity: bool) -> PlacementRequest<'_> {
@@ -229,11 +231,11 @@
         good as f64 / selected.len().max(1) as f64
     }
 
-    /// Returns the tokens per second of answers that started on time.
+    /// Returns the tokens per second of responses that started on time.
     pub fn goodput(&self, from: f64, until: f64) -> f64 {
         let good = self.select(|job| job.on_time() && (from..until).contains(&job.call.at));
         good.iter()
-            .map(|job| f64::from(job.call.answer))
+            .map(|job| f64::from(job.call.response))
             .fold(0.0, |sum, tokens| sum + tokens)
             / (until - from)
     }
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -35,7 +35,7 @@
         call.entry = rng.random_range(0..2);
         if rng.random_bool(0.1) {
             call.prompt *= 8;
-            call.answer *= 4;
+            call.response *= 4;
         }
     });
     Simulation::new(&scenario).run(&calls)
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// A payment was sent and no answer arrived. Sending it again could charge the user twice, so it is
-/// not retried regardless of the budget.
+/// A payment was sent and no response arrived. Sending it again could charge the user twice, so it
+/// is not retried regardless of the budget.
 #[test]
 fn possibly_sent_payment_is_not_retried() {
     let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Age up to which a reported load is used. Targets report with each answer, and a replica under
-/// load answers several times a second, so an older report means that little runs there.
+/// Age up to which a reported load is used. Targets report with each response, and a replica under
+/// load sends several responses a second, so an older report means that little runs there.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
 
 /// Consecutive failures from which on a target is used only if no other has capacity. A single
@@ -68,7 +68,7 @@
         self.failed_at = now;
     }
 
-    /// Resets the consecutive failures after an answer that is not a failure.
+    /// Resets the consecutive failures after a response that is not a failure.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -36,9 +36,9 @@
 ///
 /// Models stay where hosts have them in memory. Further replicas go to the model with the lowest
 /// coverage, preferably into a fabric domain without a replica of it, and among those into the one
-/// with the most free hosts. Once a domain has a replica of a model, a further one must leave a spare host for
-/// each model, so that a lost host is replaced within a second instead of after a load of many
-/// seconds.
+/// with the most free hosts. Once a domain has a replica of a model, a further one must leave a
+/// spare host for each model, so that a lost host is replaced within a second instead of after a
+/// load of many seconds.
 ///
 /// Small replicas only fill the gaps that large ones leave: a model gets hosts back from one whose
 /// coverage is still at least as high without them.
--- a/crates/serving/src/plan/rebalance.rs
+++ b/crates/serving/src/plan/rebalance.rs
@@ -96,7 +96,7 @@
 }
 
 fn can_serve(host: &HostState) -> bool {
-    host.answers() && host.lifecycle == HostLifecycle::Active
+    host.responds() && host.lifecycle == HostLifecycle::Active
 }
 
 /// Chooses the replicas of `donor` to give up so that `missing` hosts become available, preferring
--- a/crates/serving/src/plan/replica_status.rs
+++ b/crates/serving/src/plan/replica_status.rs
@@ -12,7 +12,7 @@
 use crate::target::MemberState;
 
 /// Time since the last change of an incomplete replica after which its formation counts as
-/// abandoned. Orders are answered within milliseconds, and a lost answer is resolved within a
+/// abandoned. Hosts respond to orders within milliseconds, and a lost response is resolved within a
 /// second.
 const FORMATION_TIMEOUT: Duration = Duration::from_millis(2500);
 
@@ -127,7 +127,7 @@
         };
     };
     let complete = model.is_some_and(|model| observed.members.len() == model.size);
-    let intact = complete && observed.members.values().all(|host| host.answers());
+    let intact = complete && observed.members.values().all(|host| host.responds());
     // A head that is no longer in the registry gets no new requests, so it is closed as if it were
     // draining.
     let leaving = head.lifecycle != HostLifecycle::Active
@@ -137,7 +137,7 @@
             .any(|host| host.lifecycle.closes_replica());
     match head.membership.as_ref().map(|membership| membership.state) {
         Some(MemberState::Open) if intact && !leaving => ReplicaStatus::Serving,
-        Some(MemberState::Open | MemberState::Closing) if !head.answers() => {
+        Some(MemberState::Open | MemberState::Closing) if !head.responds() => {
             assess_silent_head(head)
         }
         // A retired head takes no orders, so it can't be told to close, and no new requests.
@@ -161,8 +161,8 @@
         }
         Some(MemberState::Broken) | None => ReplicaStatus::Released,
         Some(MemberState::Ready | MemberState::Joining) => {
-            let answering = observed.members.values().all(|host| host.answers());
-            if !answering || leaving || must_not_reopen(fabric, observed) {
+            let responding = observed.members.values().all(|host| host.responds());
+            if !responding || leaving || must_not_reopen(fabric, observed) {
                 return ReplicaStatus::Released;
             }
             assess_unopened(observed, head, complete, steps)
--- a/crates/serving/src/plan/state.rs
+++ b/crates/serving/src/plan/state.rs
@@ -14,8 +14,8 @@
 pub enum HostLifecycle {
     /// It is available.
     Active,
-    /// It is no longer in the registry but still answers. It keeps working in its replica and joins
-    /// no new one.
+    /// It is no longer in the registry but still responds. It keeps working in its replica and
+    /// joins no new one.
     Unlisted,
     /// It has announced that it leaves, and serves for a while longer.
     Draining,
@@ -36,7 +36,7 @@
 pub struct HostState {
     /// Id of the host.
     pub id: HostId,
-    /// Time for which it has not answered; `None` if it answers.
+    /// Time for which it has not responded; `None` if it responds.
     pub silent_for: Option<Duration>,
     /// Whether it is available for replicas.
     pub lifecycle: HostLifecycle,
@@ -56,13 +56,13 @@
 }
 
 impl HostState {
-    pub(super) fn answers(&self) -> bool {
+    pub(super) fn responds(&self) -> bool {
         self.silent_for.is_none()
     }
 
-    /// Returns whether it may join a new replica: it is active, answers and has no pending order.
+    /// Returns whether it may join a new replica: it is active, responds and has no pending order.
     pub(super) fn is_usable(&self) -> bool {
-        self.answers() && self.lifecycle == HostLifecycle::Active && !self.order_pending
+        self.responds() && self.lifecycle == HostLifecycle::Active && !self.order_pending
     }
 
     /// Returns whether the weights of a model are in its memory.
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -14,7 +14,7 @@
     Idempotent,
     /// A request must not run more than once, so it is not retried once it may have run.
     NonIdempotent,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     Streaming {
         /// Whether another target may resume a stream that broke off.
         resumable: bool,
@@ -42,9 +42,9 @@
     pub prefix: String,
     /// Whether requests may be retried.
     pub kind: RouteKind,
-    /// Maximum time from the arrival of a request to the end of its answer.
+    /// Maximum time from the arrival of a request to the end of its response.
     pub timeout: Duration,
-    /// Latency to aim for: of the answer, or of the first event of a stream.
+    /// Latency to aim for: of the whole response, or of the first event of a stream.
     pub target_latency: Duration,
     /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
--- a/crates/serving/src/stall.rs
+++ b/crates/serving/src/stall.rs
@@ -10,7 +10,7 @@
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Time after the last progress for which a replica counts as progressing: one long decode pass. A
-/// member that does not answer meanwhile is unreachable from this node, not lost.
+/// member that does not respond meanwhile is unreachable from this node, not lost.
 pub const PROGRESS_WINDOW: Duration = Duration::from_millis(300);
 
 /// Interval between two rounds of probes while the stall lasts.
@@ -39,7 +39,7 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes the arrival of answer bytes as progress.
+    /// Records that bytes of a response arrived, which counts as progress.
     pub fn record_progress(&mut self, now: Duration) {
         self.last_progress = now;
     }
--- a/crates/serving/src/timing.rs
+++ b/crates/serving/src/timing.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReplicaTiming {
     /// Time between two requests that complete: the prefill of one prompt and an equal part of the
-    /// decoding of one answer.
+    /// decoding of one response.
     pub completion_interval: Duration,
     /// Time of one decode pass over all requests, without prefill.
     pub decode_pass: Duration,
@@ -41,8 +41,8 @@
     ///
     /// A request that gets a slot still waits for the current decode pass and for its own prefill.
     /// At a full replica each queue position delays the first token by 40 to 70 ms, out of a target
-    /// of 200 to 400 ms. A limit without those two terms let half of the answers be late while all
-    /// replicas were full, and still refused clients.
+    /// of 200 to 400 ms. A limit without those two terms let half of the responses be late while
+    /// all replicas were full, and still refused clients.
     ///
     /// The prefill is that of a typical prompt rather than of the request, since otherwise the
     /// largest requests would be refused first.
--- a/crates/serving/tests/choose_target.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -126,7 +126,7 @@
 }
 
 /// A target accepts a limited number of connections from all nodes together. Beyond it the target
-/// resets connections, and clients lose their answers.
+/// resets connections, and clients lose their responses.
 #[test]
 fn connection_limit_kept() {
     let narrow = TargetCandidate {
--- a/crates/serving/tests/plan/fabric_plan.rs
+++ b/crates/serving/tests/plan/fabric_plan.rs
@@ -63,7 +63,7 @@
 }
 
 /// If a member is lost and no host can replace it, the head keeps accepting requests that make no
-/// progress. It is told to cancel them, so that their clients get an answer at once.
+/// progress. It is told to cancel them, so that their clients get a response at once.
 #[test]
 fn irreplaceable_member_closes() {
     let mut hosts = large_replica(MemberState::Open);
@@ -73,7 +73,7 @@
     assert!(formed(&steps).is_empty());
 }
 
-/// A head that stops answering may only be slow, so there is no step at first. After the timeout
+/// A head that stops responding may only be slow, so there is no step at first. After the timeout
 /// its members and a spare form a new replica without it.
 #[test]
 fn silent_head_replaced() {
@@ -110,7 +110,7 @@
     assert!(formed(&Domain::new(spares).plan()).is_empty());
 }
 
-/// A head that is no longer in the registry but answers is leaving unannounced and completes its
+/// A head that is no longer in the registry but responds is leaving unannounced and completes its
 /// requests. It is closed, and until then its members stay with it.
 #[test]
 fn unlisted_head_closes() {
--- a/crates/serving/tests/queue_capacity.rs
+++ b/crates/serving/tests/queue_capacity.rs
@@ -17,7 +17,7 @@
 
 /// If all replicas are full and requests keep arriving, one that is queued behind four others gets
 /// its first token after 350 ms instead of the 300 ms that it should take, and so do all that
-/// follow. Half of the answers were late although as many requests were refused. Two queued
+/// follow. Half of the responses were late although as many requests were refused. Two queued
 /// requests are in time.
 #[test]
 fn queue_meets_target() {
--- a/crates/serving/tests/retry_budget.rs
+++ b/crates/serving/tests/retry_budget.rs
@@ -12,7 +12,7 @@
     extra: 130.0,
 };
 
-/// If all answers of a service are lost for a while, retrying each request would double its load.
+/// If all responses of a service are lost for a while, retrying each request would double its load.
 /// The retries must stay within the ratio.
 #[test]
 fn retry_storm_limited() {
