--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -110,8 +110,9 @@
         )
     }
 
-    /// Reads the records from the table. The node's active configuration may lag behind a record
-    /// that the operator has just written, so a review against it could report that as missing.
+    /// Reads the records from the table. The configuration in force on the node may lag behind a
+    /// record that the operator has just written, so a review against it could report that as
+    /// missing.
     async fn stored_view(&self) -> Result<ConfigView, AmendError> {
         let mut view = ConfigView::default();
         for stored in list_records(&self.context.table, None).await? {
--- a/crates/control/src/amend/mod.rs
+++ b/crates/control/src/amend/mod.rs
@@ -139,7 +139,7 @@
 ///
 /// When only the head changed, because another record was amended, the amendment is retried. When
 /// the record itself changed, the later operator gets a conflict, even with [`Expect::Any`]: each
-/// would otherwise believe that their record is the active one.
+/// would otherwise believe that their record is the one in force.
 ///
 /// # Errors
 ///
--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the active configuration.
+//! The actor that owns the configuration in force.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/control/src/config/mod.rs
+++ b/crates/control/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The active configuration of this node, read from the table and received from peers.
+//! The configuration in force on this node, read from the table and received from peers.
 //!
 //! [`state`] and [`readiness`] hold the rules without input or output; [`actor`] owns the state in
 //! one task; [`poll`] reads the head at intervals; [`load`] fetches missing changes; [`snapshot`]
@@ -30,8 +30,8 @@
     #[builder(default = 2_000)]
     pub poll_ms: u64,
     /// A node without a confirmation of the head younger than this stops serving, from 2,000 to
-    /// 15,000: at least three polls, and less than the 16 s within which a change has to be active
-    /// everywhere.
+    /// 15,000: at least three polls, and less than the 16 s within which a change has to be in
+    /// force everywhere.
     #[builder(default = 8_000)]
     pub confirm_ms: u64,
     /// How long a starting node must hear a majority of the roster, while nobody reaches the table,
--- a/crates/control/src/config/readiness.rs
+++ b/crates/control/src/config/readiness.rs
@@ -1,4 +1,4 @@
-//! Decides whether a node may serve with its current configuration.
+//! Decides whether a node may serve with the configuration that it has.
 //!
 //! A node can't know the head *now*, only what it was at some point in time. A *confirmation* says:
 //! at a time no earlier than t on this node's monotonic clock, the head was at revision r. It comes
@@ -22,7 +22,7 @@
 //! other and serve their configuration, while an operator who still reaches the table amends it
 //! through the minority. Excluding it would mean to stop serving whenever the store is down, which
 //! the requirements rule out. An amendment that was accepted just before the store went down, and
-//! that no node read, becomes active when the store is back.
+//! that no node read, comes into force when the store is back.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 /// Whether and why a node serves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum NodeReadiness {
-    /// It has not learned the active configuration since its start.
+    /// It has not learned the configuration in force since its start.
     #[default]
     Starting,
     /// It has a recent confirmation of the head.
@@ -49,13 +49,13 @@
         matches!(self, Self::Confirmed | Self::StoreDown)
     }
 
-    /// Description for operators and events.
+    /// Description for operators and events; the value of the outer field `standing`.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Starting => "has not learned the active configuration yet",
-            Self::Confirmed => "knows the active configuration",
-            Self::StoreDown => "serves with its last configuration while the store is down for all",
+            Self::Starting => "has not learned the configuration in force yet",
+            Self::Confirmed => "knows the configuration in force",
+            Self::StoreDown => "goes on with its configuration while the store is down for all",
             Self::CutOff => "is cut off from the table and from peers that reach it",
         }
     }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -27,7 +27,7 @@
     pub plans: watch::Receiver<Arc<FleetPlans>>,
     /// The host list.
     pub directory: watch::Receiver<Arc<HostDirectory>>,
-    /// The active configuration, for the operators' drains.
+    /// The configuration in force, for the operators' drains.
     pub config: watch::Receiver<Arc<ConfigView>>,
 }
 
--- a/crates/control/src/members/mod.rs
+++ b/crates/control/src/members/mod.rs
@@ -112,7 +112,7 @@
     pub dead_ms: u64,
     /// A node whose heartbeat no peer passed on for this time is not reachable. The minority side
     /// of a partition keeps serving for up to this time, so it is below the 16 s within which a
-    /// change has to be active everywhere.
+    /// change has to be in force everywhere.
     #[builder(default = 10_000)]
     pub unheard_ms: u64,
     /// The row of a node without a heartbeat for this time is deleted.
--- a/crates/control/src/review.rs
+++ b/crates/control/src/review.rs
@@ -1,4 +1,4 @@
-//! Checks of an amendment against the active configuration.
+//! Checks of an amendment against the configuration in force.
 //!
 //! They run before the transaction instead of inside it: two amendments that are each valid may
 //! together leave a grant without its model. That only leads to a clear refusal, whereas making
@@ -65,7 +65,7 @@
 /// Reviews a record that is to be written. `hosts` are those of the host list, if known.
 ///
 /// A reference to something that does not exist yet is a warning, so that files can be applied in
-/// any order; what would harm callers as soon as it is active is an error.
+/// any order; what would harm clients as soon as it is in force is an error.
 #[must_use]
 pub fn review_record(
     view: &ConfigView,
@@ -212,7 +212,7 @@
     report
 }
 
-/// Finds what an amendment would lose of the current record because of its schema version.
+/// Finds what an amendment would lose of the record in force because of its schema version.
 ///
 /// A client of schema version 1 reads a record, does not see its adapters and shares, and writes it
 /// back: customers would lose their adapters and a large customer its share, without anyone asking
@@ -241,8 +241,8 @@
         findings.add(
             "schema",
             format!(
-                "the active record has the unsupported schema version {}, so this program can't \
-                 tell what version {} would lose",
+                "the record in force has the unsupported schema version {}, so this program \
+                 can't tell what version {} would lose",
                 current.schema, next.schema
             ),
             "use a newer program, or delete the record first",
@@ -261,7 +261,7 @@
         findings.add(
             place,
             format!(
-                "the active record has a value here that schema version {} can't express",
+                "the record in force has a value here that schema version {} can't express",
                 next.schema
             ),
             "write the record in schema version 2",
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! Immutable snapshots of what a node knows: the active configuration and the targets.
+//! Immutable snapshots of what a node knows: the configuration in force and the targets.
 //!
 //! The request path only borrows the newest snapshot; it never waits for the store.
 
@@ -15,7 +15,7 @@
 
 use crate::gate::ServiceGate;
 
-/// The active configuration at one revision.
+/// The configuration in force, at one revision.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigView {
     /// The revision; 0 before the first record.
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -37,7 +37,7 @@
 }
 
 // Two operators amend the same record concurrently. Exactly one is accepted; the other must get a
-// conflict with the accepted change, instead of believing that their own record is active.
+// conflict with the accepted change, instead of believing that their own record is in force.
 #[tokio::test]
 async fn concurrent_amendments() {
     for round in 0..50 {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -46,7 +46,7 @@
 /// Snapshot of the values that the gauges report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NodeStats {
-    /// Revision of the active configuration; 0 if there is none.
+    /// Revision of the configuration in force; 0 if there is none.
     pub config_revision: u64,
     /// Time since the store last confirmed the registry data.
     pub registry_age: Duration,
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -173,13 +173,13 @@
         self.sink.write(line, self.now());
     }
 
-    /// The active configuration, once one is known.
+    /// The configuration in force, once one is known.
     #[must_use]
     pub fn config(&self) -> Option<Rc<GatewayConfig>> {
         self.config.borrow().clone()
     }
 
-    /// Activates a configuration, unless the active one is as new; returns whether it did.
+    /// Puts a configuration into force, unless the one in force is as new; returns whether it did.
     pub fn set_config(&self, config: GatewayConfig) -> bool {
         let mut current = self.config.borrow_mut();
         let idle_timeout = |config: &GatewayConfig| config.limits.idle_timeout;
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -20,9 +20,9 @@
 /// Ticks after a partition during which a node still considers the others reachable.
 const UNREACHABLE_TIMEOUT: u8 = 1;
 
-/// Ticks after which an amendment must be active on every serving node, counted from its acceptance
-/// or from the last change of the network or the store.
-const ACTIVATION_TIMEOUT: u8 = MAX_CONFIRMATION_AGE + UNREACHABLE_TIMEOUT + 1;
+/// Ticks after which an amendment must be in force on every serving node, counted from its
+/// acceptance or from the last change of the network or the store.
+const PROPAGATION_TIMEOUT: u8 = MAX_CONFIRMATION_AGE + UNREACHABLE_TIMEOUT + 1;
 
 /// Maximum number of partition and store changes in one run.
 const MAX_DISTURBANCES: u8 = 2;
@@ -92,7 +92,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ConfigNode {
-    /// Active revision; 0 after a restart.
+    /// Revision in force; 0 after a restart.
     applied: u8,
     /// Highest revision that the node knows of.
     known: u8,
@@ -246,7 +246,7 @@
     fn initial_state(&self) -> ConfigState {
         ConfigState {
             head: 1,
-            stable_for: ACTIVATION_TIMEOUT + 1,
+            stable_for: PROPAGATION_TIMEOUT + 1,
             store_up: true,
             isolated: [false; NODES],
             isolated_before: [false; NODES],
@@ -296,7 +296,7 @@
         if state.reverted {
             return Some("a node reverted to an older configuration");
         }
-        if state.stable_for <= ACTIVATION_TIMEOUT {
+        if state.stable_for <= PROPAGATION_TIMEOUT {
             return None;
         }
         for (index, node) in state.nodes.iter().enumerate() {
@@ -305,7 +305,7 @@
                 && !state.reaches_table(index)
                 && node.known <= node.applied;
             if serves_old && !unaware_majority {
-                return Some("an old configuration is served after the activation timeout");
+                return Some("an old configuration is served after the propagation timeout");
             }
         }
         None
@@ -315,7 +315,7 @@
 /// Advances time by a tick. A node that reaches the table reads it at least once a tick.
 fn tick(state: &ConfigState) -> ConfigState {
     let mut next = state.clone();
-    next.stable_for = (state.stable_for + 1).min(ACTIVATION_TIMEOUT + 1);
+    next.stable_for = (state.stable_for + 1).min(PROPAGATION_TIMEOUT + 1);
     next.partition_age = (state.partition_age + 1).min(UNREACHABLE_TIMEOUT + 1);
     if next.partition_age > UNREACHABLE_TIMEOUT {
         next.isolated_before = next.isolated;
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -14,7 +14,7 @@
 use crate::options::{ApplyCommand, DrainCommand, OutputFormat, RecordCommand};
 use crate::output::print_json;
 
-/// Timeout of waiting until a change is active on every node; the design goal is 16 s.
+/// Timeout of waiting until a change is in force on every node; the design goal is 16 s.
 const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Interval at which the nodes' status is polled while waiting.
@@ -51,7 +51,7 @@
     }
     match newest {
         Some(revision) if command.wait => {
-            Ok(status.worse(wait_until_active(&client, revision).await))
+            Ok(status.worse(wait_until_in_force(&client, revision).await))
         }
         _ => Ok(status),
     }
@@ -103,7 +103,7 @@
     let (status, revision) = amend_and_resolve(&client, &body, command.access.format).await?;
     match revision {
         Some(revision) if command.wait => {
-            Ok(status.worse(wait_until_active(&client, revision).await))
+            Ok(status.worse(wait_until_in_force(&client, revision).await))
         }
         _ => Ok(status),
     }
@@ -216,9 +216,9 @@
     (CommandStatus::Unknown, None)
 }
 
-/// Waits until the revision is active on every node; prints the nodes that are behind at the
+/// Waits until the revision is in force on every node; prints the nodes that are behind at the
 /// timeout.
-async fn wait_until_active(client: &AdminClient, revision: ConfigRevision) -> CommandStatus {
+async fn wait_until_in_force(client: &AdminClient, revision: ConfigRevision) -> CommandStatus {
     let started = Instant::now();
     loop {
         let nodes = client.all_nodes().await;
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -178,7 +178,7 @@
     bytes as f64
 }
 
-/// Returns the number of replicas that the active configuration asks for.
+/// Returns the number of replicas that the configuration in force asks for.
 fn desired_replicas(config: &ConfigView) -> u32 {
     let plans = config.models.values().flat_map(|model| &model.versions);
     plans.map(|plan| plan.replicas).sum()
@@ -223,7 +223,7 @@
     }
 
     /// The minority side of a partition must not accept amendments, since the majority side would
-    /// not learn of them. The operator would be told within seconds that the change is active,
+    /// not learn of them. The operator would be told within seconds that the change is in force,
     /// while most callers are still served with the old configuration.
     fn amend_unavailable_reason(&self) -> Option<String> {
         // A node that has just started has no heartbeats of other nodes yet and would refuse
--- a/src/options/command.rs
+++ b/src/options/command.rs
@@ -39,7 +39,7 @@
     pub access: AdminAccess,
     /// Paths of files with records.
     pub files: Vec<PathBuf>,
-    /// Whether to wait until the change is active on every node.
+    /// Whether to wait until the change is in force on every node.
     pub wait: bool,
     /// Revision that must have last written the record, 0 if it must not exist; none accepts any.
     pub expect: Option<ConfigRevision>,
@@ -73,7 +73,7 @@
     pub hosts: Vec<String>,
     /// Failure domains to drain.
     pub domains: Vec<String>,
-    /// Whether to wait until the record is active on every node.
+    /// Whether to wait until the record is in force on every node.
     pub wait: bool,
     /// Name of the operator in the history.
     pub operator: String,
--- a/tests/system/config_faults.rs
+++ b/tests/system/config_faults.rs
@@ -10,7 +10,7 @@
     EntryView, amend_and_wait, short_timeout_plan, view_config, wait_granted,
 };
 
-/// Timeout of a request that shows the active configuration.
+/// Timeout of a request that shows the configuration in force.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn take_table_down(stack: &TestStack) {
@@ -39,8 +39,8 @@
 }
 
 /// The table is down for longer than a confirmation is valid. The entry nodes reach each other, so
-/// they keep serving with the active configuration. When the table is back, amendments are accepted
-/// again.
+/// they keep serving with the configuration in force. When the table is back, amendments are
+/// accepted again.
 #[tokio::test(flavor = "multi_thread")]
 async fn serves_during_store_outage() {
     let stack = short_timeout_plan("config-store-down").start().await;
@@ -115,9 +115,9 @@
     }
 }
 
-/// An entry node is suspended, an amendment becomes active on the others, and the node resumes. Its
-/// first responses must be refusals or show the amendment, although its background tasks have not
-/// run yet when it accepts the first request.
+/// An entry node is suspended, an amendment comes into force on the others, and the node resumes.
+/// Its first responses must be refusals or show the amendment, although its background tasks have
+/// not run yet when it accepts the first request.
 #[tokio::test(flavor = "multi_thread")]
 async fn resumed_node_serves_no_old_config() {
     let stack = short_timeout_plan("config-suspended").start().await;
@@ -140,9 +140,9 @@
     wait_granted(&stack, 1, "meanwhile").await;
 }
 
-/// An entry node is suspended, an amendment becomes active on the others, the table goes down, and
-/// the node resumes. It reaches a majority, which alone would let it serve, but its peers report a
-/// newer revision. It must apply that first and never serve the old one.
+/// An entry node is suspended, an amendment comes into force on the others, the table goes down,
+/// and the node resumes. It reaches a majority, which alone would let it serve, but its peers
+/// report a newer revision. It must apply that first and never serve the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn resumed_node_catches_up_from_peers() {
     let stack = short_timeout_plan("config-suspended-down").start().await;
--- a/tests/system/config_propagation.rs
+++ b/tests/system/config_propagation.rs
@@ -1,4 +1,4 @@
-//! Amendments become active on every entry node, also on one that is cut off from the table.
+//! Amendments come into force on every entry node, also on one that is cut off from the table.
 
 use std::time::{Duration, Instant};
 
@@ -47,7 +47,7 @@
     record
 }
 
-/// What an entry node shows a client of its active configuration.
+/// What an entry node shows a client of the configuration in force.
 pub enum EntryView {
     /// The newest adapter that the customer is granted.
     Serves(String),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Amends the customer and returns the time until the change was active on all entry nodes.
+/// Amends the customer and returns the time until the change was in force on all entry nodes.
 pub async fn amend_and_wait(stack: &TestStack, adapter: &str) -> Duration {
     stack.apply(&json!([customer(adapter)]));
     let mut longest = Duration::ZERO;
@@ -112,8 +112,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn amendment_activated() {
-    let plan = StackPlan::new("amendment-activated", BINARY).entries(6);
+async fn amendment_in_force() {
+    let plan = StackPlan::new("amendment-in-force", BINARY).entries(6);
     let stack = plan
         .engines(2)
         .replicas(1)
@@ -126,7 +126,7 @@
     }
     times.sort();
     println!(
-        "active on 6 entry nodes: median {:?}, longest {:?}",
+        "in force on 6 entry nodes: median {:?}, longest {:?}",
         times[10], times[19]
     );
     assert!(times[19] < Duration::from_secs(16));
@@ -155,14 +155,14 @@
     }
     times.sort();
     println!(
-        "active on 6 entry nodes, one cut off: median {:?}, longest {:?}",
+        "in force on 6 entry nodes, one cut off: median {:?}, longest {:?}",
         times[10], times[19]
     );
     assert!(times[19] < Duration::from_secs(16));
 }
 
 /// Eight operators amend the same record at once. The history must contain each accepted amendment
-/// and no other, and the last one must become active on every entry node.
+/// and no other, and the last one must come into force on every entry node.
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_amendments_recorded() {
     let stack = short_timeout_plan("concurrent-amendments").start().await;
--- a/tests/system/operator_commands.rs
+++ b/tests/system/operator_commands.rs
@@ -236,9 +236,9 @@
 }
 
 /// Two of three entry nodes are suspended, which the third can't tell from a partition with itself
-/// in the minority. If it accepted an amendment, the operator would be told that it is active while
-/// most clients still get the old configuration. It must refuse the amendment and accept it once
-/// the others are back.
+/// in the minority. If it accepted an amendment, the operator would be told that it is in force
+/// while most clients still get the old configuration. It must refuse the amendment and accept it
+/// once the others are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn minority_refuses_amendments() {
     let members = json!({ "beat": "200ms", "write": "1s", "dead": "2s", "unheard": "1s" });
