--- a/crates/serving/src/choose.rs
+++ b/crates/serving/src/choose.rs
@@ -39,7 +39,7 @@
 }
 
 impl TargetLoad {
-    /// Counts a request that this node sent.
+    /// Counts a request that this node sent; [`Self::record_end`] must follow.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
         self.sent_since_report += 1;
@@ -50,13 +50,14 @@
         self.sent_since_report += 1;
     }
 
-    /// Counts the end of a request that this node sent.
+    /// Counts the end of a request that this node sent, whether it succeeded or not.
     pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.sent_since_report -= 1;
     }
 
-    /// Counts a failed request.
+    /// Counts a failure. At `FAILURE_THRESHOLD` consecutive ones the target is avoided for
+    /// `FAILURE_WINDOW`.
     pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         self.failed_at = now;
@@ -73,14 +74,16 @@
         self.failures = 0;
     }
 
-    /// Returns whether recent requests have failed consecutively.
+    /// Returns whether the target is avoided because it failed `FAILURE_THRESHOLD` times in a row,
+    /// the last time within `FAILURE_WINDOW`.
     #[must_use]
     pub fn is_failing(&self, now: Duration) -> bool {
         let recent = now.saturating_sub(self.failed_at) < FAILURE_WINDOW;
         recent && self.failures >= FAILURE_THRESHOLD
     }
 
-    /// Takes over the number of requests that the target reported.
+    /// Takes over the number of requests that the target reported. It is assumed to include all
+    /// requests sent so far.
     pub fn record_report(&mut self, total: u32, now: Duration) {
         self.reported = total;
         self.reported_at = Some(now);
--- a/crates/serving/src/plan/fabric.rs
+++ b/crates/serving/src/plan/fabric.rs
@@ -33,15 +33,16 @@
 /// Replica counts of one model in a fabric domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelSummary {
-    /// Name of the model.
+    /// Model that the replicas serve.
     pub model: ModelName,
     /// Replicas that serve, form or close.
     pub current: usize,
-    /// Replicas that the domain should have.
+    /// Replicas that the layout assigns to the domain.
     pub desired: usize,
 }
 
-/// Plans the next steps for a fabric domain.
+/// Plans the next steps for a fabric domain: replicas open or close, free hosts form new ones,
+/// replicas of models with more coverage are given up, and hosts left over load or stage models.
 #[must_use]
 pub fn plan_fabric(fabric: &FabricState<'_>) -> FabricPlan {
     let mut steps = Vec::new();
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -20,7 +20,7 @@
 }
 
 impl FabricCapacity {
-    /// Counts a host; `loaded` is the model that it has in memory, if any.
+    /// Counts a host that may join replicas; `loaded` is the model that it has in memory, if any.
     pub fn add(&mut self, loaded: Option<&ModelName>) {
         self.hosts += 1;
         let Some(model) = loaded else { return };
--- a/crates/serving/src/plan/state.rs
+++ b/crates/serving/src/plan/state.rs
@@ -34,11 +34,11 @@
 /// State of one host, as this node knows it.
 #[derive(Debug, Clone)]
 pub struct HostState {
-    /// Id of the host.
+    /// Id of the host, which a plan's steps name.
     pub id: HostId,
     /// Time for which it has not responded; `None` if it responds.
     pub silent_for: Option<Duration>,
-    /// Whether it is available for replicas.
+    /// Whether it may join new replicas, and whether its current one must close.
     pub lifecycle: HostLifecycle,
     /// Whether this node has sent it an order whose outcome is still unknown. It joins no new
     /// replica until then.
@@ -49,7 +49,7 @@
     pub staged: Vec<ModelName>,
     /// Second model that this node told it to stage, if it may still be doing so.
     pub staging: Option<ModelName>,
-    /// Membership in a replica, if any.
+    /// Membership in a replica or in the one-host group of a spare; `None` if it is in neither.
     pub membership: Option<ReplicaMembership>,
     /// Time since this node saw its membership change.
     pub unchanged_for: Duration,
@@ -89,11 +89,11 @@
 /// State of a fabric domain and the replicas desired there.
 #[derive(Debug)]
 pub struct FabricState<'a> {
-    /// Models of the service.
+    /// Models of the service, in the order of the configuration.
     pub models: &'a [ModelConfig],
     /// Desired number of replicas by model; a model without an entry has none.
     pub desired: &'a BTreeMap<ModelName, usize>,
-    /// Hosts of the domain.
+    /// Hosts of the domain, including those that are silent or leave.
     pub hosts: &'a [HostState],
     /// Existing replicas of each model in all fabric domains together.
     pub fleet_replicas: &'a FastMap<ModelName, usize>,
--- a/crates/serving/src/poison.rs
+++ b/crates/serving/src/poison.rs
@@ -30,7 +30,7 @@
 /// A request that was at a target when the target crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashedRequest {
-    /// Fingerprint of the request.
+    /// Identifies the request across targets, nodes and retries by its client.
     pub fingerprint: RequestFingerprint,
     /// Time since its response began, or since it was sent if its service is a plain one; `None` if
     /// it is a stream that had not begun.
@@ -59,7 +59,7 @@
 /// A crash of one target process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TargetCrash {
-    /// Host of the target.
+    /// Host that ran the process.
     pub host: HostId,
     /// Boot number of the process that crashed. It tells repeated crashes of a host apart.
     pub boot: BootNumber,
@@ -104,7 +104,8 @@
         self.barred.is_empty() && self.suspects.is_empty()
     }
 
-    /// Returns the verdict on a request as of the last evaluation.
+    /// Returns the verdict on a request as of the last [`Self::evaluate`]; a request that was at no
+    /// recorded crash is clear.
     #[must_use]
     pub fn verdict(&self, fingerprint: RequestFingerprint) -> PoisonVerdict {
         if self.barred.contains(&fingerprint) {
--- a/crates/serving/src/prompt_backlog.rs
+++ b/crates/serving/src/prompt_backlog.rs
@@ -32,7 +32,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the estimated number of tokens that are left.
+    /// Returns the estimated number of tokens not prefilled yet; `rate` is as for [`Self::add`].
     #[must_use]
     pub fn remaining_tokens(&self, now: Duration, rate: f64) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -12,7 +12,8 @@
 pub struct ReplicaView {
     /// Name of the replica; names are never reused.
     pub id: ReplicaId,
-    /// Epoch in which the replica was formed.
+    /// Epoch in which the replica was formed. Members that report another epoch belong to another
+    /// view.
     pub epoch: u64,
     /// Service of the member that was seen first.
     pub service: ServiceName,
@@ -22,20 +23,20 @@
     pub model: Option<ModelName>,
     /// Hosts of the known members by rank.
     pub members: BTreeMap<u32, HostId>,
-    /// Whether all known members have loaded their weights.
+    /// Whether no known member is still loading its weights.
     pub loaded: bool,
     /// State of the head; `None` while the head is unknown.
     pub head_state: Option<MemberState>,
 }
 
 impl ReplicaView {
-    /// Returns the member that takes the requests, if it is known.
+    /// Returns the member that takes the requests, which has rank 0; `None` while it is unknown.
     #[must_use]
     pub fn head(&self) -> Option<&HostId> {
         self.members.get(&0)
     }
 
-    /// Returns whether all members are known, for a replica of `size` hosts.
+    /// Returns whether all members are known; `size` is that of the model.
     #[must_use]
     pub fn is_complete(&self, size: usize) -> bool {
         self.members.len() == size
@@ -62,7 +63,8 @@
 }
 
 impl TargetRegistry {
-    /// Adds or replaces a target and returns whether anything changed.
+    /// Adds a target, or replaces the entry with the same host id. Returns false if the entry was
+    /// already known as it is.
     pub fn put(&mut self, entry: TargetEntry) -> bool {
         if self.targets.get(&entry.id) == Some(&entry) {
             return false;
@@ -72,25 +74,26 @@
         true
     }
 
-    /// Removes a target and returns its entry, if it was known.
+    /// Removes a target, and with it its membership in a replica. Returns its last entry, or `None`
+    /// if it was not known.
     pub fn remove(&mut self, id: &HostId) -> Option<TargetEntry> {
         let entry = self.targets.remove(id)?;
         self.replicas.take();
         Some(entry)
     }
 
-    /// Returns the entry of a target, if it is known.
+    /// Returns the last known entry of a target; `None` if it was never added or was removed.
     #[must_use]
     pub fn get(&self, id: &HostId) -> Option<&TargetEntry> {
         self.targets.get(id)
     }
 
-    /// Returns all targets in arbitrary order.
+    /// Returns all targets, draining ones included, in arbitrary order.
     pub fn targets(&self) -> impl Iterator<Item = &TargetEntry> {
         self.targets.values()
     }
 
-    /// Returns the number of known targets.
+    /// Returns the number of targets, draining ones included.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
@@ -145,7 +148,7 @@
         replicas
     }
 
-    /// Returns whether a member of a replica is draining.
+    /// Returns whether a known member of a replica is draining.
     #[must_use]
     pub fn has_draining_member(&self, replica: &ReplicaView) -> bool {
         replica.members.values().any(|id| {
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -6,7 +6,7 @@
 /// Retry limits over a sliding window, shared by all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Length of the window.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Duration,
     /// Retries allowed per request in the window.
     pub ratio: f64,
@@ -71,7 +71,8 @@
         &mut self.buckets[last]
     }
 
-    /// Counts a request that a client sent.
+    /// Counts a request that a client sent, which earns `ratio` retries. Retries are counted by
+    /// [`Self::take`].
     pub fn record_request(&mut self, now: Duration) {
         self.bucket(now).requests += 1;
     }
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -40,19 +40,20 @@
     pub name: String,
     /// Prefix of the request paths; begins and ends with a slash.
     pub prefix: String,
-    /// Whether requests may be retried.
+    /// Whether requests may be retried, and whether their responses are streams.
     pub kind: RouteKind,
     /// Maximum time from the arrival of a request to the end of its response.
     pub timeout: Duration,
     /// Latency to aim for: of the whole response, or of the first event of a stream.
     pub target_latency: Duration,
-    /// Priority among routes; 0 is the most urgent.
+    /// Priority of requests whose API key sets none; 0 is the most urgent.
     pub priority: u8,
-    /// Services and their weights; more than one while traffic is split.
+    /// Services and their weights relative to the sum; more than one while traffic is split.
     pub services: Vec<(ServiceName, u32)>,
-    /// Maximum number of targets that a request is sent to.
+    /// Maximum number of targets that a request is sent to, at least 1. Failed connects
+    /// don't count.
     pub max_attempts: u32,
-    /// Whether requests need no API key.
+    /// Whether requests without a known API key are accepted.
     pub public: bool,
 }
 
@@ -85,22 +86,22 @@
 /// How replicas serve a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelConfig {
-    /// Name of the model.
+    /// Name under which hosts report the model as loaded or staged.
     pub name: ModelName,
-    /// Number of hosts in a replica.
+    /// Number of hosts in a replica. One with fewer does not serve.
     pub size: usize,
     /// Expected share of the hosts that the model needs, between 0 and 1.
     pub share: f64,
     /// Factor on the times of [`ServiceConfig::timing`]; 2 means half as fast.
     pub time_factor: f64,
-    /// Time to load the weights from the weight store.
+    /// Time in which one host loads the weights from the weight store.
     pub load_time: Duration,
 }
 
 /// A service and its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceConfig {
-    /// Name of the service.
+    /// Name by which routes and registry entries refer to the service.
     pub name: ServiceName,
     /// Connections that one target accepts from all nodes together.
     pub max_connections: u32,
@@ -110,7 +111,7 @@
     pub slots: u32,
     /// Timing of a full replica of a model whose time factor is 1.
     pub timing: ReplicaTiming,
-    /// Weight loads that may start per second.
+    /// Weight loads that all nodes together may start per second; 0 for a plain service.
     pub loads_per_second: f64,
     /// Priorities that requests to the service may have, the most urgent first. They are filled in
     /// by [`GatewayConfig::with_priorities`].
@@ -118,13 +119,14 @@
 }
 
 impl ServiceConfig {
-    /// Returns the configuration of a model, if the service has it.
+    /// Returns the configuration of a model; `None` if the service does not serve it.
     #[must_use]
     pub fn model(&self, name: &ModelName) -> Option<&ModelConfig> {
         self.models.iter().find(|model| model.name == *name)
     }
 
-    /// Returns the timing of a full replica of a model.
+    /// Returns the timing of a full replica of a model: that of the service, scaled by the model's
+    /// time factor.
     #[must_use]
     pub fn replica_timing(&self, model: &ModelConfig) -> ReplicaTiming {
         self.timing.scaled(model.time_factor)
@@ -156,7 +158,7 @@
 /// The customer that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
-    /// Id of the customer.
+    /// Customer to whom requests with the key are attributed.
     pub customer: CustomerId,
     /// Priority of the customer's requests, which overrides that of the route; `None` keeps the
     /// route's.
@@ -166,15 +168,15 @@
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayConfig {
-    /// Version of the configuration. Within a process it only increases.
+    /// Version of the configuration. A node ignores one that is not above its current version.
     pub revision: ConfigRevision,
     /// Routes by host name, in descending order of prefix length.
     pub routes: FastMap<String, Vec<Route>>,
-    /// Services by name.
+    /// Services by the names that routes refer to.
     pub services: FastMap<ServiceName, ServiceConfig>,
     /// Owners by API key; `None` if requests need no key.
     pub keys: Option<FastMap<String, KeyOwner>>,
-    /// Limits on requests.
+    /// Limits on the requests of all clients, on every route.
     pub limits: RequestLimits,
 }
 
--- a/crates/serving/src/stall.rs
+++ b/crates/serving/src/stall.rs
@@ -34,7 +34,8 @@
         self.running += 1;
     }
 
-    /// Counts the end of a request.
+    /// Counts the end of a request, whether it succeeded or not. Without running requests nothing
+    /// counts as a stall.
     pub fn request_ended(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
--- a/crates/serving/src/target.rs
+++ b/crates/serving/src/target.rs
@@ -33,7 +33,7 @@
 pub struct ReplicaMembership {
     /// Name of the replica; names are never reused.
     pub replica: ReplicaId,
-    /// Epoch in which the replica was formed.
+    /// Epoch in which the replica was formed. Orders for another epoch are refused.
     pub epoch: u64,
     /// Position in the member list. Rank 0 is the head, the only member that takes requests.
     pub rank: u32,
