--- a/crates/policy/examples/compare/main.rs
+++ b/crates/policy/examples/compare/main.rs
@@ -1,5 +1,4 @@
-//! Prints the tables of docs/DECISIONS.md, which compare each decision with its baselines under
-//! fixed seeds.
+//! Prints tables that compare each decision with its baselines under fixed seeds.
 //!
 //! Arguments are names of tables; only these are printed.
 
--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -161,10 +161,10 @@
 
 /// A burst of four times the capacity for 10 s, whose refused clients retry up to five times.
 pub fn retry_times() {
-    println!("| return | on time | offers per client | refused in the end |");
+    println!("| retry | on time | offers per client | refused in the end |");
     println!("|---|---|---|---|");
     for (name, fixed_retry_after) in [
-        ("as told", None),
+        ("as assigned", None),
         ("after 1 s", Some(Duration::from_secs(1))),
         ("after 5 s", Some(Duration::from_secs(5))),
     ] {
@@ -199,16 +199,16 @@
     println!("| case | choice | on time | p50 s | p95 s | p99 s | failed attempts |");
     println!("|---|---|---|---|---|---|---|");
     let kinds = [
-        ("predicted, 2 drawn", PlacementKind::Predicted, 2),
-        ("predicted, 4 drawn", PlacementKind::Predicted, 4),
-        ("predicted, 8 drawn", PlacementKind::Predicted, 8),
+        ("predicted, 2 samples", PlacementKind::Predicted, 2),
+        ("predicted, 4 samples", PlacementKind::Predicted, 4),
+        ("predicted, 8 samples", PlacementKind::Predicted, 8),
         ("random", PlacementKind::Random, 0),
         ("round robin", PlacementKind::RoundRobin, 0),
         ("least reported", PlacementKind::LeastLoaded, 0),
         ("two choices, reported", PlacementKind::TwoChoices, 0),
     ];
     let cases: [(&str, CaseSetup); 4] = [
-        ("all well", |_| {}),
+        ("no fault", |_| {}),
         ("one slow ×4, 10–30 s", |scenario| {
             scenario.engines[3].slowdown = (4.0, 10.0, 30.0);
         }),
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the number of waiting requests.
+    /// Returns the number of waiting requests, background work included.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
--- a/crates/policy/src/admission/shares.rs
+++ b/crates/policy/src/admission/shares.rs
@@ -39,7 +39,8 @@
 }
 
 impl CustomerShares {
-    /// Records the arrival of a request, whether it is admitted or not.
+    /// Records the arrival of a request, whether it is admitted or not. Its customer counts as
+    /// active for `ACTIVE_PERIOD`.
     pub fn record_arrival(&mut self, customer: &CustomerId, now: Duration) {
         if self.customers.len() >= MAX_CUSTOMERS {
             self.customers.retain(|_, usage| is_active(usage, now));
@@ -48,13 +49,13 @@
         usage.last_arrival = now;
     }
 
-    /// Records that a request was sent.
+    /// Records that a request was sent; [`Self::record_ended`] must follow.
     pub fn record_sent(&mut self, customer: &CustomerId) {
         self.customers.entry(customer.clone()).or_default().running += 1;
         self.running += 1;
     }
 
-    /// Records that a request that was sent has ended.
+    /// Records that a request that was sent has ended, whether it succeeded or not.
     pub fn record_ended(&mut self, customer: &CustomerId) {
         let Some(usage) = self.customers.get_mut(customer) else {
             return;
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Sets the number of entries in service.
+    /// Sets the number of entries in service. It takes effect on the window with the next report.
     pub fn set_entries(&mut self, entries: u32) {
         self.settings.entries = entries;
     }
 
-    /// Returns the number of streams that this entry has at the targets.
+    /// Returns the number of streams that this entry has sent and that have not ended.
     #[must_use]
     pub fn in_use(&self) -> u32 {
         self.in_use
@@ -173,13 +173,14 @@
         free
     }
 
-    /// Records an offered request, whether it is admitted or not.
+    /// Records an offered request, whether it is admitted or not. The demand is estimated from
+    /// these.
     pub fn record_offered(&mut self, now: Duration) {
         self.demand.advance(now);
         self.demand.arrivals += 1.0;
     }
 
-    /// Records that a stream was sent to a target.
+    /// Records that a stream was sent to a target; [`Self::record_finished`] must follow.
     pub fn record_sent(&mut self, now: Duration) {
         self.in_use += 1;
         self.snapshot(now);
--- a/crates/policy/src/placement/affinity.rs
+++ b/crates/policy/src/placement/affinity.rs
@@ -100,7 +100,8 @@
         self.young.entry(prefix).or_default()
     }
 
-    /// Records that a target holds a prefix.
+    /// Records that a target holds a prefix. Once a prefix has more than `MAX_HOLDERS` holders, the
+    /// single ones are forgotten.
     pub fn insert(&mut self, prefix: u64, target: TargetKey) {
         let list = self.promote(prefix);
         if list.common || list.targets.contains(&target) {
@@ -114,7 +115,8 @@
         list.targets.push(target);
     }
 
-    /// Records that a target no longer holds a prefix.
+    /// Records that a target no longer holds a prefix; has no effect on one that counts as held by
+    /// all targets.
     pub fn remove(&mut self, prefix: u64, target: TargetKey) {
         for map in [&mut self.young, &mut self.old] {
             let Some(list) = map.get_mut(&prefix) else {
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -68,7 +68,8 @@
 }
 
 impl TargetHealth {
-    /// Returns the ratio of the observed to the predicted time to first token; 1 is as predicted.
+    /// Returns the moving average of the ratio of the observed to the predicted time to first
+    /// token. It is 1 before the first observation and returns to 1 without new ones.
     #[must_use]
     pub fn slowness(&self, now: Duration) -> f64 {
         if self.samples == 0 {
@@ -79,7 +80,8 @@
         (self.slowness.ln() * kept).exp()
     }
 
-    /// Returns whether requests may be sent to the target at time `now`.
+    /// Returns whether requests may be sent to the target. An ejection ends by itself, but only a
+    /// successful probe makes the target healthy again.
     #[must_use]
     pub fn status(&self, now: Duration) -> HealthStatus {
         match self.ejected_until {
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Records that a probe was sent; no other one is sent until it has ended.
+    /// Records that a probe was sent. No other one is sent until it has ended, or for
+    /// `max_ejection_time` if its end is never recorded.
     pub(super) fn start_probe(&mut self, now: Duration, settings: &HealthSettings) {
         self.probing = true;
         self.ejected_until = Some(now + settings.max_ejection_time);
@@ -127,20 +130,21 @@
         std::mem::take(&mut self.probing) || self.ejected_until.is_some()
     }
 
-    /// Returns whether the consecutive failures have reached the limit.
+    /// Returns whether the failures since the last first token have reached the limit.
     #[must_use]
     pub fn has_failed_repeatedly(&self, settings: &HealthSettings) -> bool {
         self.failures >= settings.consecutive_failures
     }
 
-    /// Returns whether the target is much slower than the median target.
+    /// Returns whether the target's slowness exceeds `straggler_ratio` times the median, which
+    /// counts as at least 0.5. It needs `min_samples` observations.
     #[must_use]
     pub fn is_straggler(&self, now: Duration, median: f64, settings: &HealthSettings) -> bool {
         self.samples >= settings.min_samples
             && self.slowness(now) > settings.straggler_ratio * median.max(0.5)
     }
 
-    /// Ejects the target, for twice as long as the previous time.
+    /// Ejects the target for twice as long as the previous time, up to `max_ejection_time`.
     pub(super) fn eject(&mut self, now: Duration, settings: &HealthSettings) {
         let ejection_time =
             settings.base_ejection_time * 2_u32.saturating_pow(self.ejections.min(10));
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -37,7 +37,7 @@
 }
 
 impl TargetPool {
-    /// Creates a pool without targets.
+    /// Creates a pool without targets; [`Self::insert`] adds them.
     #[must_use]
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Adds a target with no known load.
+    /// Adds a target, which counts as idle and healthy until something else is recorded.
     pub fn insert(&mut self, properties: TargetProperties) -> TargetKey {
         let state = TargetState::new(properties, self.settings.prompt_rate);
         let target = self.targets.insert(state);
@@ -110,14 +110,15 @@
         })
     }
 
-    /// Records the load that a target reported.
+    /// Records the load that a target reported. A report older than the last one is ignored.
     pub fn record_load(&mut self, target: TargetKey, now: Duration, load: TargetLoad) {
         if let Some(state) = self.targets.get_mut(target) {
             state.record_load(now, load);
         }
     }
 
-    /// Records that an attempt was sent to the chosen target.
+    /// Records that an attempt was sent to the chosen target, whose cache is then expected to hold
+    /// the prompt. [`Self::record_ended`] must follow.
     pub fn record_sent(
         &mut self,
         choice: &PlacementChoice,
@@ -132,7 +133,8 @@
         self.prefixes.insert_prompt(request.prefixes, choice.target);
     }
 
-    /// Records that the first token of an attempt arrived after `elapsed`.
+    /// Records that the first token of an attempt arrived `elapsed` after it was sent, which
+    /// updates the target's slowness and resets its failures.
     pub fn record_first_token(
         &mut self,
         choice: &PlacementChoice,
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -20,8 +20,8 @@
     /// Number of candidates sampled per choice, fewer if all of them are full.
     ///
     /// Choosing the best of a few samples spreads requests, so that delayed reports don't make
-    /// every entry send to the same idle target; docs/DECISIONS.md has the figures for other
-    /// values.
+    /// every entry send to the same idle target. The `placement` table of the `compare` example has
+    /// the figures for other values.
     #[builder(default = 4)]
     pub samples: usize,
     /// Assumed prefill rate in prompt tokens per second of a target whose rate is unknown.
@@ -36,7 +36,8 @@
     /// Number of prompt tokens per block of the prefix cache.
     #[builder(default = 16)]
     pub block_tokens: u32,
-    /// Maximum number of prefixes in the prefix index.
+    /// Maximum number of prefixes in the prefix index; beyond it those not used recently are
+    /// dropped.
     #[builder(default = 65_536)]
     pub max_prefixes: usize,
     /// Settings of outlier ejection.
@@ -53,14 +54,15 @@
     /// Hashes of the prompt's prefixes, one per block, as the engines publish them.
     #[builder(default)]
     pub prefixes: &'a [u64],
-    /// Adapter that the request needs, if any.
+    /// Adapter that the request needs; `None` for the base model. For a target without
+    /// it, the time to load it is added to the prediction.
     pub adapter: Option<&'a AdapterName>,
 }
 
 /// The chosen target and the prediction that it was chosen by.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementChoice {
-    /// Key of the target in the pool.
+    /// Target to send the attempt to.
     pub target: TargetKey,
     /// Predicted time to first token. Pass the choice back to
     /// [`TargetPool::record_first_token`](super::TargetPool::record_first_token).
@@ -98,13 +100,13 @@
         }
     }
 
-    /// Returns whether a target is a candidate.
+    /// Returns whether a target was a candidate when the list was built.
     #[must_use]
     pub fn contains(&self, target: TargetKey) -> bool {
         self.members.contains(&target)
     }
 
-    /// Returns the number of candidates.
+    /// Returns the number of candidates, near or not and whatever their health.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Records a successful request, which adds to the budget.
+    /// Records a successful request, which adds `retries_per_success` to the budget, up to
+    /// `max_balance`.
     pub fn record_success(&mut self) {
         self.deposit(self.settings.retries_per_success);
     }
--- a/crates/policy/src/service.rs
+++ b/crates/policy/src/service.rs
@@ -35,12 +35,13 @@
 }
 
 impl InstanceStats {
-    /// Records that a call was sent.
+    /// Records that a call was sent; [`Self::record_ended`] must follow.
     pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Records that a call ended after `elapsed`.
+    /// Records that a call ended after `elapsed`. A response ends an ejection; its time updates the
+    /// average latency.
     pub fn record_ended(&mut self, now: Duration, elapsed: Duration, outcome: CallOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome == CallOutcome::Responded {
