--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -254,8 +254,8 @@
             let entry = directory.hosts.get(host);
             let state = match entry {
                 Some(entry) if !trusted.contains_key(host) => {
-                    let answer = self.context.engine.state(entry.address, timeout).await;
-                    answer.ok().filter(|state| state.host == *host)
+                    let response = self.context.engine.state(entry.address, timeout).await;
+                    response.ok().filter(|state| state.host == *host)
                 }
                 Some(_) | None => None,
             };
--- a/crates/control/src/assembly/health.rs
+++ b/crates/control/src/assembly/health.rs
@@ -12,7 +12,7 @@
 /// What is known about a host in one round.
 #[derive(Debug, Clone, Default)]
 pub struct HostHealth {
-    /// Its report in this round; none when it did not answer or was not asked.
+    /// Its report in this round; none when it did not respond or was not asked.
     pub state: Option<EngineState>,
     /// Whether it has been silent for so long that its replica continues without it.
     pub lost: bool,
@@ -37,11 +37,11 @@
 }
 
 impl FabricHealth {
-    /// Records which hosts answered in this round and marks the lost ones. `trusted` has the time
+    /// Records which hosts responded in this round and marks the lost ones. `trusted` has the time
     /// at which another node last saw a host healthy; silence counts from there, not from the time
     /// at which that evidence became too old.
     ///
-    /// If no host answers at all, none is marked: either the whole fabric domain is down, and
+    /// If no host responds at all, none is marked: either the whole fabric domain is down, and
     /// nothing can be formed there, or this node is cut off, and others may still dispatch to it.
     pub fn update_lost(
         &mut self,
@@ -51,7 +51,7 @@
         now: Instant,
     ) {
         self.last_seen.retain(|host, _| hosts.contains_key(host));
-        let answered = !trusted.is_empty() || hosts.values().any(|host| host.state.is_some());
+        let responded = !trusted.is_empty() || hosts.values().any(|host| host.state.is_some());
         let limit = Duration::from_millis(settings.loss_ms);
         for (host, health) in hosts.iter_mut() {
             let trusted_at = trusted.get(host);
@@ -61,7 +61,7 @@
                 continue;
             }
             let since = *self.last_seen.entry(host.clone()).or_insert(now);
-            health.lost = answered && now.saturating_duration_since(since) >= limit;
+            health.lost = responded && now.saturating_duration_since(since) >= limit;
         }
     }
 
--- a/crates/control/src/assembly/mod.rs
+++ b/crates/control/src/assembly/mod.rs
@@ -12,12 +12,12 @@
 //!
 //! Orders of a paused holder. Targets that check fencing tokens refuse them. For targets that do
 //! not, the holder sends an order only when its lease outlasts the order's timeout, reads the
-//! targets' state before each round, and gets it back with each answer. One case is not excluded: a
-//! process that is suspended between checking the lease and the operating system sending the bytes
-//! delivers an old order late. The host then runs an assignment that differs from its plan in
+//! targets' state before each round, and gets it back with each response. One case is not excluded:
+//! a process that is suspended between checking the lease and the operating system sending the
+//! bytes delivers an old order late. The host then runs an assignment that differs from its plan in
 //! replica or incarnation. No health evidence names it, so nothing is dispatched to the replica,
 //! and the holder's next round sends the host a new order. This costs the replica a round and its
-//! running streams, but never leads to a wrong answer.
+//! running streams, but never leads to a wrong result.
 
 mod chooser;
 mod controller;
--- a/crates/control/src/assembly/orders.rs
+++ b/crates/control/src/assembly/orders.rs
@@ -125,7 +125,7 @@
             .state
             .as_ref()
             .is_some_and(|state| state.assignment.is_some());
-        if !runs || fleet.replica_of(host).is_some() || leader_may_answer(host, health, hosts) {
+        if !runs || fleet.replica_of(host).is_some() || leader_may_respond(host, health, hosts) {
             continue;
         }
         let Some(entry) = directory.hosts.get(host) else {
@@ -147,13 +147,13 @@
         .is_some_and(|assignment| assignment.replica != plan.id)
 }
 
-/// Whether the leader of this host's old replica may still answer for it.
+/// Whether the leader of this host's old replica may still respond for it.
 ///
 /// Entry nodes learn of a dissolved replica with a delay. While its leader runs, it accepts their
 /// requests; if another host were emptied first, those requests would hang. The leader is therefore
 /// emptied first (specification `assembly`, 8 steps), and a silent leader counts as running until
 /// it is lost. A leader that runs a newer incarnation accepts no requests for the old one.
-fn leader_may_answer(
+fn leader_may_respond(
     host: &HostId,
     health: &HostHealth,
     hosts: &BTreeMap<HostId, HostHealth>,
@@ -229,7 +229,7 @@
             epoch: grant.epoch,
             assignment: order.assignment.clone(),
         };
-        // A lost answer needs no handling: the next round asks the host what it runs.
+        // A lost response needs no handling: the next round asks the host what it runs.
         let outcome = engine.order(order.address, &body, timeout).await;
         let fenced = matches!(outcome, Ok(OrderOutcome::Fenced(_)));
         fenced.then(|| order.host.clone())
--- a/crates/control/src/assembly/round.rs
+++ b/crates/control/src/assembly/round.rs
@@ -346,7 +346,7 @@
     }
 
     /// Forms new replicas, starting with the version that lacks the largest share: a model without
-    /// any replica answers nobody, whereas one that lacks the third of three only answers more
+    /// any replica serves nobody, whereas one that lacks the third of three only responds more
     /// slowly.
     fn form_replicas(&mut self) {
         let mut lacking: Vec<DesiredVersion> = self.versions.clone();
--- a/crates/control/src/gate.rs
+++ b/crates/control/src/gate.rs
@@ -7,7 +7,7 @@
 /// Tells the request path whether the node may serve now. Clones share the deadline.
 ///
 /// It stores a deadline instead of a flag: a process that resumes after a suspension takes requests
-/// before any of its tasks could clear a flag, and would answer them with an outdated
+/// before any of its tasks could clear a flag, and would serve them with an outdated
 /// configuration. The default gate is always open.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceGate {
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct HousekeepingSettings {
-    /// Time for which a settled claim answers later requests with its key. It must be far above
-    /// [`crate::ledger::LedgerSettings::send_limit_ms`] and above the longest time for which a
-    /// caller retries a call; a week covers days on which a market is closed.
+    /// Time for which a settled claim determines the response to later requests with its key. It
+    /// must be far above [`crate::ledger::LedgerSettings::send_limit_ms`] and above the longest
+    /// time for which a client retries a call; a week covers days on which a market is closed.
     #[builder(default = 7 * 24 * 3_600_000)]
     pub claim_retention_ms: u64,
     /// Interval between two sweeps.
--- a/crates/control/src/ledger/lookup.rs
+++ b/crates/control/src/ledger/lookup.rs
@@ -27,7 +27,7 @@
         &self,
         key: &ClaimKey,
         observed: &CallClaim,
-        answer: ClaimState,
+        outcome: ClaimState,
     ) -> Result<(), StoreError> {
         let row = match self.table.read(&key.row(), None).await? {
             RowRead::Found(row) => row,
@@ -38,7 +38,7 @@
             return Ok(());
         }
         let settled = CallClaim {
-            state: answer,
+            state: outcome,
             ..current
         };
         let value = serde_json::to_value(&settled)
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -68,7 +68,7 @@
     pub service: ServiceName,
     /// The customer who calls.
     pub customer: CustomerId,
-    /// SHA-256 of the caller's idempotency key, in hexadecimal, so that any text makes a valid row
+    /// SHA-256 of the client's idempotency key, in hexadecimal, so that any text makes a valid row
     /// key.
     pub key_hash: String,
 }
@@ -99,7 +99,7 @@
     /// Whether the call may still be sent; check it immediately before the first byte.
     ///
     /// A process that was suspended between its claim and its send resumes with a ticket whose
-    /// caller has long received another response. It then settles the claim as not run instead.
+    /// client has long received another response. It then settles the claim as not run instead.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         self.claimed_at.elapsed() <= self.send_limit
@@ -168,7 +168,7 @@
         attempt: AttemptId,
         body_hash: String,
     ) -> Result<ClaimOutcome, StoreError> {
-        // The claim continues in its own task if the caller disconnects meanwhile: a claim that is
+        // The claim continues in its own task if the client disconnects meanwhile: a claim that is
         // stored without anyone to send the call would leave its key unknown forever. If nobody
         // receives the ticket, the task withdraws the claim.
         let (reply, response) = oneshot::channel();
--- a/crates/control/src/ledger/outcome.rs
+++ b/crates/control/src/ledger/outcome.rs
@@ -42,7 +42,7 @@
 
 /// Writes an outcome until it is stored or the row was changed by another writer.
 ///
-/// The store may be down when the call's response arrives. The caller has the response, but a later
+/// The store may be down when the call's response arrives. The client has the response, but a later
 /// request with the same key would get `unknown` as long as the row says `Claimed`.
 pub async fn retry_outcome<T: TableStore>(table: T, outcome: OutcomeWrite) {
     let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
@@ -65,9 +65,10 @@
 
 /// Withdraws a claim that may be stored although its call was never sent.
 ///
-/// Either the response to the claim was lost, or its caller disconnected before it. Left alone, the
-/// row would answer every later request with `unknown`. The write may also still be in transit, so
-/// an absent row is replaced by one that says `NotRun`, on which the late claim then fails.
+/// Either the response to the claim was lost, or its client disconnected before it. Left alone, the
+/// row would give every later request the response `unknown`. The write may also still be in
+/// transit, so an absent row is replaced by one that says `NotRun`, on which the late claim then
+/// fails.
 pub async fn withdraw_claim<T: TableStore>(table: T, key: String, claim: CallClaim) {
     let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/control/src/ledger/writer.rs
+++ b/crates/control/src/ledger/writer.rs
@@ -169,8 +169,8 @@
     }
 }
 
-/// Commits rows together; conflicting rows are answered and the others sent again without them, so
-/// that one reused key does not fail the calls that share its transaction.
+/// Commits rows together; conflicting rows get their reply and the others are sent again without
+/// them, so that one reused key does not fail the calls that share its transaction.
 async fn commit_rows<T: TableStore>(table: &T, prefix: &str, mut rows: Vec<EnqueueWrite>) {
     let mut attempt = 0_u32;
     loop {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Answers the conflicting rows and returns the others.
+/// Replies to the writers of the conflicting rows and returns the others.
 fn reply_to_conflicts(rows: Vec<EnqueueWrite>, conflicts: &[RowConflict]) -> Vec<EnqueueWrite> {
     let count = rows.len();
     let mut remaining = Vec::with_capacity(count);
--- a/crates/control/src/probe.rs
+++ b/crates/control/src/probe.rs
@@ -16,7 +16,7 @@
 pub enum ProbeOutcome {
     /// Evidence for or against the replica's health, and the leading host's load.
     Evidence(HealthEvidence, Option<EngineLoad>),
-    /// Some hosts did not answer and no answer contradicts the plan. A missing answer is no
+    /// Some hosts did not respond and no response contradicts the plan. A missing response is no
     /// evidence: the host may be gone, or this node may be partitioned from it while others reach
     /// it.
     Inconclusive,
@@ -35,7 +35,8 @@
         probe_host(engine, address, timeout)
     });
     let reports = join_all(probes).await;
-    // The age counts from before the first request: the answers describe an unknown time after it.
+    // The age counts from before the first request: the responses describe an unknown time after
+    // it.
     evaluate_reports(plan, &reports, started.elapsed())
 }
 
@@ -46,15 +47,15 @@
     State(Box<EngineState>),
     /// The host refused the connection: no engine runs there.
     Refused,
-    /// No answer. The host may be gone, or unreachable from this node only.
-    NoAnswer,
+    /// No response. The host may be gone, or unreachable from this node only.
+    NoResponse,
 }
 
 impl HostReport {
     fn state(&self) -> Option<&EngineState> {
         match self {
             Self::State(state) => Some(state),
-            Self::Refused | Self::NoAnswer => None,
+            Self::Refused | Self::NoResponse => None,
         }
     }
 }
@@ -65,12 +66,12 @@
     timeout: Duration,
 ) -> HostReport {
     let Some(address) = address else {
-        return HostReport::NoAnswer;
+        return HostReport::NoResponse;
     };
     match engine.state(address, timeout).await {
         Ok(state) => HostReport::State(Box::new(state)),
         Err(ClientError::Refused(_)) => HostReport::Refused,
-        Err(_) => HostReport::NoAnswer,
+        Err(_) => HostReport::NoResponse,
     }
 }
 
--- a/crates/control/src/prober.rs
+++ b/crates/control/src/prober.rs
@@ -5,7 +5,7 @@
 //! 3,000 requests a second for the whole system, 7 for each of 410 nodes. A node that has received
 //! no evidence about a replica for a while probes its hosts itself, so that a network partition
 //! between nodes, or the loss of both probers, does not interrupt service; it backs off while the
-//! hosts do not answer, so that not every node probes a dead replica every second.
+//! hosts do not respond, so that not every node probes a dead replica every second.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
     /// below the age limit for dispatch, so that service continues without a gap.
     #[builder(default = 1_800)]
     pub silence_ms: u64,
-    /// Longest delay between two probes by such a node while the replica does not answer.
+    /// Longest delay between two probes by such a node while the replica does not respond.
     #[builder(default = 8_000)]
     pub longest_pause_ms: u64,
     /// Replicas probed concurrently; it spreads the load when a single node has to probe all of
@@ -103,9 +103,9 @@
         let inputs_changed = inputs_changed
             .into_iter()
             .any(|changed| changed.unwrap_or(false));
-        while let Some(Ok((replica, answered))) = running.try_join_next() {
+        while let Some(Ok((replica, responded))) = running.try_join_next() {
             probing.remove(&replica);
-            reschedule(&mut schedules, &replica, answered, period);
+            reschedule(&mut schedules, &replica, responded, period);
         }
         let plans = Arc::clone(&inputs.plans.borrow_and_update());
         let directory = Arc::clone(&inputs.directory.borrow_and_update());
@@ -214,13 +214,13 @@
 fn reschedule(
     schedules: &mut FastMap<ReplicaId, ProbeSchedule>,
     replica: &ReplicaId,
-    answered: bool,
+    responded: bool,
     period: Duration,
 ) {
     let Some(schedule) = schedules.get_mut(replica) else {
         return;
     };
-    let delay = if answered || schedule.assigned {
+    let delay = if responded || schedule.assigned {
         schedule.backoff.reset();
         with_jitter(period, 0.2)
     } else {
@@ -240,13 +240,13 @@
 impl<E: EngineClient> ProbeTask<E> {
     async fn run(self) -> (ReplicaId, bool) {
         let outcome = probe_replica(&self.engine, &self.plan, &self.directory, self.timeout).await;
-        let answered = match outcome {
+        let responded = match outcome {
             ProbeOutcome::Evidence(evidence, load) => {
                 self.evidence_store.record_own(evidence, load);
                 true
             }
             ProbeOutcome::Inconclusive => false,
         };
-        (self.plan.id, answered)
+        (self.plan.id, responded)
     }
 }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -70,7 +70,7 @@
 pub struct ReplicaView {
     /// The plan as stored in the table.
     pub plan: ReplicaPlan,
-    /// Address of the leading host, which answers requests for the replica; none while it is
+    /// Address of the leading host, which receives the replica's requests; none while it is
     /// unknown.
     pub leader: Option<SocketAddr>,
     /// Failure domain of the leading host; none while it is unknown.
@@ -86,9 +86,9 @@
 impl ReplicaView {
     /// Whether a request may be sent to the replica now.
     ///
-    /// A replica with a missing host accepts a request and never answers it, so the caller would
-    /// wait until a timeout. Dispatch therefore requires evidence that all hosts are healthy, no
-    /// older than `limit` on this node's own monotonic clock; without evidence nothing is sent.
+    /// A replica with a missing host accepts a request and never responds to it, so the client
+    /// would wait until a timeout. Dispatch therefore requires evidence that all hosts are healthy,
+    /// no older than `limit` on this node's own monotonic clock; without evidence nothing is sent.
     #[must_use]
     pub fn dispatchable(&self, now: Instant, limit: Duration) -> bool {
         if self.draining || self.plan.draining || self.leader.is_none() {
--- a/crates/control/tests/rules/assembly_rounds.rs
+++ b/crates/control/tests/rules/assembly_rounds.rs
@@ -79,7 +79,7 @@
 
 /// Hosts die, return and restart, orders get lost or arrive late, the table loses responses, and
 /// controllers without the lease continue. Guards against a host in two replicas, where each would
-/// answer requests for the other, and against replicas that never recover.
+/// respond to requests for the other, and against replicas that never recover.
 #[test]
 fn no_host_in_two_replicas() {
     QuickCheck::new()
@@ -248,7 +248,7 @@
 }
 
 /// One host's engine restarts between two probes. The other ranks still wait for the old process,
-/// so the replica needs a new incarnation although all its hosts answer.
+/// so the replica needs a new incarnation although all its hosts respond.
 #[tokio::test(start_paused = true)]
 async fn host_restart_reforms_replica() {
     let mut sim = formed_sim().await;
--- a/crates/control/tests/rules/at_most_once.rs
+++ b/crates/control/tests/rules/at_most_once.rs
@@ -12,7 +12,7 @@
 use quickcheck::{Gen, QuickCheck};
 
 const KEYS: usize = 4;
-const CALLERS: usize = 24;
+const CLIENTS: usize = 24;
 
 fn key(number: usize) -> ClaimKey {
     ClaimKey {
@@ -33,7 +33,7 @@
 /// Executions of each call at the service, by key.
 type RunCounts = Arc<Mutex<BTreeMap<usize, u32>>>;
 
-/// One caller: claims the call and, with a ticket, sends it, is refused, loses the response or
+/// One client: claims the call and, with a ticket, sends it, is refused, loses the response or
 /// dies.
 async fn call_once(
     ledger: CallLedger<FakeTable>,
@@ -44,7 +44,7 @@
 ) {
     tokio::time::sleep(Duration::from_millis(rng.below(400))).await;
     let claim = ledger.claim(key(key_index), attempt(number), "body".to_owned());
-    // Some callers disconnect before the claim is answered.
+    // Some clients disconnect before the response to the claim.
     let patience = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
     let Ok(outcome) = tokio::time::timeout(patience, claim).await else {
         return;
@@ -95,17 +95,17 @@
             CallLedger::new(table.clone(), node("e0")),
             CallLedger::new(table.clone(), node("e0")),
         ];
-        let mut callers = Vec::new();
-        for number in 0..CALLERS {
+        let mut clients = Vec::new();
+        for number in 0..CLIENTS {
             let ledger = ledgers[rng.index(2)].clone();
             let key_index = rng.index(KEYS);
             let own = SeededRng::new(rng.below(u64::MAX));
             // Attempt numbers repeat too.
-            let caller = call_once(ledger, number % 5, key_index, own, Arc::clone(&runs));
-            callers.push(tokio::spawn(caller));
+            let client = call_once(ledger, number % 5, key_index, own, Arc::clone(&runs));
+            clients.push(tokio::spawn(client));
         }
-        for caller in callers {
-            caller.await.expect("caller did not panic");
+        for client in clients {
+            client.await.expect("client did not panic");
         }
         table.set_rates(FaultRates::default());
         // Background writes continue until the table accepts them.
@@ -132,7 +132,7 @@
     })
 }
 
-/// Callers retry the same keys through two nodes while the table loses responses and callers
+/// Clients retry the same keys through two nodes while the table loses responses and clients
 /// disconnect or die. Guards against a call that runs twice, and against one that never ran but
 /// stays unknown.
 #[test]
@@ -187,7 +187,7 @@
     assert_eq!(granted, 1, "{outcomes:?}");
 }
 
-/// Guards against claims that wait for a timeout while the table is down: the caller learns at once
+/// Guards against claims that wait for a timeout while the table is down: the client learns at once
 /// that the call was not run.
 #[tokio::test(start_paused = true)]
 async fn table_down_fails_fast() {
@@ -202,7 +202,7 @@
     assert!(started.elapsed() < Duration::from_millis(100));
 }
 
-/// A node is suspended between its claim and its send for longer than a caller waits. Its ticket
+/// A node is suspended between its claim and its send for longer than a client waits. Its ticket
 /// must have expired when it resumes.
 #[tokio::test]
 async fn expired_ticket_not_sent() {
--- a/crates/control/tests/rules/config_state.rs
+++ b/crates/control/tests/rules/config_state.rs
@@ -197,7 +197,7 @@
     settle: Duration::from_secs(12),
 };
 
-// Guards against outdated answers: the minority side of a partition must not serve records that
+// Guards against outdated responses: the minority side of a partition must not serve records that
 // were amended since, nor may a node that knows of a newer revision which it can't fetch.
 #[test]
 fn minority_never_serves() {
--- a/crates/control/tests/rules/fake/mod.rs
+++ b/crates/control/tests/rules/fake/mod.rs
@@ -11,10 +11,10 @@
 /// Result of a commit; commits beyond the scripted ones succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitFault {
-    /// It takes effect and is answered.
+    /// It takes effect and gets its response.
     None,
     /// It takes effect and the response is lost.
-    LoseAnswer,
+    LoseResponse,
     /// It never takes effect and the response is lost.
     LoseWrite,
     /// It takes effect only when [`FakeTable::deliver`] is called; the response is lost.
@@ -102,7 +102,7 @@
         let mut inner = self.inner();
         match inner.faults.pop().unwrap_or(CommitFault::None) {
             CommitFault::None => Ok(inner.rows.commit(batch)),
-            CommitFault::LoseAnswer => {
+            CommitFault::LoseResponse => {
                 inner.rows.commit(batch);
                 Err(lost())
             }
--- a/crates/control/tests/rules/host_reassignment.rs
+++ b/crates/control/tests/rules/host_reassignment.rs
@@ -103,7 +103,7 @@
 }
 
 /// A replica was dissolved and an entry node has not learned of it. If its second host were emptied
-/// first, the leader would still accept that node's requests and never answer them.
+/// first, the leader would still accept that node's requests and never respond to them.
 #[test]
 fn leader_emptied_first() {
     let members = ["h0", "h1"];
@@ -120,8 +120,8 @@
     assert_eq!(emptied(&orders), ["h1"]);
 }
 
-/// The leader of a dissolved replica is silent. It may still answer requests, so the other hosts
-/// are not emptied until it counts as lost.
+/// The leader of a dissolved replica is silent. It may still respond to requests, so the other
+/// hosts are not emptied until it counts as lost.
 #[test]
 fn silent_leader_blocks_emptying() {
     let members = ["h0", "h1"];
--- a/crates/control/tests/rules/record_amend.rs
+++ b/crates/control/tests/rules/record_amend.rs
@@ -117,10 +117,10 @@
 #[tokio::test(start_paused = true)]
 async fn lost_response_settled() {
     for faults in [
-        vec![CommitFault::LoseAnswer],
-        vec![CommitFault::LoseWrite, CommitFault::LoseAnswer],
+        vec![CommitFault::LoseResponse],
+        vec![CommitFault::LoseWrite, CommitFault::LoseResponse],
         vec![CommitFault::LoseWrite, CommitFault::LoseWrite],
-        vec![CommitFault::LoseAnswer, CommitFault::LoseWrite],
+        vec![CommitFault::LoseResponse, CommitFault::LoseWrite],
     ] {
         let table = FakeTable::default();
         table.set_faults(&faults);
@@ -139,7 +139,7 @@
     let table = FakeTable::default();
     let first = amend_record(&table, &amendment("c", 2, share(1), "t1")).await;
     assert!(matches!(first, Ok(AmendOutcome::Accepted(_))));
-    table.set_faults(&[CommitFault::LoseAnswer]);
+    table.set_faults(&[CommitFault::LoseResponse]);
     let mut delete = amendment("c", 2, share(1), "t2");
     delete.record = None;
     let other = async {
--- a/crates/control/tests/rules/sim/engine.rs
+++ b/crates/control/tests/rules/sim/engine.rs
@@ -20,7 +20,7 @@
 pub struct FakeHost {
     /// The state that it reports.
     pub state: EngineState,
-    /// Whether it answers.
+    /// Whether it responds.
     pub alive: bool,
     highest_epoch: LeaseEpoch,
 }
@@ -99,12 +99,12 @@
         });
     }
 
-    /// The state of one engine, whether or not it answers.
+    /// The state of one engine, whether or not it responds.
     pub fn state_of(&self, number: u16) -> EngineState {
         self.inner().hosts[&host_address(number)].state.clone()
     }
 
-    /// The states of all engines that answer.
+    /// The states of all engines that respond.
     pub fn states(&self) -> Vec<EngineState> {
         let inner = self.inner();
         inner
--- a/crates/domain/src/claim.rs
+++ b/crates/domain/src/claim.rs
@@ -26,7 +26,7 @@
 pub enum ClaimState {
     /// The call may or may not have been sent.
     Claimed,
-    /// The target responded; the response is kept to answer repeats of the call.
+    /// The target responded; the response is kept as the response to repeats of the call.
     Answered {
         /// HTTP status code of the response.
         status: u16,
--- a/crates/domain/src/evidence.rs
+++ b/crates/domain/src/evidence.rs
@@ -27,7 +27,7 @@
     ///
     /// The check fails closed. It returns false for another incarnation, a missing or leaving host
     /// and evidence older than `max_age`, because a replica that lacks a host accepts requests but
-    /// never answers them.
+    /// never responds to them.
     #[must_use]
     pub fn allows_dispatch(&self, plan: &ReplicaPlan, max_age: Duration) -> bool {
         self.replica == plan.id
--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -109,7 +109,7 @@
     ServiceName;
     /// One attempt to run a request on a target.
     AttemptId;
-    /// A caller's request; shared by all its attempts.
+    /// A client's request; shared by all its attempts.
     RequestId;
     /// The name of a lease, part of its table key.
     LeaseName;
--- a/crates/peers/src/auth.rs
+++ b/crates/peers/src/auth.rs
@@ -1,7 +1,7 @@
 //! Authentication of peers and their messages with the deployment's shared key.
 //!
 //! Every message carries an HMAC. The alternative was TLS with `rustls`. The links carry no secrets
-//! (records contain only hashes of callers' keys), but a forged digest could put an attacker's
+//! (records contain only hashes of clients' keys), but a forged digest could put an attacker's
 //! configuration into force, so the origin of every message must be verified. Certificates would
 //! have to be issued to diskless hosts that are replaced a hundred times a day, and their expiry
 //! could break all links at once without warning. A shared key is delivered with the settings that
@@ -211,8 +211,8 @@
     ///
     /// # Errors
     ///
-    /// [`AuthError::Body`] if it can't be decoded, [`AuthError::InvalidProof`] if the tag or version
-    /// is wrong, [`AuthError::Replayed`] if the sequence number did not increase.
+    /// [`AuthError::Body`] if it can't be decoded, [`AuthError::InvalidProof`] if the tag or
+    /// version is wrong, [`AuthError::Replayed`] if the sequence number did not increase.
     pub fn verify<const LIMIT: usize>(&mut self, bytes: &[u8]) -> Result<VerifiedFrame, AuthError> {
         let frame: AuthenticatedFrame = decode_message::<_, LIMIT>(bytes)?;
         let side = self.side.opposite();
--- a/crates/peers/src/settings.rs
+++ b/crates/peers/src/settings.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Address on which to accept links; if none, a free port on the address for callers.
+    /// Address on which to accept links; if none, a free port on the address for clients.
     pub listen: Option<SocketAddr>,
     /// File with the key that all nodes share. Without a key, the node opens and accepts no links.
     pub key_file: Option<PathBuf>,
--- a/crates/settings/src/catalogue/control.rs
+++ b/crates/settings/src/catalogue/control.rs
@@ -142,7 +142,7 @@
         "longest_pause",
         FieldKind::Duration(100, 10 * MINUTE),
         Some("8s"),
-        "Longest delay between two probes by such a node while the replica does not answer.",
+        "Longest delay between two probes by such a node while the replica does not respond.",
     ),
     field(
         "watch",
@@ -205,7 +205,7 @@
         "claim_retention",
         FieldKind::Duration(60 * MINUTE, 365 * 24 * 60 * MINUTE),
         Some("7days"),
-        "Time for which a settled claim answers later requests with its key.",
+        "Time for which a settled claim determines the response to later requests with its key.",
     ),
     field(
         "housekeeping",
--- a/crates/settings/src/catalogue/mod.rs
+++ b/crates/settings/src/catalogue/mod.rs
@@ -34,8 +34,8 @@
         "secrets" => {
             "Where secrets are read from: a file or an environment variable, never this file."
         }
-        "tls" => "TLS for connections from callers.",
-        "entry" => "Handling of callers' requests.",
+        "tls" => "TLS for connections from clients.",
+        "entry" => "Handling of clients' requests.",
         "config" => "Polling and confirming the configuration.",
         "members" => "Membership of the entry nodes.",
         "peers" => "Links to other entry nodes.",
--- a/crates/settings/src/catalogue/node.rs
+++ b/crates/settings/src/catalogue/node.rs
@@ -26,7 +26,7 @@
         "",
         "listen",
         FieldKind::Address,
-        "Address on which callers connect; port 0 selects a free port.",
+        "Address on which clients connect; port 0 selects a free port.",
     ),
     field(
         "",
@@ -108,7 +108,7 @@
         "certificate_file",
         FieldKind::Path,
         None,
-        "Certificate with its chain, as PEM. Without it callers connect without TLS.",
+        "Certificate with its chain, as PEM. Without it clients connect without TLS.",
     ),
     field(
         "tls",
--- a/crates/settings/src/catalogue/peers.rs
+++ b/crates/settings/src/catalogue/peers.rs
@@ -86,7 +86,7 @@
         "listen",
         FieldKind::Address,
         None,
-        "Address on which other nodes connect; if omitted, a free port on the callers' address.",
+        "Address on which other nodes connect; if omitted, a free port on the clients' address.",
     ),
     field(
         "peers",
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -32,7 +32,7 @@
     pub region: RegionId,
     /// Failure domain in which the node runs.
     pub domain: DomainId,
-    /// Address on which callers connect; port 0 selects a free port.
+    /// Address on which clients connect; port 0 selects a free port.
     pub listen: SocketAddr,
     /// Address of the admin listener; if none, the node has no admin listener.
     #[serde(default)]
@@ -42,9 +42,9 @@
     /// Files and environment variables with the node's secrets.
     #[serde(default)]
     pub secrets: SecretSettings,
-    /// TLS for connections from callers.
+    /// TLS for connections from clients.
     pub tls: TlsSettings,
-    /// Handling of callers' requests.
+    /// Handling of clients' requests.
     pub entry: EntrySettings,
     /// Polling and confirming the configuration.
     pub config: ConfigSettings,
@@ -102,11 +102,11 @@
     }
 }
 
-/// TLS for connections from callers.
+/// TLS for connections from clients.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// File with the certificate and its chain, as PEM. Without it callers connect without TLS.
+    /// File with the certificate and its chain, as PEM. Without it clients connect without TLS.
     #[serde(default)]
     pub certificate_file: Option<PathBuf>,
     /// File with the private key of the certificate, as PEM.
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger of non-idempotent calls: one idempotency key, two entry nodes, a table, a service.
 //!
-//! The caller sends its request through both entry nodes. The write of a claim may take effect
+//! The client sends its request through both entry nodes. The write of a claim may take effect
 //! late, its response may be lost, an entry node may pause between any two steps, the service may
 //! refuse the connection before any byte is sent, and its response may be lost after it ran the
 //! call. Housekeeping deletes settled claims.
@@ -15,7 +15,7 @@
     /// A claim is inserted only if none exists.
     ConditionalInsert,
     /// If the response to a claim is lost, the claim is sent again under the same token before the
-    /// caller gets a response.
+    /// client gets a response.
     SettleLostClaim,
     /// A claim is withdrawn only if no byte of its call was sent.
     WithdrawUnsentOnly,
@@ -70,7 +70,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Request {
-    /// The caller has not sent it yet.
+    /// The client has not sent it yet.
     NotSent,
     /// The write of the claim is in transit.
     Claiming,
@@ -85,7 +85,7 @@
     Ran,
     /// The service refused the connection before any byte was sent.
     Refused,
-    /// The caller got this result.
+    /// The client got this result.
     Finished(CallResult),
 }
 
@@ -261,7 +261,7 @@
         let deletable = match state.row {
             ClaimRow::Absent => false,
             ClaimRow::Claimed(_) => !self.enforces(LedgerGuard::DeleteSettledOnly),
-            // A settled claim is deleted long after its caller's last retry.
+            // A settled claim is deleted long after its client's last retry.
             ClaimRow::Answered(_) | ClaimRow::Withdrawn(_) => state
                 .requests
                 .iter()
@@ -311,7 +311,7 @@
                     let mut next = state.clone();
                     next.requests[entry] = Request::Claiming;
                     transitions.push((
-                        format!("the caller sends the request to entry {entry}"),
+                        format!("the client sends the request to entry {entry}"),
                         next,
                     ));
                 }
@@ -338,7 +338,7 @@
         }
         for (request, runs) in state.requests.iter().zip(state.runs) {
             if *request == Request::Finished(CallResult::NotRun) && runs > 0 {
-                return Some("a call ran although the caller was told that it did not");
+                return Some("a call ran although the client was told that it did not");
             }
         }
         None
