--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -260,8 +260,8 @@
         && before.as_ref() != Some(&wanted)
     {
         let scope = load_scope(loaded.as_ref(), before.as_ref(), &wanted);
-        let instant = core.options.load_ms == 0 && core.options.weights.is_none();
-        if scope == LoadScope::Nothing || instant {
+        let loads_instantly = core.options.load_ms == 0 && core.options.weights.is_none();
+        if scope == LoadScope::Nothing || loads_instantly {
             core.finish_load(&wanted);
         } else {
             let core = Arc::clone(core);
--- a/crates/standin/src/engine/pool.rs
+++ b/crates/standin/src/engine/pool.rs
@@ -142,12 +142,12 @@
 
     /// Moves waiting streams into free slots: higher priority first, then in order of arrival.
     fn admit_waiting(&mut self) {
-        let waits = |phase| phase == StreamPhase::Waiting;
-        let running = self.count(|phase| !waits(phase) && phase != StreamPhase::Ended);
+        let is_waiting = |phase| phase == StreamPhase::Waiting;
+        let running = self.count(|phase| !is_waiting(phase) && phase != StreamPhase::Ended);
         let mut waiting: Vec<_> = self
             .streams
             .iter()
-            .filter(|(_, stream)| waits(stream.phase))
+            .filter(|(_, stream)| is_waiting(stream.phase))
             .map(|(attempt, stream)| {
                 let rank = (Reverse(stream.request.priority), stream.arrival);
                 (rank, attempt.clone())
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -17,7 +17,7 @@
 use crate::deployment::CallerConfig;
 
 /// Timeout for the response headers.
-const HEAD_TIMEOUT: Duration = Duration::from_mins(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Timeout between two frames of a response body.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -132,7 +132,7 @@
         for offset in 0..self.entries.len() {
             let entry = self.entries[(request.entry + offset) % self.entries.len()];
             let head = caller_request(entry, path, &request.customer.key, key, body)?;
-            match self.client.send(entry, head, HEAD_TIMEOUT).await {
+            match self.client.send(entry, head, RESPONSE_TIMEOUT).await {
                 // A load balancer also tries another host if a connection fails.
                 Err(error) if error.is_unsent() => last_error = Some(error),
                 result => return result,
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -161,9 +161,9 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-fn print_costs(what: &str, costs: &[(usize, ControlCost)], full_scale: f64) {
+fn print_costs(dimension: &str, costs: &[(usize, ControlCost)], full_scale: f64) {
     println!(
-        "\n{what:>8} | cpu % of a core a node | MiB a node | bytes/s a node | reads/s | writes/s"
+        "\n{dimension:>8} | CPU % of a core per node | MiB per node | bytes/s per node | reads/s | writes/s"
     );
     for (number, cost) in costs {
         println!(
@@ -173,7 +173,7 @@
     }
     let columns: [(&str, Vec<f64>); 5] = [
         (
-            "cpu %",
+            "CPU %",
             costs.iter().map(|(_, cost)| cost.cpu.median).collect(),
         ),
         (
@@ -198,12 +198,14 @@
         .map(|(number, _)| as_f64(*number as u64))
         .collect();
     for (name, values) in columns {
-        let Some((base, slope)) = fit_line(&numbers, &values).ok_or_eyre("one size only").ok()
+        let Some((base, slope)) = fit_line(&numbers, &values)
+            .ok_or_eyre("all sizes are equal")
+            .ok()
         else {
             continue;
         };
         println!(
-            "  {name}: {base:.3} + {slope:.5} for each of the {what}; at {full_scale:.0}: {:.2}",
+            "  {name}: {base:.3} + {slope:.5} for each of the {dimension}; at {full_scale:.0}: {:.2}",
             base + slope * full_scale
         );
     }
@@ -211,18 +213,18 @@
 
 /// Fits a line by least squares; returns its intercept and slope, or `None` if all `xs` are equal.
 fn fit_line(xs: &[f64], ys: &[f64]) -> Option<(f64, f64)> {
-    let size = as_f64(xs.len() as u64);
-    let mean_x = xs.iter().sum::<f64>() / size;
-    let mean_y = ys.iter().sum::<f64>() / size;
-    let sum_xx: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
-    if sum_xx <= 0.0 {
+    let points = as_f64(xs.len() as u64);
+    let mean_x = xs.iter().sum::<f64>() / points;
+    let mean_y = ys.iter().sum::<f64>() / points;
+    let sum_of_squares: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
+    if sum_of_squares <= 0.0 {
         return None;
     }
-    let sum_xy: f64 = xs
+    let sum_of_products: f64 = xs
         .iter()
         .zip(ys)
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = sum_xy / sum_xx;
+    let slope = sum_of_products / sum_of_squares;
     Some((mean_y - slope * mean_x, slope))
 }
--- a/crates/standin/src/measure/cost.rs
+++ b/crates/standin/src/measure/cost.rs
@@ -21,7 +21,7 @@
 const ROUND_DURATION: Duration = Duration::from_secs(4);
 
 /// Tokens of a long response, so that the cost of tokens dominates that of the request.
-const LONG_ANSWER: u32 = 256;
+const LONG_RESPONSE_TOKENS: u32 = 256;
 
 /// Numbers of open streams at which memory is read.
 const OPEN_STREAMS: [usize; 3] = [100, 600, 1_100];
@@ -53,14 +53,14 @@
         .await;
     let idle = measure_idle(&stack).await?;
     println!(
-        "\none entry, {rounds} rounds of {ROUND_DURATION:?} with {CONCURRENT_STREAMS} streams at once;"
+        "\none entry, {rounds} rounds of {ROUND_DURATION:?} with {CONCURRENT_STREAMS} concurrent streams;"
     );
-    println!("per second of its CPU time, median round (lowest to highest)");
+    println!("per second of CPU time, median round (lowest to highest)");
     println!("  idle: {:.2}% of a core", idle * 100.0);
     let mut token_rates = Vec::new();
     let mut request_rates = Vec::new();
     for _ in 0..rounds {
-        let long = measure_rate(&stack, LONG_ANSWER).await?;
+        let long = measure_rate(&stack, LONG_RESPONSE_TOKENS).await?;
         token_rates.push(long.tokens / long.cpu);
         let short = measure_rate(&stack, 1).await?;
         request_rates.push(short.requests / short.cpu);
@@ -75,9 +75,9 @@
     for _ in 0..rounds {
         slopes.push(measure_memory(binary).await?);
     }
-    println!("\nmemory of one entry for each open stream, {rounds} fresh entries,");
+    println!("\nmemory of one entry per open stream, {rounds} new entries,");
     println!("from {OPEN_STREAMS:?} open streams");
-    println!("  KiB a stream: {:.1}", RoundSpread::of(&slopes));
+    println!("  KiB per stream: {:.1}", RoundSpread::of(&slopes));
     Ok(())
 }
 
--- a/crates/standin/src/measure/gateway.rs
+++ b/crates/standin/src/measure/gateway.rs
@@ -91,17 +91,17 @@
             costs[cost].event_us.push(measure_events(stream).await?);
         }
     }
-    println!("a gateway beside a plain relay, {rounds} rounds of {ROUND_DURATION:?};");
+    println!("a gateway compared with a plain relay, {rounds} rounds of {ROUND_DURATION:?};");
     println!("median round (lowest to highest)");
     for (name, cost) in ["gateway", "relay"].iter().zip(&costs) {
         println!("  {name}:");
         println!(
-            "    us a plain request: {:.0}",
+            "    us per plain request: {:.0}",
             RoundSpread::of(&cost.plain_us)
         );
-        println!("    us an event: {:.1}", RoundSpread::of(&cost.event_us));
+        println!("    us per event: {:.1}", RoundSpread::of(&cost.event_us));
         println!(
-            "    KiB a stream at {OPEN_STREAMS} open: {:.1}",
+            "    KiB per stream at {OPEN_STREAMS} open: {:.1}",
             cost.stream_kib
         );
     }
--- a/crates/standin/src/measure/path.rs
+++ b/crates/standin/src/measure/path.rs
@@ -47,7 +47,7 @@
         gap_ratio.push(path.gap / direct.gap);
     }
     println!(
-        "path against the engine called directly, {rounds} rounds of {PAIRS_PER_ROUND} pairs,"
+        "request path compared with a direct call of the engine, {rounds} rounds of {PAIRS_PER_ROUND} pairs,"
     );
     println!(
         "{TOKENS_PER_STREAM} tokens each, one stream at a time; median round (lowest to highest)"
--- a/crates/standin/src/site/engine.rs
+++ b/crates/standin/src/site/engine.rs
@@ -230,7 +230,7 @@
         });
         let last_event_id: usize = request.header("last-event-id").parse().unwrap_or(0);
         let events = self.with(id, |engine| engine.events).unwrap_or(0);
-        let run = StreamRun {
+        let stream_run = StreamRun {
             groups: self.clone(),
             id: id.to_owned(),
             group,
@@ -239,9 +239,9 @@
             crashes_engine: contains(&request.body, CRASH_BODY),
             started: false,
         };
-        let frames = stream::unfold(run, |mut run| async move {
-            let frame = run.event().await?;
-            Some((frame, run))
+        let frames = stream::unfold(stream_run, |mut stream_run| async move {
+            let frame = stream_run.event().await?;
+            Some((frame, stream_run))
         });
         let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
         let headers = response.headers_mut();
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -163,7 +163,8 @@
     }
 }
 
-/// Serves one connection; after an answer marked [`CloseAfterResponse`] it is closed, as a server does with connections of a maximum age.
+/// Serves one connection; after a response marked [`CloseAfterResponse`] it is
+/// closed, as a server does with connections of a maximum age.
 async fn serve<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(SiteRequest) -> F + Clone + Send + 'static,
@@ -212,14 +213,14 @@
     .await
 }
 
-pub(super) fn full(bytes: impl Into<Bytes>) -> SiteBody {
+pub(super) fn full_body(bytes: impl Into<Bytes>) -> SiteBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
 pub(super) fn text_response(status: StatusCode, text: &str) -> SiteResponse {
-    let mut response = Response::new(full(text.to_owned()));
+    let mut response = Response::new(full_body(text.to_owned()));
     *response.status_mut() = status;
     response
 }
--- a/crates/standin/src/site/orders.rs
+++ b/crates/standin/src/site/orders.rs
@@ -41,8 +41,9 @@
     fn is_serving_group(&self, group: &Group) -> bool {
         let head = &group.members[0];
         let state = self.with(head, |head| {
-            let same = head.group.as_ref().filter(|own| own.name == group.name);
-            same.is_some_and(|own| matches!(own.state, "open" | "closing")) && !head.unresponsive
+            let own_group = head.group.as_ref().filter(|own| own.name == group.name);
+            own_group.is_some_and(|own| matches!(own.state, "open" | "closing"))
+                && !head.unresponsive
         });
         state.unwrap_or(false)
     }
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -184,9 +184,9 @@
             if !rows.is_empty() || Instant::now() >= deadline {
                 return self.page(&rows, false);
             }
-            let left = deadline.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             // The loop checks again after a change as well as after the timeout.
-            drop(tokio::time::timeout(left, changed).await);
+            drop(tokio::time::timeout(remaining, changed).await);
         }
     }
 
--- a/crates/standin/src/site/stream.rs
+++ b/crates/standin/src/site/stream.rs
@@ -35,8 +35,8 @@
         let wait_started = Instant::now();
         // No event is produced while a member is missing; the head itself may have crashed too.
         while !self.groups.is_complete(&self.group) {
-            let left = self.groups.group_name(&self.id).as_ref() != Some(&self.group.name);
-            if left || wait_started.elapsed() > STALL_TIMEOUT {
+            let left_group = self.groups.group_name(&self.id).as_ref() != Some(&self.group.name);
+            if left_group || wait_started.elapsed() > STALL_TIMEOUT {
                 return Some(Err(std::io::Error::other("the replica lost a member")));
             }
             tokio::time::sleep(EVENT_INTERVAL).await;
--- a/crates/standin/src/stack/mod.rs
+++ b/crates/standin/src/stack/mod.rs
@@ -102,8 +102,8 @@
         .collect();
     let list = json!({ "revision": 1, "hosts": hosts });
     let temporary = directory.join("hosts.json.new");
-    std::fs::write(&temporary, list.to_string()).expect("writable");
-    std::fs::rename(&temporary, directory.join("hosts.json")).expect("renamable");
+    std::fs::write(&temporary, list.to_string()).expect("file is writable");
+    std::fs::rename(&temporary, directory.join("hosts.json")).expect("file can be renamed");
 }
 
 fn merge_settings(section: &mut Value, values: &Value) {
@@ -178,7 +178,7 @@
             merge_settings(&mut settings[section], values);
         }
         let file = self.directory.join(format!("{name}.json"));
-        std::fs::write(&file, settings.to_string()).expect("writable");
+        std::fs::write(&file, settings.to_string()).expect("file is writable");
         file.display().to_string()
     }
 
@@ -187,7 +187,7 @@
         let path = self.directory.join("records.json");
         std::fs::File::create(&path)
             .and_then(|mut file| file.write_all(records.to_string().as_bytes()))
-            .expect("writable");
+            .expect("file is writable");
         let mut command = self.operator_command();
         command.args(["apply", &path.display().to_string()]);
         let status = command.status().expect("operator client starts");
