--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -117,8 +117,8 @@
     }
 
     fn count(&mut self, id: CallId, response: Value) {
-        let entry = id.never_executed();
-        let entry = self.entries.entry(id).or_insert(entry);
+        let initial = id.never_executed();
+        let entry = self.entries.entry(id).or_insert(initial);
         entry.executions += 1;
         entry.answer = Some(response);
     }
