--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -10,7 +10,7 @@
     /// The connection could not be established or failed.
     #[error("connection failed: {0}")]
     Connection(String),
-    /// The peer didn't respond in time; it may be frozen or unreachable.
+    /// The peer didn't respond in time; it may be suspended or unreachable.
     #[error("the peer did not respond in time")]
     TimedOut,
     /// The peer refused a request, for example because there is no common protocol version.
@@ -25,7 +25,7 @@
     /// A message exceeds this size limit in bytes.
     #[error("message exceeds {0} bytes")]
     TooLarge(usize),
-    /// The message was buffered too long, because this process or the peer was frozen.
+    /// The message was buffered too long, because this process or the peer was suspended.
     #[error("the message is too old")]
     Stale,
 }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -187,7 +187,7 @@
         let payload = encode_message(&digest)?;
         let response = self.request::<MAX_DIGEST_BYTES>("/digest", payload).await?;
         context.gossip.traffic.count_exchange();
-        // After this process was frozen, the response may be ready before the timeout fires. Its
+        // After this process was suspended, the response may be ready before the timeout fires. Its
         // heartbeats may then be long out of date.
         if requested_at.elapsed() > self.timeout {
             return Err(LinkError::Stale);
--- a/crates/peers/src/listen.rs
+++ b/crates/peers/src/listen.rs
@@ -29,14 +29,14 @@
 /// Maximum number of concurrent requests per connection; a peer sends them one at a time.
 const MAX_STREAMS: u32 = 4;
 
-/// Time without a request after which a connection is closed; its peer is frozen or gone.
+/// Time without a request after which a connection is closed; its peer is suspended or gone.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Number of responses whose send time is kept. A peer echoes the newest one that it received.
 const KEPT_RESPONSES: usize = 8;
 
 /// Maximum age of the response that a request echoes. An older one means that the request was
-/// buffered while this process or its peer was frozen, so its heartbeats are out of date.
+/// buffered while this process or its peer was suspended, so its heartbeats are out of date.
 const MAX_ECHO_AGE: Duration = Duration::from_secs(6);
 
 /// Delay before each response to a digest, so that one peer can't use up the CPU.
--- a/crates/peers/src/manage.rs
+++ b/crates/peers/src/manage.rs
@@ -122,8 +122,8 @@
     }
 
     /// Avoids a peer for a while after its link failed, so that another peer is selected instead.
-    /// With an immediate retry, a frozen peer would never be replaced by another, and a peer that
-    /// comes back would be flooded with connections.
+    /// With an immediate retry, a suspended peer would never be replaced by another, and a peer
+    /// that comes back would be flooded with connections.
     fn handle_link_end(&mut self, ended: EndedLink, now: Instant) {
         let until = now + jittered(self.context.settings.avoid_duration());
         self.running.remove(&ended.endpoint);
