--- a/crates/control/src/amend/mod.rs
+++ b/crates/control/src/amend/mod.rs
@@ -72,9 +72,9 @@
 /// A change of one record that an operator asks for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordAmendment {
-    /// Kind of the record.
+    /// Kind of the record to write or delete.
     pub kind: RecordKind,
-    /// Name of the record.
+    /// Name of the record, unique within its kind.
     pub name: String,
     /// The new content; none deletes the record.
     pub record: Option<RecordEnvelope>,
@@ -130,7 +130,7 @@
     /// Other amendments were accepted in every attempt.
     #[error("{HEAD_ATTEMPTS} other amendments were accepted first; nothing took effect, try again")]
     Contention,
-    /// The content of a row can't be parsed, or a value can't be stored in it.
+    /// The content of the row with this key can't be parsed, or a value can't be stored in it.
     #[error("row {0} is malformed")]
     MalformedRow(String),
 }
--- a/crates/control/src/amend/rows.rs
+++ b/crates/control/src/amend/rows.rs
@@ -92,7 +92,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] when the row
+/// can't be parsed.
 pub async fn read_change<T: TableStore>(
     table: &T,
     revision: ConfigRevision,
--- a/crates/control/src/assembly/rows.rs
+++ b/crates/control/src/assembly/rows.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`].
+    /// [`StoreError`] when a row can't be read or parsed.
     pub async fn load<T: TableStore>(table: &T, fabric: &FabricId) -> Result<Self, StoreError> {
         let fleet = read_row(table, &keys::fleet_key(fabric)).await?;
         let mut rows = Self {
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`].
+    /// [`StoreError`] when a row can't be read or parsed; the counts are then incomplete.
     pub async fn load_replica_counts<T: TableStore>(
         &mut self,
         table: &T,
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`].
+    /// [`StoreError`] when the row can't be read.
     pub async fn is_stale<T: TableStore>(&self, table: &T) -> Result<bool, StoreError> {
         let read = table
             .read(&keys::fleet_key(&self.fabric), self.fleet.1)
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`].
+    /// [`StoreError`] when a row can't be read or parsed; some slots may be cached by then.
     pub async fn load_slots<'host, T: TableStore>(
         &mut self,
         table: &T,
--- a/crates/control/src/config/load.rs
+++ b/crates/control/src/config/load.rs
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError`].
+/// [`StoreError`] when the row can't be read or parsed.
 pub async fn read_pointer<T: TableStore>(table: &T) -> Result<PointerRead, StoreError> {
     let RowRead::Found(row) = table.read(keys::CONFIG_SNAPSHOT, None).await? else {
         return Ok(PointerRead::default());
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -36,7 +36,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] when the row
+/// can't be parsed.
 pub async fn get_record<T: TableStore>(
     table: &T,
     kind: RecordKind,
@@ -55,7 +56,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] for the first
+/// row that can't be parsed.
 pub async fn list_records<T: TableStore>(
     table: &T,
     kind: Option<RecordKind>,
@@ -78,7 +80,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] when the row
+/// can't be parsed.
 pub async fn config_head<T: TableStore>(table: &T) -> Result<ConfigRevision, AmendError> {
     match table.read(keys::CONFIG_HEAD, None).await? {
         RowRead::Found(row) => serde_json::from_value::<ConfigHead>(row.value)
@@ -92,7 +95,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] for the first
+/// row that can't be parsed.
 pub async fn read_history<T: TableStore>(
     table: &T,
     query: &HistoryQuery,
@@ -126,7 +130,8 @@
 ///
 /// # Errors
 ///
-/// [`AmendError`].
+/// [`AmendError::Store`] when the table can't be read, [`AmendError::MalformedRow`] when a row
+/// can't be parsed.
 pub async fn amendment_status<T: TableStore>(
     table: &T,
     revision: ConfigRevision,
--- a/crates/control/src/housekeeping.rs
+++ b/crates/control/src/housekeeping.rs
@@ -90,7 +90,8 @@
 ///
 /// # Errors
 ///
-/// [`StoreError`].
+/// [`StoreError`] when the row can't be read, parsed or written. The write may still have taken
+/// effect, unless [`StoreError::is_not_applied`] returns true.
 pub async fn advance_retention_log<T: TableStore>(
     table: &T,
     grant: &LeaseGrant,
@@ -145,7 +146,8 @@
 ///
 /// # Errors
 ///
-/// [`StoreError`].
+/// [`StoreError`] when the transaction fails; its deletes may still have taken effect, unless
+/// [`StoreError::is_not_applied`] returns true. A conflict is no error and counts as 0.
 pub async fn delete_settled_claims<T: TableStore>(
     table: &T,
     grant: &LeaseGrant,
--- a/crates/control/src/ledger/mod.rs
+++ b/crates/control/src/ledger/mod.rs
@@ -161,7 +161,9 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`].
+    /// [`StoreError`] when the claim can't be queued, written or parsed, or not within
+    /// [`LedgerSettings::claim_timeout_ms`]. A claim that may have been stored is withdrawn in the
+    /// background.
     pub async fn claim(
         &self,
         key: ClaimKey,
--- a/crates/control/src/members/mod.rs
+++ b/crates/control/src/members/mod.rs
@@ -97,13 +97,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, bon::Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
-    /// Mean interval between two heartbeats sent through peers, from 500 to 60,000.
+    /// Mean interval between two heartbeats sent through peers, from 200 to 60,000.
     #[builder(default = 5_000)]
     pub beat_ms: u64,
-    /// Mean interval between two writes of the node's row, from 1,000 to 60,000.
+    /// Mean interval between two writes of the node's row, from 200 to 60,000.
     #[builder(default = 10_000)]
     pub write_ms: u64,
-    /// Mean interval between two listings of all rows by a node that has peers, from 10,000 to
+    /// Mean interval between two listings of all rows by a node that has peers, from 1,000 to
     /// 3,600,000.
     #[builder(default = 300_000)]
     pub list_ms: u64,
--- a/crates/control/src/plans.rs
+++ b/crates/control/src/plans.rs
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError`].
+/// [`StoreError`] when a row can't be read or parsed.
 pub async fn read_changed_plans<T: TableStore>(
     table: &T,
     head: Option<RowVersion>,
--- a/crates/domain/src/record.rs
+++ b/crates/domain/src/record.rs
@@ -121,7 +121,7 @@
 pub struct VersionPlan {
     /// Version of the model's weights.
     pub version: VersionName,
-    /// Desired number of replicas.
+    /// Desired number of replicas over all fabric domains; surplus ones are drained.
     pub replicas: u32,
 }
 
@@ -151,7 +151,7 @@
 /// Hosts that must not receive new work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainRecord {
-    /// Name of the record.
+    /// Name that the operator chose, unique among the drain records.
     pub name: RecordName,
     /// Individual hosts to drain.
     pub hosts: Vec<HostId>,
--- a/crates/peers/src/settings.rs
+++ b/crates/peers/src/settings.rs
@@ -23,14 +23,15 @@
     /// Number of links that the node opens, from 2 to 8; it accepts about as many.
     #[builder(default = 4)]
     pub degree: usize,
-    /// Mean time between exchanges on a link, from 200 to 10,000. Configuration changes are sent
+    /// Mean time between exchanges on a link, from 100 to 10,000. Configuration changes are sent
     /// immediately.
     #[builder(default = 1_000)]
     pub exchange_ms: u64,
-    /// Timeout of an exchange, after which the link fails, from 500 to 5,000.
+    /// Timeout of an exchange, after which the link fails, from 200 to 5,000.
     #[builder(default = 2_000)]
     pub timeout_ms: u64,
-    /// Time for which a peer is avoided after its link failed, from 1,000 to 60,000.
+    /// Mean time for which a peer is avoided after its link failed, from 500 to 60,000, jittered by
+    /// half of it either way.
     #[builder(default = 10_000)]
     pub avoid_ms: u64,
 }
@@ -42,19 +43,19 @@
 }
 
 impl PeerSettings {
-    /// Returns the mean time between exchanges on a link.
+    /// [`Self::exchange_ms`] as a duration, before jitter.
     #[must_use]
     pub fn exchange_interval(&self) -> Duration {
         Duration::from_millis(self.exchange_ms)
     }
 
-    /// Returns the timeout of an exchange.
+    /// [`Self::timeout_ms`] as a duration.
     #[must_use]
     pub fn exchange_timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Returns how long a peer is avoided after its link failed.
+    /// [`Self::avoid_ms`] as a duration, before jitter.
     #[must_use]
     pub fn avoid_duration(&self) -> Duration {
         Duration::from_millis(self.avoid_ms)
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`].
+    /// [`SettingsError`] when the file can't be read, isn't JSON or contains invalid settings.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let displayed = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// All findings.
+    /// All findings of the catalogue's checks; if there are none, all findings of [`check_rules`].
     pub fn from_value(file: &Value) -> Result<Self, FindingList> {
         let typed = read_settings(file)?;
         let settings: Self = serde_json::from_value(typed).map_err(|error| {
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -152,7 +152,8 @@
     ///
     /// # Errors
     ///
-    /// [`SecretError`].
+    /// [`SecretError`] when the file or variable can't be read, or the key is shorter than
+    /// [`crate::secret::MIN_SECRET_BYTES`].
     pub fn operator_key(&self) -> Result<Option<SecretText>, SecretError> {
         load_secret(
             self.operator_key_file.as_deref(),
@@ -164,7 +165,8 @@
     ///
     /// # Errors
     ///
-    /// [`SecretError`].
+    /// [`SecretError`] when the file or variable can't be read, or the key is shorter than
+    /// [`crate::secret::MIN_SECRET_BYTES`].
     pub fn resume_key(&self) -> Result<Option<SecretText>, SecretError> {
         load_secret(
             self.resume_key_file.as_deref(),
@@ -177,7 +179,8 @@
 ///
 /// # Errors
 ///
-/// [`SecretError`].
+/// [`SecretError`] when the file or variable can't be read, or the key is shorter than
+/// [`crate::secret::MIN_SECRET_BYTES`].
 pub fn peer_key(peers: &PeerSettings) -> Result<Option<SecretText>, SecretError> {
     load_secret(peers.key_file.as_deref(), peers.key_env.as_deref())
 }
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// [`SecretError::TooShort`].
+    /// [`SecretError::TooShort`] if fewer than [`MIN_SECRET_BYTES`] remain.
     pub fn new(text: &str) -> Result<Self, SecretError> {
         let text = text.trim();
         if text.len() < MIN_SECRET_BYTES {
@@ -47,7 +47,8 @@
     ///
     /// # Errors
     ///
-    /// [`SecretError`].
+    /// [`SecretError::File`] when it can't be read, [`SecretError::TooShort`] when its trimmed
+    /// content is shorter than [`MIN_SECRET_BYTES`].
     pub fn from_file(path: &Path) -> Result<Self, SecretError> {
         let text = std::fs::read_to_string(path).map_err(|error| SecretError::File {
             path: path.display().to_string(),
@@ -60,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// [`SecretError`].
+    /// [`SecretError::Variable`] when it is not set or isn't valid Unicode,
+    /// [`SecretError::TooShort`] when its trimmed value is shorter than [`MIN_SECRET_BYTES`].
     pub fn from_variable(name: &str) -> Result<Self, SecretError> {
         let text = std::env::var(name).map_err(|_| SecretError::Variable(name.to_owned()))?;
         Self::new(&text)
