--- a/crates/control/src/config/actor.rs
+++ b/crates/control/src/config/actor.rs
@@ -183,7 +183,7 @@
             .map(|confirmation| confirmation.as_of);
         let facts = ReadinessFacts {
             applied: self.status.revision > ConfigRevision(0),
-            confirmed_age: as_of.map(|moment| now.saturating_duration_since(moment)),
+            confirmed_age: as_of.map(|as_of| now.saturating_duration_since(as_of)),
             served: self.served,
             behind: self.status.known > self.status.revision,
             reach,
@@ -193,7 +193,7 @@
         };
         let readiness = self.policy.evaluate(&facts);
         let until = match (readiness, as_of) {
-            (NodeReadiness::Confirmed, Some(moment)) => moment + self.policy.confirm_limit,
+            (NodeReadiness::Confirmed, Some(as_of)) => as_of + self.policy.confirm_limit,
             (NodeReadiness::StoreDown, _) => now + STORE_DOWN_EXTENSION,
             _ => now,
         };
--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -37,14 +37,14 @@
 ///
 /// The delays are jittered, also after a failure: 410 nodes that all retry as soon as the store
 /// returns would overload it again.
-pub async fn poll_config<T: TableStore, O: ObjectStore>(follower: ConfigPoller<T, O>) {
+pub async fn poll_config<T: TableStore, O: ObjectStore>(poller: ConfigPoller<T, O>) {
     let mut known = None;
     let mut published = ConfigRevision(0);
     loop {
         // The next poll retries, and the table's circuit breaker reports an outage.
-        log_skipped("poll configuration", follower.poll(&mut known).await);
-        follower.maintain_snapshots(&mut published).await;
-        tokio::time::sleep(jittered(follower.settings.poll())).await;
+        log_skipped("poll configuration", poller.poll(&mut known).await);
+        poller.maintain_snapshots(&mut published).await;
+        tokio::time::sleep(jittered(poller.settings.poll())).await;
     }
 }
 
--- a/crates/control/src/members/state.rs
+++ b/crates/control/src/members/state.rs
@@ -145,9 +145,9 @@
         let Some(tracked) = self.tracked.get_mut(node) else {
             return false;
         };
-        let news = tracked.removal != MemberRemoval::Left;
+        let is_new = tracked.removal != MemberRemoval::Left;
         tracked.removal = MemberRemoval::Left;
-        news
+        is_new
     }
 
     /// Processes the nodes listed in the table: silent nodes that are not listed are removed.
--- a/crates/control/tests/rules/at_most_once.rs
+++ b/crates/control/tests/rules/at_most_once.rs
@@ -45,8 +45,8 @@
     tokio::time::sleep(Duration::from_millis(rng.below(400))).await;
     let claim = ledger.claim(key(key_index), attempt(number), "body".to_owned());
     // Some clients disconnect before the response to the claim.
-    let patience = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
-    let Ok(outcome) = tokio::time::timeout(patience, claim).await else {
+    let wait_limit = Duration::from_millis(if rng.chance(20) { 2 } else { 60_000 });
+    let Ok(outcome) = tokio::time::timeout(wait_limit, claim).await else {
         return;
     };
     let Ok(ClaimOutcome::Granted(ticket)) = outcome else {
--- a/crates/control/tests/rules/claim_cleanup.rs
+++ b/crates/control/tests/rules/claim_cleanup.rs
@@ -96,9 +96,9 @@
     let half = advance_retention_log(&table, &grant, RETENTION / 2).await;
     let half = half.expect("write committed").expect("lease is held");
     assert_eq!(half.older_than(RETENTION), None);
-    let whole = advance_retention_log(&table, &grant, RETENTION / 2).await;
-    let whole = whole.expect("write committed").expect("lease is held");
-    let limit = whole.older_than(RETENTION).expect("retention has passed");
+    let full = advance_retention_log(&table, &grant, RETENTION / 2).await;
+    let full = full.expect("write committed").expect("lease is held");
+    let limit = full.older_than(RETENTION).expect("retention has passed");
     let rows = table.rows(keys::CLAIMS);
     let cleaned = delete_settled_claims(&table, &grant, &rows, limit).await;
     assert_eq!(cleaned.expect("write committed"), 2);
--- a/crates/control/tests/rules/evidence_store.rs
+++ b/crates/control/tests/rules/evidence_store.rs
@@ -10,9 +10,9 @@
     "r1".parse().expect("valid id")
 }
 
-fn evidence(incarnation: u64, whole: bool, age: Duration) -> HealthEvidence {
+fn evidence(incarnation: u64, complete: bool, age: Duration) -> HealthEvidence {
     let hosts = ["h0", "h1"];
-    let seen = if whole { &hosts[..] } else { &hosts[..1] };
+    let seen = if complete { &hosts[..] } else { &hosts[..1] };
     HealthEvidence {
         replica: replica(),
         incarnation: IncarnationNumber(incarnation),
@@ -34,20 +34,20 @@
         let evidence_store = EvidenceStore::default();
         let start = Instant::now();
         let mut newest: Option<(u64, Duration, bool)> = None;
-        for (incarnation, whole, age) in observations {
+        for (incarnation, complete, age) in observations {
             let incarnation = u64::from(incarnation % 3);
             // Whole seconds, so that the test's own run time does not matter.
             let age = Duration::from_secs(u64::from(age));
-            evidence_store.record(evidence(incarnation, whole, age));
+            evidence_store.record(evidence(incarnation, complete, age));
             // The same age at a later time is a newer observation.
             let newer = newest.is_none_or(|(known, known_age, _)| {
                 incarnation > known || (incarnation == known && age <= known_age)
             });
             if newer {
-                newest = Some((incarnation, age, whole));
+                newest = Some((incarnation, age, complete));
             }
         }
-        let Some((incarnation, age, whole)) = newest else {
+        let Some((incarnation, age, complete)) = newest else {
             return evidence_store.newest_for(&replica()).is_none();
         };
         let Some(entry) = evidence_store.newest_for(&replica()) else {
@@ -55,7 +55,7 @@
         };
         let now = Instant::now();
         entry.evidence.incarnation.0 == incarnation
-            && (entry.evidence.hosts.len() == 2) == whole
+            && (entry.evidence.hosts.len() == 2) == complete
             && entry.age(now) >= age
             && entry.age(now) <= age + start.elapsed()
     }
--- a/crates/control/tests/rules/lease_fencing.rs
+++ b/crates/control/tests/rules/lease_fencing.rs
@@ -43,7 +43,7 @@
 
 /// A response that the process has not received yet.
 struct PendingResponse {
-    term: LeaseRecord,
+    record: LeaseRecord,
     acquires: bool,
     version: RowVersion,
     started: Instant,
@@ -114,8 +114,8 @@
                 .tracker
                 .observe(LeaseRecord::default(), None, self.now),
             RowRead::Found(row) => {
-                let term = serde_json::from_value(row.value).expect("valid lease record");
-                process.tracker.observe(term, Some(row.version), self.now);
+                let record = serde_json::from_value(row.value).expect("valid lease record");
+                process.tracker.observe(record, Some(row.version), self.now);
             }
         }
     }
@@ -148,22 +148,22 @@
             return;
         };
         let started = self.now;
-        let (term, acquires) = match decided.step {
+        let (record, acquires) = match decided.step {
             LeaseStep::Wait => return,
-            LeaseStep::Renew(term) => (term, false),
-            LeaseStep::Acquire(term) => (term, true),
-            LeaseStep::Release(term) => {
+            LeaseStep::Renew(record) => (record, false),
+            LeaseStep::Acquire(record) => (record, true),
+            LeaseStep::Release(record) => {
                 self.processes[index].tracker.record_lost();
-                (term, false)
+                (record, false)
             }
         };
-        let value = serde_json::to_value(&term).expect("serializable");
+        let value = serde_json::to_value(&record).expect("serializable");
         let key = keys::lease_key(&lease());
         let mut batch = WriteBatch::new(self.next_token()).put(key, decided.expect, value);
         if acquires {
             let row = EpochRow {
-                epoch: term.epoch,
-                holder: term.holder.clone().expect("record has a holder"),
+                epoch: record.epoch,
+                holder: record.holder.clone().expect("record has a holder"),
             };
             let value = serde_json::to_value(&row).expect("serializable");
             batch = batch.put(keys::epoch_key(&lease()), decided.epoch_expect, value);
@@ -174,7 +174,7 @@
         process.paused_until = self.now + wait;
         if let Ok(CommitOutcome::Committed(version)) = outcome {
             process.response = Some(PendingResponse {
-                term,
+                record,
                 acquires,
                 version,
                 started,
@@ -189,9 +189,9 @@
         };
         let tracker = &mut process.tracker;
         if response.acquires {
-            tracker.record_acquired(response.term, response.version, response.started);
-        } else if response.term.holder.is_some() {
-            tracker.record_renewed(response.term, response.version, response.started);
+            tracker.record_acquired(response.record, response.version, response.started);
+        } else if response.record.holder.is_some() {
+            tracker.record_renewed(response.record, response.version, response.started);
         }
     }
 
