--- a/crates/policy/examples/compare/baseline/mod.rs
+++ b/crates/policy/examples/compare/baseline/mod.rs
@@ -104,8 +104,8 @@
             }
             Self::LeastLoaded => (0..count).min_by_key(load).unwrap_or(0),
             Self::TwoChoices => {
-                let drawn = [rng.random_range(0..count), rng.random_range(0..count)];
-                drawn.into_iter().min_by_key(load).unwrap_or(0)
+                let samples = [rng.random_range(0..count), rng.random_range(0..count)];
+                samples.into_iter().min_by_key(load).unwrap_or(0)
             }
         };
         PlacementChoice {
--- a/crates/policy/examples/compare/requests.rs
+++ b/crates/policy/examples/compare/requests.rs
@@ -122,9 +122,9 @@
         let rate = scenario.capacity(400, 100) * 0.6;
         let calls = poisson_calls(11, rate, (0.0, 60.0), |call, rng| {
             call.entry = rand::Rng::random_range(rng, 0..2);
-            let drawn: f64 = rand::Rng::random_range(rng, 0.0..1.0);
+            let sample: f64 = rand::Rng::random_range(rng, 0.0..1.0);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-            let shared = (drawn * drawn * 160.0) as u64 + 1;
+            let shared = (sample * sample * 160.0) as u64 + 1;
             call.shared = (shared << 20, 2_400);
             call.prompt += 2_400;
         });
@@ -266,7 +266,7 @@
         for times in [0.8, 2.0] {
             for (name, share) in [
                 ("scaled by occupancy", ShareKind::Scaled),
-                ("even part", ShareKind::EvenShare),
+                ("even share", ShareKind::EvenShare),
                 ("all free slots", ShareKind::AllFree),
             ] {
                 let scenario = Scenario {
@@ -277,11 +277,11 @@
                 let rate = scenario.capacity(400, 100);
                 let calls = poisson_calls(9, rate * times, (0.0, 60.0), |call, rng| {
                     // The first third of the entries gets four fifths of the calls.
-                    let busy = (entries / 3).max(1);
+                    let favored = (entries / 3).max(1);
                     let range = if rand::Rng::random_bool(rng, 0.8) {
-                        0..busy
+                        0..favored
                     } else {
-                        busy..entries
+                        favored..entries
                     };
                     call.entry = rand::Rng::random_range(rng, range);
                 });
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -50,11 +50,11 @@
 impl TargetPool {
     /// Chooses a target, or returns `None` if no candidate is usable.
     ///
-    /// `usable` is the caller's filter (evidence that the replica is whole, not leaving, not tried
-    /// before); it is called only for the few targets that are considered. Targets are sampled at
-    /// random, so the cost does not grow with 1,500 engines, and the holders of the prompt's
-    /// longest prefix are considered in addition. The target with the lowest predicted time to
-    /// first token is chosen.
+    /// `usable` is the caller's filter (evidence that the replica is complete, not leaving, not
+    /// tried before); it is called only for the few targets that are considered. Targets are
+    /// sampled at random, so the cost does not grow with 1,500 engines, and the holders of the
+    /// prompt's longest prefix are considered in addition. The target with the lowest predicted
+    /// time to first token is chosen.
     pub fn choose<R: Rng>(
         &mut self,
         candidates: &CandidateList,
--- a/crates/policy/src/placement/pool.rs
+++ b/crates/policy/src/placement/pool.rs
@@ -150,7 +150,7 @@
         state.health.record_ratio(now, ratio, &settings);
     }
 
-    /// Records that an attempt was cancelled, or a second target was asked, after `elapsed` without
+    /// Records that an attempt was cancelled, or a second target was tried, after `elapsed` without
     /// a first token.
     ///
     /// A cancelled attempt yields no time to first token. Without this, a target that stalls would
--- a/crates/policy/tests/load/capacity_share.rs
+++ b/crates/policy/tests/load/capacity_share.rs
@@ -22,9 +22,13 @@
     };
     let rate = scenario.capacity(400, 100);
     let calls = poisson_calls(9, rate * times, (0.0, 40.0), |call, rng| {
-        let busy = (entries / 3).max(1);
-        let to_busy = rng.random_bool(0.8);
-        call.entry = rng.random_range(if to_busy { 0..busy } else { busy..entries });
+        let favored = (entries / 3).max(1);
+        let to_favored = rng.random_bool(0.8);
+        call.entry = rng.random_range(if to_favored {
+            0..favored
+        } else {
+            favored..entries
+        });
     });
     let result = Simulation::new(&scenario).run(&calls);
     let goodput = result.goodput(15.0, 40.0) / (rate * 100.0);
--- a/crates/policy/tests/load/early_refusal.rs
+++ b/crates/policy/tests/load/early_refusal.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Refused clients retry when they were told to. If all retried at the same time, goodput would
+/// Refused clients retry at the assigned times. If all retried at the same time, goodput would
 /// drop with each burst.
 #[test]
 fn retries_do_not_reduce_goodput() {
--- a/crates/policy/tests/load/target_choice.rs
+++ b/crates/policy/tests/load/target_choice.rs
@@ -48,9 +48,9 @@
 /// With a mix of short and long calls, no baseline has a lower tail latency to the first token.
 #[test]
 fn mixed_workload_beats_baselines() {
-    let ours = run(PlacementKind::Predicted, |_| {});
-    assert!(ours.on_time(after_start) > 0.998);
-    let tail = ours.first_token(0.99, after_start);
+    let predicted = run(PlacementKind::Predicted, |_| {});
+    assert!(predicted.on_time(after_start) > 0.998);
+    let tail = predicted.first_token(0.99, after_start);
     for baseline in BASELINES {
         let other = run(baseline, |_| {}).first_token(0.99, after_start);
         assert!(
@@ -65,8 +65,8 @@
 #[test]
 fn straggler_is_ejected() {
     let slow = |scenario: &mut Scenario| scenario.engines[3].slowdown = (4.0, 10.0, 30.0);
-    let ours = run(PlacementKind::Predicted, slow);
-    assert!(ours.on_time(after_start) > 0.995);
+    let predicted = run(PlacementKind::Predicted, slow);
+    assert!(predicted.on_time(after_start) > 0.995);
     for baseline in [PlacementKind::Random, PlacementKind::RoundRobin] {
         let other = run(baseline, slow).on_time(after_start);
         assert!(other < 0.98, "{other} for {baseline:?}");
@@ -79,11 +79,11 @@
 fn fast_failures_attract_no_requests() {
     let failing = |scenario: &mut Scenario| scenario.engines[3].failing = (10.0, 30.0);
     let count = |result: SimulationResult| result.jobs.iter().map(|job| job.failures).sum::<u32>();
-    let ours = count(run(PlacementKind::Predicted, failing));
+    let predicted = count(run(PlacementKind::Predicted, failing));
     let random = count(run(PlacementKind::Random, failing));
     let reported = count(run(PlacementKind::TwoChoices, failing));
-    assert!(ours * 2 < random, "{ours} versus {random}");
-    assert!(ours * 4 < reported, "{ours} versus {reported}");
+    assert!(predicted * 2 < random, "{predicted} versus {random}");
+    assert!(predicted * 4 < reported, "{predicted} versus {reported}");
 }
 
 /// Reports stop for 20 seconds. A selection that relies on the last ones sends everything to the
@@ -91,9 +91,9 @@
 #[test]
 fn outdated_reports_do_not_misdirect_requests() {
     let outage = |scenario: &mut Scenario| scenario.report_outage = (10.0, 30.0);
-    let ours = run(PlacementKind::Predicted, outage).on_time(after_start);
+    let predicted = run(PlacementKind::Predicted, outage).on_time(after_start);
     let reported = run(PlacementKind::TwoChoices, outage).on_time(after_start);
-    assert!(ours > 0.99, "{ours}");
+    assert!(predicted > 0.99, "{predicted}");
     assert!(reported < 0.97, "{reported}");
 }
 
--- a/crates/serving/src/event_stream.rs
+++ b/crates/serving/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! Splitting a server-sent event stream into whole events.
+//! Splitting a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OversizedEvent;
 
-/// Splits a stream into whole events and keeps the last event id.
+/// Splits a stream into complete events and keeps the last event id.
 ///
 /// A target that crashes leaves a partial event behind. If it were forwarded, it would merge with
 /// the first event of the target that resumes the stream, and the client would read an event that
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the id of the last whole event that had one.
+    /// Returns the id of the last complete event that had one.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`OversizedEvent`] if the bytes left after the last whole event exceed
+    /// Returns [`OversizedEvent`] if the bytes left after the last complete event exceed
     /// [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, OversizedEvent> {
         self.partial.extend_from_slice(bytes);
--- a/crates/serving/src/plan/layout.rs
+++ b/crates/serving/src/plan/layout.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Places one more replica and returns whether a domain had room for one.
+    /// Places one more replica and returns whether a domain had the free hosts for it.
     fn place_next(&mut self) -> bool {
         for model in self.by_need() {
             let Some(domain) = self.best_domain(model) else {
--- a/crates/serving/src/plan/rebalance.rs
+++ b/crates/serving/src/plan/rebalance.rs
@@ -79,10 +79,10 @@
 ) -> usize {
     let members = serving.iter();
     let members = members.flat_map(|replica| replica.observed.members.values());
-    let busy: FastSet<&HostId> = members.map(|host| &host.id).collect();
+    let serving_hosts: FastSet<&HostId> = members.map(|host| &host.id).collect();
     let hosts = fabric.hosts.iter();
     let available = hosts
-        .filter(|host| can_serve(host) && !busy.contains(&host.id))
+        .filter(|host| can_serve(host) && !serving_hosts.contains(&host.id))
         // A joining host reports no model until its weights are in memory.
         .filter(|host| host.has_weights(&model.name) || joins_replica(host));
     available.count()
--- a/crates/serving/src/plan/staging.rs
+++ b/crates/serving/src/plan/staging.rs
@@ -23,9 +23,9 @@
         let holding = holding.filter(|host| host.has_weights(&model.name));
         holders.insert(&model.name, holding.count());
     }
-    let busy: FastSet<HostId> = steps.iter().flat_map(PlanStep::hosts).cloned().collect();
+    let in_steps: FastSet<HostId> = steps.iter().flat_map(PlanStep::hosts).cloned().collect();
     for host in fabric.hosts {
-        if !may_stage_on(host) || busy.contains(&host.id) {
+        if !may_stage_on(host) || in_steps.contains(&host.id) {
             continue;
         }
         let missing = fabric
--- a/crates/serving/tests/choose_target.rs
+++ b/crates/serving/tests/choose_target.rs
@@ -50,10 +50,10 @@
     for number in 0..81 {
         let candidates: Vec<TargetCandidate> = loads.iter().map(|load| candidate(*load)).collect();
         let start = number % 3;
-        let drawn = [start, (start + 1) % 3, (start + 2) % 3];
-        let order = drawn.map(|index| candidates[index]);
-        let index = choose_target(&order, limits(6.0), NOW).expect("room for all");
-        loads[drawn[index]].record_sent();
+        let indexes = [start, (start + 1) % 3, (start + 2) % 3];
+        let order = indexes.map(|index| candidates[index]);
+        let index = choose_target(&order, limits(6.0), NOW).expect("a target has capacity");
+        loads[indexes[index]].record_sent();
     }
     for load in loads {
         let total = load.reported + load.sent_since_report.unsigned_abs();
@@ -80,7 +80,8 @@
             order.sort_by_key(|index| stable_hash(&(node, request, *index)));
             let candidates: Vec<TargetCandidate> =
                 order.iter().map(|at| candidate(loads[*at])).collect();
-            let index = choose_target(&candidates, limits(6.0), NOW).expect("all have room");
+            let index =
+                choose_target(&candidates, limits(6.0), NOW).expect("a target has capacity");
             loads[order[index]].record_sent();
             got[order[index]] += 1;
         }
--- a/crates/serving/tests/event_splitter.rs
+++ b/crates/serving/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Splitting a stream into whole events.
+//! Splitting a stream into complete events.
 
 use cases::properties;
 use serving::EventSplitter;
--- a/crates/serving/tests/plan/rebalancing.rs
+++ b/crates/serving/tests/plan/rebalancing.rs
@@ -141,7 +141,7 @@
     /// Returns the serving replicas of a domain by model, and the number of hosts in none.
     fn serving(&self, fabric: &FabricId) -> (FastMap<ModelName, usize>, usize) {
         let mut open = FastMap::default();
-        let mut busy = 0;
+        let mut serving_hosts = 0;
         for host in &self.fabrics[fabric] {
             let Some(membership) = &host.membership else {
                 continue;
@@ -149,12 +149,12 @@
             let Some(model) = self.serving_model(fabric, &membership.replica) else {
                 continue;
             };
-            busy += 1;
+            serving_hosts += 1;
             if membership.rank == 0 {
                 *open.entry(model).or_default() += 1;
             }
         }
-        (open, self.fabrics[fabric].len() - busy)
+        (open, self.fabrics[fabric].len() - serving_hosts)
     }
 
     /// Returns the model of a replica if all members are present and its head is open.
--- a/crates/serving/tests/plan/staged_hosts.rs
+++ b/crates/serving/tests/plan/staged_hosts.rs
@@ -50,10 +50,12 @@
 fn joining_host_stages_none() {
     let mut joining = host("a");
     joining.membership = member("a", "small", "r-1", 0, MemberState::Joining).membership;
-    let mut told = warm("b", "large");
-    told.staging = Some("small".parse().expect("a model"));
+    let mut already_staging = warm("b", "large");
+    already_staging.staging = Some("small".parse().expect("a model"));
     let done = warm_and_staged("c", "large", "small");
-    let steps = Domain::new(vec![joining, told, done]).staging().plan();
+    let steps = Domain::new(vec![joining, already_staging, done])
+        .staging()
+        .plan();
     assert_eq!(staged(&steps), Vec::new());
 }
 
--- a/crates/serving/tests/prompt_backlog.rs
+++ b/crates/serving/tests/prompt_backlog.rs
@@ -69,7 +69,7 @@
         let candidates: Vec<TargetCandidate> = waits
             .map(|wait| candidate(with_hints.then_some(wait)))
             .collect();
-        let chosen = choose_target(&candidates, LIMITS, now).expect("room");
+        let chosen = choose_target(&candidates, LIMITS, now).expect("a target has capacity");
         let head = &mut heads[order[chosen]];
         late += u32::from(head.wait(now, PREFILL_RATE) > LATE_WAIT);
         head.add(tokens(number), now, PREFILL_RATE);
