--- a/crates/gateway/src/admitted.rs
+++ b/crates/gateway/src/admitted.rs
@@ -23,13 +23,13 @@
 pub struct AdmittedRequest {
     /// Request id set by the client, if any.
     pub id: Option<RequestId>,
-    /// HTTP method.
+    /// HTTP method, forwarded unchanged.
     pub method: Method,
     /// Request target in origin form (path and query).
     pub uri: Uri,
     /// Request headers as received from the client.
     pub headers: HeaderMap,
-    /// Complete request body.
+    /// Complete request body, kept for further attempts.
     pub body: Bytes,
     /// Name of the matched route.
     pub route: String,
@@ -62,7 +62,7 @@
 pub struct SelectionError {
     /// Whether there are no targets or all are full.
     pub reason: NoTarget,
-    /// Number of targets considered.
+    /// Number of targets considered, without those already tried.
     pub candidates: usize,
     /// Estimated number of requests at the least loaded target.
     pub min_load: f64,
@@ -236,7 +236,7 @@
         Ok(entry)
     }
 
-    /// Limits the request to one attempt.
+    /// Limits the request to one attempt, so that it can crash at most one more target.
     #[must_use]
     pub fn without_retries(mut self) -> Self {
         self.max_attempts = self.max_attempts.min(1);
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Time remaining until the deadline.
+    /// Time remaining until the deadline; zero once it has passed.
     #[must_use]
     pub fn time_left(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
--- a/crates/gateway/src/hints.rs
+++ b/crates/gateway/src/hints.rs
@@ -108,13 +108,13 @@
         self.socket.as_ref()?.local_addr().ok()
     }
 
-    /// Number of nodes that receive load hints.
+    /// Number of nodes that receive load hints; 0 if there are more than `MAX_HINT_PEERS`.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Sets the addresses of the other nodes.
+    /// Sets the addresses of the other nodes; beyond `MAX_HINT_PEERS`, none gets load hints.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         let is_small = peers.len() <= MAX_HINT_PEERS;
         self.all_peers.borrow_mut().clone_from(&peers);
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -32,21 +32,21 @@
 /// Interval for checking whether a connection should close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Binds a TCP listener.
+/// Binds a TCP listener; port 0 lets the system choose a port.
 ///
 /// # Errors
 ///
-/// The address and the cause.
+/// A report with the address and the cause.
 pub async fn bind_tcp(address: SocketAddr) -> eyre::Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|error| eyre::eyre!("can't listen on {address}: {error}"))
 }
 
-/// Binds a UDP socket.
+/// Binds a UDP socket; port 0 lets the system choose a port.
 ///
 /// # Errors
 ///
-/// The address and the cause.
+/// A report with the address and the cause.
 pub async fn bind_udp(address: SocketAddr) -> eyre::Result<UdpSocket> {
     let bound = UdpSocket::bind(address).await;
     bound.map_err(|error| eyre::eyre!("can't bind UDP socket on {address}: {error}"))
@@ -145,7 +145,7 @@
     }
 }
 
-/// Answers every request with a status and a text; never returns.
+/// Serves the status and text that `respond` returns for every request; never returns.
 pub async fn serve_status<F>(listener: TcpListener, respond: F)
 where
     F: Fn() -> (StatusCode, String) + Clone + 'static,
@@ -166,7 +166,7 @@
             builder
                 .timer(TokioTimer::new())
                 .header_read_timeout(STATUS_IDLE_TIMEOUT);
-            // The requester sees the error and retries.
+            // The client sees the error and retries.
             drop(
                 builder
                     .serve_connection(TokioIo::new(stream), handler)
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use prometheus::Registry;
 use serving::RouteKind;
 
-/// Histogram buckets for durations, in seconds: from the answer to an order up to the longest
+/// Histogram buckets for durations, in seconds: from the response to an order up to the longest
 /// request.
 const DURATION_BUCKETS: [f64; 14] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0,
--- a/crates/gateway/src/node/health.rs
+++ b/crates/gateway/src/node/health.rs
@@ -18,7 +18,7 @@
 /// Kind of failure observed at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
-    /// It does not answer, or another target has its address.
+    /// It does not respond, or another target has its address.
     Unresponsive,
     /// It refuses connections, or its head rejects requests because this member is missing.
     Refused,
@@ -64,7 +64,7 @@
 }
 
 impl ReplicaLostSignal {
-    /// Completes once the replica is lost.
+    /// Completes once the replica is lost, at once if it already is.
     pub async fn lost(&self) {
         while !self.lost.get() {
             self.notify.notified().await;
@@ -90,12 +90,12 @@
         self.probing.borrow_mut().insert(id.clone())
     }
 
-    /// Marks a probe as finished.
+    /// Marks a probe as finished, so that the target can be probed again.
     pub fn end_probe(&self, id: &HostId) {
         self.probing.borrow_mut().remove(id);
     }
 
-    /// Whether a target is suspected to be down.
+    /// Whether a target is suspected to be down, so that its replica gets no new requests.
     #[must_use]
     pub fn is_suspected(&self, id: &HostId) -> bool {
         self.suspicions.borrow().contains_key(id)
@@ -277,7 +277,7 @@
         Rc::clone(signals.entry(head.clone()).or_default())
     }
 
-    /// Updates the progress state of a replica.
+    /// Calls `change` with the stall detector of a replica head, created at its first use.
     pub fn with_stall_detector<R>(
         &self,
         head: &HostId,
--- a/crates/gateway/src/node/mod.rs
+++ b/crates/gateway/src/node/mod.rs
@@ -36,9 +36,9 @@
 pub struct GatewayNode {
     /// Settings read at startup.
     pub settings: GatewaySettings,
-    /// Destination of log lines.
+    /// Rate-limited log of the process.
     pub sink: LogSink,
-    /// Metric instruments.
+    /// Metrics served at the metrics address.
     pub metrics: GatewayMetrics,
     /// Pool of idle connections to targets.
     pub pool: ConnectionPool,
@@ -168,7 +168,7 @@
         self.started.elapsed()
     }
 
-    /// Writes a line to the log.
+    /// Queues a line for the log, which drops lines beyond its rate limit.
     pub fn log(&self, line: &LogLine) {
         self.sink.write(line, self.now());
     }
@@ -200,7 +200,8 @@
         true
     }
 
-    /// Idle timeout of client connections.
+    /// Idle timeout of client connections: the longer of those of the current and the previous
+    /// configuration.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
         self.idle_timeout.get()
@@ -271,7 +272,7 @@
         update(budget)
     }
 
-    /// Number of live nodes, at least one.
+    /// Number of live nodes, or `ASSUMED_NODES` until heartbeats are counted.
     #[must_use]
     pub fn node_count(&self) -> usize {
         let count = self.live_nodes.borrow().len();
@@ -289,7 +290,7 @@
         self.nodes_generation.get()
     }
 
-    /// Sets the names of the live nodes.
+    /// Sets the names of the live nodes; a change is logged and increases the generation number.
     pub fn set_live_nodes(&self, nodes: Vec<String>) {
         if *self.live_nodes.borrow() == nodes {
             return;
--- a/crates/gateway/src/node/poison.rs
+++ b/crates/gateway/src/node/poison.rs
@@ -10,12 +10,12 @@
 use crate::crash::InterruptedRequests;
 
 impl GatewayNode {
-    /// Calls `access` with the interrupted requests.
+    /// Calls `access` with the interrupted requests at targets not yet known to have crashed.
     pub fn with_interrupted<R>(&self, access: impl FnOnce(&mut InterruptedRequests) -> R) -> R {
         access(&mut self.interrupted.borrow_mut())
     }
 
-    /// Whether a request is clear, suspected or barred.
+    /// Whether a request is clear, suspected (one attempt only) or barred (sent to no target).
     #[must_use]
     pub fn poison_verdict(&self, request: &AdmittedRequest) -> PoisonVerdict {
         let detector = self.poison.borrow();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sets the current time of the store's clock.
+    /// Sets the store's clock as just read; [`GatewayNode::store_clock`] extrapolates from it.
     pub fn set_store_clock(&self, clock: Duration) {
         self.store_clock.set(Some((clock, self.now())));
     }
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -21,7 +21,7 @@
 }
 
 impl RequestGuard {
-    /// Starts counting a request.
+    /// Counts a request as in flight in the process and on its connection.
     #[must_use]
     pub fn new(node: &Rc<GatewayNode>, usage: &Rc<ConnectionUsage>) -> Self {
         node.begin_request();
@@ -49,7 +49,7 @@
         known && !self.is_shutting_down()
     }
 
-    /// Whether the process is shutting down.
+    /// Whether the shutdown has begun.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.get().is_some()
@@ -61,7 +61,7 @@
         self.shutdown.get()
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the text format of Prometheus, with gauges sampled now.
     ///
     /// # Errors
     ///
@@ -70,7 +70,7 @@
         self.metrics.encode(&self.stats())
     }
 
-    /// Current values of the gauges.
+    /// Samples the gauges from the node's current state.
     #[must_use]
     pub fn stats(&self) -> NodeStats {
         let registry = self.registry.borrow();
@@ -151,19 +151,19 @@
         left.reduce(f64::min).unwrap_or(0.0)
     }
 
-    /// Starts the shutdown.
+    /// Begins the shutdown and returns its schedule, which follows from the configured stop grace.
     pub fn begin_shutdown(&self) -> ShutdownPlan {
         let plan = ShutdownPlan::new(self.now(), self.settings.bounds.stop_grace());
         self.shutdown.set(Some(plan));
         plan
     }
 
-    /// Stops accepting connections.
+    /// Stops accepting client connections; open ones are not closed.
     pub fn stop_accepting(&self) {
         self.accepting.close();
     }
 
-    /// Completes once connections are no longer accepted.
+    /// Completes once [`GatewayNode::stop_accepting`] was called.
     pub async fn accepting_stopped(&self) {
         // A semaphore without permits completes only when closed.
         drop(self.accepting.acquire().await);
@@ -180,7 +180,7 @@
         self.activity_ended.notify_waiters();
     }
 
-    /// Number of requests in flight.
+    /// Number of requests in flight, including those whose response is still being sent.
     #[must_use]
     pub fn running_requests(&self) -> usize {
         self.running_requests.get()
@@ -191,14 +191,14 @@
         self.open_connections.set(self.open_connections.get() + 1);
     }
 
-    /// Records a closed client connection.
+    /// Records a closed client connection and wakes the tasks that wait for the last one.
     pub fn end_connection(&self) {
         self.open_connections
             .set(self.open_connections.get().saturating_sub(1));
         self.activity_ended.notify_waiters();
     }
 
-    /// Number of open client connections.
+    /// Number of accepted client connections that are still open, including idle ones.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
--- a/crates/gateway/src/node/targets.rs
+++ b/crates/gateway/src/node/targets.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Applies a target's entry.
+    /// Applies a target's entry; no effect if it is already known as it is. A target with a new boot
+    /// number or address starts without suspicion, load data or idle connections.
     pub fn apply_target(&self, entry: &TargetEntry) {
         let id = entry.id.clone();
         let mut registry = self.registry.borrow_mut();
@@ -66,7 +67,7 @@
         self.notify_change();
     }
 
-    /// Applies a target's entry read from the registry.
+    /// Applies an entry read from the registry; the target counts as listed again.
     pub fn apply_listed_target(&self, entry: &TargetEntry) {
         self.unlisted.borrow_mut().remove(&entry.id);
         self.apply_target(entry);
@@ -93,7 +94,7 @@
     /// Handles the removal of a target from the registry; returns whether the target is still
     /// known.
     ///
-    /// A host needed by a replica's running requests is kept while it answers: it may be cut off
+    /// A host needed by a replica's running requests is kept while it responds: it may be cut off
     /// from the registry, or leave without announcing it and keep working for seconds. If the
     /// members of such a head were reassigned at once, its streams would stall, and those without
     /// attempts left would be cut off.
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Removes a target.
+    /// Removes a target with all state about it, and closes its idle connections.
     pub fn remove_target(&self, id: &HostId) {
         self.unlisted.borrow_mut().remove(id);
         let removed = self.registry.borrow_mut().remove(id);
@@ -155,7 +156,7 @@
         self.notify_change();
     }
 
-    /// Target with the given address.
+    /// Target that listens on the given address; `None` if no known one does.
     #[must_use]
     pub fn target_at(&self, address: SocketAddr) -> Option<HostId> {
         self.registry(|registry| {
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,9 +1,9 @@
 //! Sends orders to engines so that each takes effect at most once.
 //!
 //! An order carries the number of orders that the engine must have accepted before it. An
-//! unanswered order may still be executed seconds later; resending the identical order resolves
-//! this, because only one of the two can match that number. The number also replaces a lease: if
-//! two nodes plan for the same engine, one order is accepted and the other rejected.
+//! order without a response may still be executed seconds later; resending the identical order
+//! resolves this, because only one of the two can match that number. The number also replaces a
+//! lease: if two nodes plan for the same engine, one order is accepted and the other rejected.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,17 +18,17 @@
 use crate::node::{FailureKind, GatewayNode};
 use crate::probe::order_target;
 
-/// Timeout for the answer to an order or a report; both usually take milliseconds.
+/// Timeout for the response to an order or a report request; both usually take milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(180);
 
-/// Maximum number of times an order is sent. With a third of the answers lost, one order in a
+/// Maximum number of times an order is sent. With a third of the responses lost, one order in a
 /// thousand stays unresolved.
 const MAX_ORDER_ATTEMPTS: u32 = 6;
 
-/// Delay before an unanswered order is resent.
+/// Delay before an order without a response is resent.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Number of unanswered report requests after which an engine is suspected.
+/// Number of report requests without a response after which an engine is suspected.
 const MAX_REPORT_ATTEMPTS: u32 = 2;
 
 /// Outcome of an order.
@@ -38,13 +38,13 @@
     Done,
     /// The engine is not in the state that the order was planned for.
     Stale,
-    /// The engine did not answer.
+    /// The engine did not respond.
     Unresponsive,
 }
 
-/// Time for which the answer to this node's last order replaces a report. Reports lag by some
+/// Time for which the response to this node's last order replaces a report. Reports lag by some
 /// hundred milliseconds, so a new one may predate that order.
-const ANSWER_VALIDITY: Duration = Duration::from_millis(1200);
+const RESPONSE_VALIDITY: Duration = Duration::from_millis(1200);
 
 #[derive(Debug, Clone, Copy)]
 struct KnownOrderCount {
@@ -67,8 +67,8 @@
 /// Accepted order counts per engine, and the engines with pending orders.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
-    /// Accepted orders per engine, as known to this node. A report may be older than the answer to
-    /// the last order.
+    /// Accepted orders per engine, as known to this node. A report may be older than the response
+    /// to the last order.
     accepted: RefCell<FastMap<HostId, KnownOrderCount>>,
     /// Engines that are reserved for an order that is not settled.
     pending: RefCell<FastSet<HostId>>,
@@ -124,9 +124,9 @@
     }
 
     /// Boot number and order count of an engine, if this node's last order was accepted recently.
-    fn recent_answer(&self, id: &HostId, now: Duration) -> Option<(BootNumber, u64)> {
+    fn recent_acceptance(&self, id: &HostId, now: Duration) -> Option<(BootNumber, u64)> {
         let known = self.accepted.borrow().get(id).copied()?;
-        let recent = now.saturating_sub(known.accepted_at?) < ANSWER_VALIDITY;
+        let recent = now.saturating_sub(known.accepted_at?) < RESPONSE_VALIDITY;
         recent.then_some((known.boot, known.orders))
     }
 
@@ -228,7 +228,7 @@
                 );
             }
             Ok(OrderResponse::Holds) => {
-                // A leave order takes effect before it is answered, so it counts like one that has
+                // A leave order takes effect before its response, so it counts like one that has
                 // begun.
                 if matches!(planned.order, HostOrder::Leave { .. }) {
                     order_tracker.record_accepted(&planned.host, boot, accepted + 1, node.now());
@@ -237,7 +237,7 @@
             }
             Ok(OrderResponse::Conflict) => {
                 order_tracker.forget(&planned.host);
-                // An earlier copy of the order may have been executed without an answer.
+                // An earlier copy of the order may have been executed and its response lost.
                 let done = attempt > 1 && took_effect(node, planned).await;
                 let outcome = if done {
                     OrderOutcome::Done
@@ -273,7 +273,7 @@
     order_tracker: &OrderTracker,
     planned: &PlannedOrder,
 ) -> Result<(BootNumber, u64), (OrderOutcome, String)> {
-    if let Some(known) = order_tracker.recent_answer(&planned.host, node.now()) {
+    if let Some(known) = order_tracker.recent_acceptance(&planned.host, node.now()) {
         return Ok(known);
     }
     let mut detail = String::new();
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -9,7 +9,7 @@
 use web::{ConnectionError, HttpConnection};
 
 /// Timeout for connecting to a target. Targets are less than a millisecond away; one that is gone
-/// does not answer at all, and the request should be tried elsewhere while its client still waits.
+/// does not respond at all, and the request should be tried elsewhere while its client still waits.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Idle time for connections to targets that did not announce one.
@@ -48,7 +48,7 @@
         self.connect(target).await
     }
 
-    /// Opens a new connection.
+    /// Opens a new connection without looking for an idle one.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
         self.idle.borrow_mut().remove(id);
     }
 
-    /// Closes expired connections.
+    /// Closes idle connections that their target may close soon.
     pub fn evict_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -12,7 +12,7 @@
 /// Interval for checking replicas for lack of progress.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Timeout for a report. Engines answer within milliseconds under any load.
+/// Timeout for a report. Engines respond within milliseconds under any load.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(160);
 
 /// Interval between probes of a suspected target.
@@ -97,7 +97,7 @@
     None
 }
 
-/// Probes suspected targets until they answer or are removed; never returns.
+/// Probes suspected targets until they respond or are removed; never returns.
 pub async fn probe_suspects(node: Rc<GatewayNode>) {
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
@@ -119,8 +119,8 @@
     }
 }
 
-/// Probes targets that are no longer in the registry, and removes them once they don't answer or no
-/// request needs them; never returns.
+/// Probes targets that are no longer in the registry, and removes them once they don't respond or
+/// no request needs them; never returns.
 pub async fn probe_all_unlisted(node: Rc<GatewayNode>) {
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
@@ -156,7 +156,7 @@
     }
 }
 
-/// Reads an engine's state directly, ahead of the registry; an engine that does not answer is
+/// Reads an engine's state directly, ahead of the registry; an engine that does not respond is
 /// suspected.
 pub async fn refresh_host(node: &GatewayNode, target: OrderTarget) {
     match target.fetch_report(REPORT_TIMEOUT).await {
--- a/crates/gateway/src/reconcile/mod.rs
+++ b/crates/gateway/src/reconcile/mod.rs
@@ -249,7 +249,7 @@
     fn host_state(&self, entry: &TargetEntry) -> HostState {
         HostState {
             id: entry.id.clone(),
-            // A host that answers other nodes must not lose its replica because this node can't
+            // A host that responds to other nodes must not lose its replica because this node can't
             // reach it.
             silent_for: self
                 .node
--- a/crates/gateway/src/reconcile/steps.rs
+++ b/crates/gateway/src/reconcile/steps.rs
@@ -16,8 +16,8 @@
 /// Time until the effect of an order appears in the registry.
 const EFFECT_DELAY: Duration = Duration::from_millis(150);
 
-/// Delay after an order that was rejected or not answered. The state behind a rejection is on its
-/// way to the registry; an earlier retry would only cost calls.
+/// Delay after an order that was rejected or got no response. The state behind a rejection is on
+/// its way to the registry; an earlier retry would only cost calls.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl ReplicaReconciler {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -99,7 +99,7 @@
     pub boot: BootNumber,
     /// Time at which the response head arrived, measured from process start.
     pub started_at: Duration,
-    /// HTTP status code.
+    /// HTTP status code, which need not be a success.
     pub status: StatusCode,
     /// Response headers without hop-by-hop headers.
     pub headers: HeaderMap,
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -21,7 +21,7 @@
         })
     }
 
-    /// Records the start of a request.
+    /// Records the start of a request; the connection is not idle until it ends.
     pub fn request_started(&self) {
         self.in_flight.set(self.in_flight.get() + 1);
     }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -1,4 +1,4 @@
-//! Startup and shutdown of the listener for callers.
+//! Startup and shutdown of the listener for clients.
 
 use std::future::Future;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -25,9 +25,9 @@
 
 use super::{NodeContext, NodeTable};
 
-/// A bound listener for callers.
+/// A bound listener for clients.
 pub struct EntryListener {
-    /// Address on which callers connect.
+    /// Address on which clients connect.
     pub address: SocketAddr,
     listener: TcpListener,
     server: Arc<EntryServer<HttpEngineClient, NodeTable, HttpServiceClient>>,
@@ -36,7 +36,7 @@
     dispatcher: RequestDispatcher,
 }
 
-/// Binds the listener for callers.
+/// Binds the listener for clients.
 ///
 /// # Errors
 ///
@@ -101,8 +101,8 @@
 ) {
     loop {
         let count = members.borrow_and_update().members.len();
-        let entries = u32::try_from(count).unwrap_or(u32::MAX).max(1);
-        dispatcher.set_entries(entries).await;
+        let entry_nodes = u32::try_from(count).unwrap_or(u32::MAX).max(1);
+        dispatcher.set_entries(entry_nodes).await;
         if members.changed().await.is_err() {
             return;
         }
@@ -198,7 +198,7 @@
             return;
         }
         shutdown.advance(ShutdownPhase::HandingOver);
-        // Without a timeout, a caller that stops reading would prevent the process from ending.
+        // Without a timeout, a client that stops reading would prevent the process from ending.
         let _ = tokio::time::timeout(self.settings.stop_limit(), serving).await;
     }
 }
--- a/src/node/report.rs
+++ b/src/node/report.rs
@@ -224,7 +224,7 @@
 
     /// The minority side of a partition must not accept amendments, since the majority side would
     /// not learn of them. The operator would be told within seconds that the change is in force,
-    /// while most callers are still served with the old configuration.
+    /// while most clients are still served with the old configuration.
     fn amend_unavailable_reason(&self) -> Option<String> {
         // A node that has just started has no heartbeats of other nodes yet and would refuse
         // amendments for no reason.
