--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -12,14 +12,14 @@
 use serving::{GatewayConfig, Route};
 
 use crate::admitted::AdmittedRequest;
-use crate::local_reply::LocalReply;
+use crate::local_response::LocalResponse;
 use crate::node::GatewayNode;
 
 /// Time limit for reading a client's request body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Response to a request that is not admitted, and the reason for the log.
-pub type Rejection = (LocalReply, &'static str);
+pub type Rejection = (LocalResponse, &'static str);
 
 /// Admits a request after its body has been read completely.
 ///
@@ -47,11 +47,11 @@
         .to_ascii_lowercase();
     let route = config
         .route(&host, head.uri.path())
-        .ok_or((LocalReply::NoRoute, "no route matches the host and path"))?;
+        .ok_or((LocalResponse::NoRoute, "no route matches the host and path"))?;
     let key = authenticate(config, route, headers)?;
     let service = route
         .service_for(stable_hash(&headers.id))
-        .ok_or((LocalReply::NoRoute, "route has no service"))?
+        .ok_or((LocalResponse::NoRoute, "route has no service"))?
         .clone();
     let body = read_body(body, config.limits.body_bytes).await?;
     let timeout = headers
@@ -92,7 +92,7 @@
     match key {
         Some(key) => Ok(Some((key.customer.clone(), key.priority))),
         None if route.public => Ok(None),
-        None => Err((LocalReply::Unauthorized, "unknown API key")),
+        None => Err((LocalResponse::Unauthorized, "unknown API key")),
     }
 }
 
@@ -101,9 +101,9 @@
     match tokio::time::timeout(BODY_READ_TIMEOUT, read).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err((LocalReply::BodyTooLarge, "request body too large"))
+            Err((LocalResponse::BodyTooLarge, "request body too large"))
         }
-        Ok(Err(_)) | Err(_) => Err((LocalReply::IncompleteBody, "incomplete request body")),
+        Ok(Err(_)) | Err(_) => Err((LocalResponse::IncompleteBody, "incomplete request body")),
     }
 }
 
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -15,7 +15,7 @@
 
 use crate::admit::admit;
 use crate::admitted::AdmittedRequest;
-use crate::local_reply::LocalReply;
+use crate::local_response::LocalResponse;
 use crate::node::{GatewayNode, RequestGuard};
 use crate::relay::{StreamRelay, StreamSource, StreamTruncated};
 use crate::send::{AttemptOutcome, TargetResponse, send_attempt};
@@ -61,41 +61,48 @@
 ) -> Response<Either<Full<Bytes>, impl Body<Data = Bytes, Error = StreamTruncated> + use<>>> {
     let headers = RequestHeaders::from(request.headers());
     let Some(config) = node.config() else {
-        let reply = LocalReply::NotExecuted(NO_TARGET_RETRY_AFTER);
-        return local_reply(node, &headers, None, reply, "no configuration loaded yet")
-            .map(Either::Left);
+        let response = LocalResponse::NotExecuted(NO_TARGET_RETRY_AFTER);
+        return local_response(
+            node,
+            &headers,
+            None,
+            response,
+            "no configuration loaded yet",
+        )
+        .map(Either::Left);
     };
     let admitted = match admit(node, &config, request, &headers).await {
         Ok(admitted) => admitted,
-        Err((reply, reason)) => {
-            return local_reply(node, &headers, None, reply, reason).map(Either::Left);
+        Err((response, reason)) => {
+            return local_response(node, &headers, None, response, reason).map(Either::Left);
         }
     };
     let admitted = match node.poison_verdict(&admitted) {
         PoisonVerdict::Clear => Rc::new(admitted),
         PoisonVerdict::Suspect => Rc::new(admitted.without_retries()),
         PoisonVerdict::Barred => {
-            let reply = LocalReply::Blocked;
+            let response = LocalResponse::Blocked;
             let reason = "targets crashed while running it";
-            return local_reply(node, &headers, Some(&admitted), reply, reason).map(Either::Left);
+            return local_response(node, &headers, Some(&admitted), response, reason)
+                .map(Either::Left);
         }
     };
     let plan = node.shutdown_plan();
     if plan.is_some_and(|plan| !plan.accepts(admitted.arrived, admitted.deadline)) {
-        let reply = LocalReply::NotExecuted(SHUTDOWN_RETRY_AFTER);
-        return local_reply(
+        let response = LocalResponse::NotExecuted(SHUTDOWN_RETRY_AFTER);
+        return local_response(
             node,
             &headers,
             Some(&admitted),
-            reply,
+            response,
             "node is shutting down",
         )
         .map(Either::Left);
     }
     node.record_arrival(&admitted);
     match run_attempts(node, &config, &admitted).await {
-        Outcome::Local(reply, reason) => {
-            local_reply(node, &headers, Some(&admitted), reply, &reason).map(Either::Left)
+        Outcome::Local(response, reason) => {
+            local_response(node, &headers, Some(&admitted), response, &reason).map(Either::Left)
         }
         Outcome::Buffered(response) => {
             log_response(node, &admitted, &response);
@@ -108,20 +115,20 @@
     }
 }
 
-fn local_reply(
+fn local_response(
     node: &GatewayNode,
     headers: &RequestHeaders,
     admitted: Option<&AdmittedRequest>,
-    reply: LocalReply,
+    response: LocalResponse,
     reason: &str,
 ) -> Response<Full<Bytes>> {
-    let is_not_executed = matches!(reply, LocalReply::NotExecuted(_));
+    let is_not_executed = matches!(response, LocalResponse::NotExecuted(_));
     let code = if is_not_executed {
         EventCode::GatewayRefused
     } else {
         EventCode::RequestFailed
     };
-    let status = reply.status();
+    let status = response.status();
     let mut line = LogLine::new(code)
         .text("request", headers.id.as_ref().map_or("", RequestId::as_str))
         .number("status", u64::from(status.as_u16()))
@@ -138,7 +145,7 @@
             .record_request(admitted.labels(), status, elapsed);
     }
     node.log(&line);
-    reply.response(headers.id.as_ref())
+    response.into_http(headers.id.as_ref())
 }
 
 fn revision(node: &GatewayNode) -> u64 {
@@ -161,7 +168,7 @@
 }
 
 enum Outcome {
-    Local(LocalReply, String),
+    Local(LocalResponse, String),
     Buffered(Response<Full<Bytes>>),
     Stream(Box<StreamSource>),
 }
@@ -191,12 +198,12 @@
         if let Some(response) = self.error_response {
             return Outcome::Buffered(response);
         }
-        let reply = match (self.may_have_run, timed_out) {
-            (false, _) => LocalReply::NotExecuted(retry_after),
-            (true, true) => LocalReply::TimedOut,
-            (true, false) => LocalReply::ResponseLost,
+        let response = match (self.may_have_run, timed_out) {
+            (false, _) => LocalResponse::NotExecuted(retry_after),
+            (true, true) => LocalResponse::TimedOut,
+            (true, false) => LocalResponse::ResponseLost,
         };
-        Outcome::Local(reply, self.last_error)
+        Outcome::Local(response, self.last_error)
     }
 }
 
@@ -348,12 +355,12 @@
                 return None;
             }
             let expired = admitted.time_left(node.now()).is_zero();
-            let reply = if expired {
-                LocalReply::TimedOut
+            let response = if expired {
+                LocalResponse::TimedOut
             } else {
-                LocalReply::ResponseLost
+                LocalResponse::ResponseLost
             };
-            Some(Outcome::Local(reply, state.last_error.clone()))
+            Some(Outcome::Local(response, state.last_error.clone()))
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -12,7 +12,7 @@
 mod heartbeat;
 mod hints;
 mod listen;
-mod local_reply;
+mod local_response;
 mod metrics;
 mod node;
 mod orders;
--- a/crates/gateway/src/local_reply.rs
+++ b/crates/gateway/src/local_response.rs
@@ -9,7 +9,7 @@
 
 /// A final response that does not come from a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LocalReply {
+pub enum LocalResponse {
     /// No route matches the host and path.
     NoRoute,
     /// The route needs an API key, and the request has none or an unknown one.
@@ -29,7 +29,7 @@
     TimedOut,
 }
 
-impl LocalReply {
+impl LocalResponse {
     /// HTTP status code of the response.
     #[must_use]
     pub fn status(self) -> StatusCode {
@@ -47,7 +47,7 @@
     /// Builds the response, with an empty body. `id` is the client's request id, which is echoed in
     /// the headers.
     #[must_use]
-    pub fn response(self, id: Option<&RequestId>) -> Response<Full<Bytes>> {
+    pub fn into_http(self, id: Option<&RequestId>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() = self.status();
         *response.headers_mut() = adapter::headers::local_response_headers(id);
