--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -30,7 +30,7 @@
     }
     print!("{}", node_table(&statuses, access.terminal));
     for node in unreachable {
-        println!("no answer: {node}");
+        println!("no response: {node}");
     }
     println!();
     print!("{}", replica_table(&first, access.terminal));
--- a/tests/system/operator_commands.rs
+++ b/tests/system/operator_commands.rs
@@ -208,7 +208,7 @@
     );
     let status = stdout(&run(&stack, &["status"]));
     assert!(
-        status.contains("e0") && status.contains("no answer"),
+        status.contains("e0") && status.contains("no response"),
         "{status}"
     );
 }
