--- a/crates/events/src/code.rs
+++ b/crates/events/src/code.rs
@@ -33,7 +33,7 @@
             /// All kinds, ordered by number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Returns the stable number.
+            /// Returns the number, which is never reused for another kind.
             #[must_use]
             pub fn number(self) -> u16 {
                 match self {
@@ -57,7 +57,7 @@
                 }
             }
 
-            /// Returns the severity.
+            /// Returns the severity, below which a log may discard the event.
             #[must_use]
             pub fn level(self) -> EventLevel {
                 match self {
--- a/crates/events/src/lines.rs
+++ b/crates/events/src/lines.rs
@@ -25,7 +25,7 @@
 /// Maximum length of a text field in bytes; longer values are truncated.
 const MAX_VALUE_BYTES: usize = 300;
 
-/// Builder for a log line.
+/// Builder for a log line, whose fields are written in the order in which they were added.
 #[derive(Debug)]
 pub struct LogLine {
     code: EventCode,
@@ -33,7 +33,7 @@
 }
 
 impl LogLine {
-    /// Creates a line for an event of this kind.
+    /// Creates a line without fields; the kind determines its level.
     #[must_use]
     pub fn new(code: EventCode) -> Self {
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Adds a text field.
+    /// Adds a text field; a value longer than `MAX_VALUE_BYTES` is truncated.
     #[must_use]
     pub fn text(mut self, name: &str, value: &str) -> Self {
         let end = value
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Adds a numeric field.
+    /// Adds a field that is written as a JSON number.
     #[must_use]
     pub fn number(mut self, name: &str, value: u64) -> Self {
         let _ = write!(self.fields, ",\"{name}\":{value}");
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns the number of dropped lines.
+    /// Returns the number of lines dropped since the sink was created.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
--- a/crates/events/src/metrics.rs
+++ b/crates/events/src/metrics.rs
@@ -157,26 +157,28 @@
         })
     }
 
-    /// Increments the counter of an event.
+    /// Increments the event counter, labelled with the stable name of the kind.
     pub fn count_event(&self, code: EventCode) {
         self.inner
             .events
             .add(1, &[KeyValue::new("event", code.name())]);
     }
 
-    /// Records the time to first token of a request.
+    /// Records the time to first token of a request, labelled with the model; see
+    /// [`MAX_LABEL_VALUES`].
     pub fn record_first_token(&self, model: &str, time: Duration) {
         let labels = [KeyValue::new("model", self.label_value(model))];
         self.inner.first_token.record(time.as_secs_f64(), &labels);
     }
 
-    /// Records the time between two consecutive tokens of a response.
+    /// Records the time between two consecutive tokens of a response, labelled with the model; see
+    /// [`MAX_LABEL_VALUES`].
     pub fn record_token_gap(&self, model: &str, time: Duration) {
         let labels = [KeyValue::new("model", self.label_value(model))];
         self.inner.token_gap.record(time.as_secs_f64(), &labels);
     }
 
-    /// Sets the current value of a gauge.
+    /// Sets a gauge to a value in the unit of its [`NodeGauge`] variant.
     pub fn set_gauge(&self, gauge: NodeGauge, value: f64) {
         self.inner.gauges.get(gauge).record(value, &[]);
     }
--- a/crates/events/src/page.rs
+++ b/crates/events/src/page.rs
@@ -13,7 +13,7 @@
 .t{font-family:monospace;color:#555;white-space:nowrap}.c{font-weight:600}.s{color:#357}\
 .debug{color:#666}.warn{background:#fff3d6}.error{background:#ffd9d6}.missing{color:#a00}";
 
-/// Renders the page.
+/// Renders the timeline; nodes whose events are missing are listed above the table.
 #[must_use]
 pub fn timeline_page(view: &TimelineView) -> String {
     let columns = column_indices(view);
--- a/crates/events/src/record.rs
+++ b/crates/events/src/record.rs
@@ -9,7 +9,7 @@
 /// Entities that an event relates to; any combination may be set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventSubject {
-    /// Id of the request.
+    /// Request that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
     /// Customer whose request it is.
@@ -27,7 +27,7 @@
 }
 
 impl EventSubject {
-    /// Creates the subject of an event about a request.
+    /// Creates a subject with only the request set.
     #[must_use]
     pub fn request(request: &RequestId) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Creates the subject of an event about a replica.
+    /// Creates a subject with only the replica set.
     #[must_use]
     pub fn replica(replica: &ReplicaId) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Creates the subject of an event about a host.
+    /// Creates a subject with only the host set.
     #[must_use]
     pub fn host(host: &HostId) -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Creates the subject of an event about a lease.
+    /// Creates a subject with only the lease set.
     #[must_use]
     pub fn lease(lease: &LeaseName) -> Self {
         Self {
@@ -75,21 +75,21 @@
         ]
     }
 
-    /// Adds the customer.
+    /// Sets the customer and keeps the other fields.
     #[must_use]
     pub fn with_customer(mut self, customer: &CustomerId) -> Self {
         self.customer = Some(customer.clone());
         self
     }
 
-    /// Adds the replica.
+    /// Sets the replica and keeps the other fields.
     #[must_use]
     pub fn with_replica(mut self, replica: &ReplicaId) -> Self {
         self.replica = Some(replica.clone());
         self
     }
 
-    /// Adds the host.
+    /// Sets the host and keeps the other fields.
     #[must_use]
     pub fn with_host(mut self, host: &HostId) -> Self {
         self.host = Some(host.clone());
@@ -97,7 +97,7 @@
     }
 }
 
-/// A recorded event.
+/// An event as kept in the ring buffer and returned by the admin API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
     /// Node whose process recorded the event.
@@ -108,7 +108,7 @@
     /// Time of the event, on the hybrid logical clock of the process.
     #[serde(rename = "stamp")]
     pub timestamp: HybridTimestamp,
-    /// Kind of the event.
+    /// Kind of the event, which determines its severity.
     pub code: EventCode,
     /// Entities that the event relates to.
     pub subject: EventSubject,
--- a/crates/events/src/recorder.rs
+++ b/crates/events/src/recorder.rs
@@ -71,7 +71,8 @@
         self.inner.metrics.as_ref()
     }
 
-    /// Records an event with a description of what happened.
+    /// Records an event; `detail` says what happened and may be empty. If the buffer is full, its
+    /// oldest event is dropped.
     pub fn record(&self, code: EventCode, subject: EventSubject, detail: impl Into<String>) {
         let event = self.store(code, subject, detail.into());
         log_event(&event);
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Records that the connection to a target broke while it ran a request. `ran` is the time since
-/// the response began, `None` if it had not.
+/// Records that the connection to a target broke while it ran a request. `response_age` is the
+/// time since the response began, `None` if it had not.
 pub fn record_interrupted(
     node: &Rc<GatewayNode>,
     request: &AdmittedRequest,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -96,11 +96,11 @@
 type ReadStat = fn(&NodeStats) -> f64;
 
 impl GatewayMetrics {
-    /// Creates the instruments.
+    /// Creates the instruments with their own registry.
     ///
     /// # Errors
     ///
-    /// [`MetricsError::Exporter`].
+    /// [`MetricsError::Exporter`] if the exporter can't be created.
     pub fn new() -> Result<Self, MetricsError> {
         let (registry, provider) = build_exporter()?;
         let meter = provider.meter("bramleyspring");
@@ -146,7 +146,7 @@
             .record(held.as_secs_f64(), &labels.key_values());
     }
 
-    /// Records the outcome of an attempt.
+    /// Counts an attempt by service and outcome.
     pub fn record_attempt(&self, service: &str, outcome: &'static str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
@@ -184,7 +184,7 @@
     ///
     /// # Errors
     ///
-    /// [`MetricsError::Encoder`].
+    /// [`MetricsError::Encoder`] if encoding fails.
     pub fn encode(&self, stats: &NodeStats) -> Result<String, MetricsError> {
         for (gauge, read_stat) in &self.gauges {
             gauge.record(read_stat(stats), &[]);
--- a/crates/gateway/src/node/loads.rs
+++ b/crates/gateway/src/node/loads.rs
@@ -15,7 +15,7 @@
         self.loads.borrow().get(id).copied().unwrap_or_default()
     }
 
-    /// Updates the load of a target.
+    /// Calls `change` with the load of a target, created at its first use.
     pub fn with_load(&self, id: &HostId, change: impl FnOnce(&mut TargetLoad)) {
         change(self.loads.borrow_mut().entry(id.clone()).or_default());
     }
--- a/crates/gateway/src/node/process.rs
+++ b/crates/gateway/src/node/process.rs
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// [`MetricsError::Encoder`].
+    /// [`MetricsError::Encoder`] if encoding fails.
     pub fn metrics_text(&self) -> Result<String, MetricsError> {
         self.metrics.encode(&self.stats())
     }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -140,7 +140,7 @@
 pub struct PlannedOrder {
     /// Engine that gets the order.
     pub host: HostId,
-    /// The order itself.
+    /// Order to send, resent unchanged until it is settled.
     pub order: HostOrder,
     /// Membership that the engine must still have, as replica and epoch; `None` for no replica.
     pub expected: Option<(ReplicaId, u64)>,
--- a/crates/gateway/src/reconcile/mod.rs
+++ b/crates/gateway/src/reconcile/mod.rs
@@ -158,13 +158,13 @@
         let bootstrapping = self.node.is_bootstrapping();
         let fleet_replicas = self.node.live_replica_counts(service);
         for (fabric, hosts) in &self.planned_hosts(service, all_fabrics) {
-            let Some(domain_layout) = layout.get(fabric) else {
+            let Some(fabric_layout) = layout.get(fabric) else {
                 continue;
             };
             let planned = self.node.with_never_reopen(|replicas| {
                 plan_fabric(&FabricState {
                     models: &service.models,
-                    desired: domain_layout,
+                    desired: fabric_layout,
                     hosts,
                     fleet_replicas: &fleet_replicas,
                     never_reopen: replicas,
@@ -177,7 +177,7 @@
             if !planned.is_empty() || !store_outage::is_settled(hosts) {
                 self.has_work.set(true);
             }
-            // The registry data for the domain may be out of date.
+            // The registry data for the fabric domain may be out of date.
             let is_fresh = !self.node.is_registry_stale()
                 || self.refresh_fabric(fabric, hosts, !planned.is_empty());
             if !is_fresh {
--- a/crates/gateway/src/reconcile/ranks.rs
+++ b/crates/gateway/src/reconcile/ranks.rs
@@ -1,5 +1,5 @@
-//! Order in which nodes act for a fabric domain, and the desired layout of each domain; both cached
-//! between plans.
+//! Order in which nodes act for a fabric domain, and the desired layout of each fabric domain; both
+//! cached between plans.
 //!
 //! With a hundred nodes and as many fabric domains, computing ranks and layouts for every plan took
 //! a seventh of a core per node, or a thirtieth on ten machines. Ranks change only with the set of
@@ -37,7 +37,7 @@
 }
 
 impl NodeRanks {
-    /// Number of nodes that act for the domain before this one.
+    /// Number of nodes that act for the fabric domain before this one.
     pub fn rank(&mut self, node: &GatewayNode, fabric: &FabricId) -> usize {
         if self.generation != node.nodes_generation() {
             self.generation = node.nodes_generation();
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -40,7 +40,7 @@
     },
 }
 
-/// A stream of tokens.
+/// The events of a stream, in the order in which the engine sends them.
 pub trait TokenStream: Send + 'static {
     /// Returns the next event; none at the end of the response, even if the engine sent no
     /// [`StreamEvent::Done`] before.
@@ -71,7 +71,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<EngineState, ClientError>> + Send;
 
-    /// Sends an order to an engine.
+    /// Sends an order to an engine. A rejection because of a stale fencing token is not an error.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<OrderOutcome, ClientError>> + Send;
 
-    /// Starts a stream.
+    /// Starts a stream; `timeout` limits the wait for the response head only.
     ///
     /// # Errors
     ///
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -27,7 +27,7 @@
     pub customer: CustomerId,
     /// `Content-Type` header; none if the request had none.
     pub content_type: Option<HeaderValue>,
-    /// Request body.
+    /// Request body, sent to the service unchanged.
     pub body: Bytes,
 }
 
@@ -45,11 +45,11 @@
 /// Response of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
-    /// HTTP status code.
+    /// HTTP status code, of a success or a failure.
     pub status: StatusCode,
     /// `Content-Type` header, or `application/octet-stream` if it is missing or not text.
     pub content_type: String,
-    /// Complete response body.
+    /// Complete response body, at most [`MAX_RESPONSE_BYTES`] long.
     pub body: Bytes,
 }
 
--- a/crates/web/src/connection.rs
+++ b/crates/web/src/connection.rs
@@ -1,4 +1,4 @@
-//! A single HTTP/1.1 connection to a server, for users that manage their own connection pool.
+//! A single HTTP/1.1 connection to a server, for code that manages its own connection pool.
 //!
 //! A general-purpose pool hides which connection a response arrived on, whether a request was written
 //! at all, and when a connection is dropped. All three matter for requests that must not run twice.
--- a/crates/web/src/response.rs
+++ b/crates/web/src/response.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Builds a response with a plain text body.
+/// Builds a response with a plain text body in UTF-8.
 #[must_use]
 pub fn text_response(status: StatusCode, text: &str) -> WebResponse {
     bytes_response(
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -60,7 +60,7 @@
     pub token: WriteToken,
 }
 
-/// Result of an amendment.
+/// Response to an [`AmendRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum AmendResponse {
@@ -182,7 +182,7 @@
 }
 
 impl ReplicaState {
-    /// Returns the name of the state.
+    /// Returns the name of the state in lower case, as in the JSON format.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/wire/src/table.rs
+++ b/crates/wire/src/table.rs
@@ -14,7 +14,7 @@
 /// Header with the token of the batch that last wrote a row.
 pub const WRITE_TOKEN_HEADER: &str = "x-write-token";
 
-/// A row of the table.
+/// A row of the table, in a scan or a conflict.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RowBody {
     /// Key of the row.
@@ -56,7 +56,7 @@
     pub change: ChangeBody,
 }
 
-/// Condition on a row.
+/// Condition on a row before the batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "lowercase")]
 pub enum ExpectBody {
@@ -71,7 +71,7 @@
     },
 }
 
-/// Change of a row.
+/// What a batch does to a row if all its conditions hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "lowercase")]
 pub enum ChangeBody {
--- a/src/client.rs
+++ b/src/client.rs
@@ -59,7 +59,7 @@
 }
 
 impl AdminClient {
-    /// Creates a client.
+    /// Creates a client that tries the nodes in the order given.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
         self.call_first_reachable(Method::GET, &path, NO_BODY).await
     }
 
-    /// Reads one record.
+    /// Reads one record; [`AdminError::RecordNotFound`] if there is none.
     pub async fn record(&self, kind: RecordKind, name: &str) -> Result<RecordBody, AdminError> {
         let path = format!("/records/{}/{name}", kind.as_str());
         self.call_first_reachable(Method::GET, &path, NO_BODY).await
@@ -154,12 +154,12 @@
         }
     }
 
-    async fn call_first_reachable<Q: Serialize, A: DeserializeOwned>(
+    async fn call_first_reachable<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Option<&Q>,
-    ) -> Result<A, AdminError> {
+    ) -> Result<R, AdminError> {
         let mut last_error = AdminError::Unreachable("no address is given".to_owned());
         for address in &self.nodes {
             match self.call(*address, method.clone(), path, body).await {
@@ -170,13 +170,13 @@
         Err(last_error)
     }
 
-    async fn call<Q: Serialize, A: DeserializeOwned>(
+    async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         method: Method,
         path: &str,
         body: Option<&Q>,
-    ) -> Result<A, AdminError> {
+    ) -> Result<R, AdminError> {
         let lost = |_| AdminError::ResponseLost(address);
         let mut request = json_request(method, address, path, body).map_err(lost)?;
         request
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -14,7 +14,7 @@
 use super::peers::PeerTasks;
 use super::report::StatusReporter;
 
-/// A bound admin listener.
+/// A bound admin listener, which is not served until [`start`].
 pub struct AdminListener {
     /// Address on which operators connect.
     pub address: SocketAddr,
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -25,7 +25,7 @@
 
 use super::{NodeContext, NodeTable};
 
-/// A bound listener for clients.
+/// A bound listener for clients, which is not served until [`EntryListener::serve`].
 pub struct EntryListener {
     /// Address on which clients connect.
     pub address: SocketAddr,
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -19,7 +19,7 @@
 
 use super::{NodeContext, NodeTable};
 
-/// A bound listener for peers, with the state that is exchanged with them.
+/// A bound listener for peers, with the state that is exchanged with them once it is started.
 pub struct PeerListener {
     listener: TcpListener,
     membership: SharedMembership,
@@ -173,7 +173,7 @@
         &self.gossip.traffic
     }
 
-    /// Returns the membership.
+    /// Returns the membership, as known from links and the table.
     pub fn membership(&self) -> &SharedMembership {
         &self.gossip.membership
     }
--- a/src/output.rs
+++ b/src/output.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds a row.
+    /// Adds a row below the others; it may have fewer cells than the header.
     pub fn row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
