--- a/crates/entry/src/services/claimed.rs
+++ b/crates/entry/src/services/claimed.rs
@@ -235,7 +235,7 @@
             if found.executions == 0 || !is_own && !call.resolved.sole_customer {
                 continue;
             }
-            let response = found.answer.unwrap_or(serde_json::Value::Null);
+            let response = found.response.unwrap_or(serde_json::Value::Null);
             return Some(ServiceResponse {
                 status: StatusCode::OK,
                 content_type: "application/json".to_owned(),
--- a/crates/entry/tests/request_path/fake_service.rs
+++ b/crates/entry/tests/request_path/fake_service.rs
@@ -109,7 +109,7 @@
             key: lookup.key.clone(),
             customer: Some(lookup.customer.clone()),
             executions: executions as u64,
-            answer: Some(serde_json::json!("found")),
+            response: Some(serde_json::json!("found")),
         })
     }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -80,7 +80,7 @@
             key: self.key.clone(),
             customer: self.customer.clone(),
             executions: 0,
-            answer: None,
+            response: None,
         }
     }
 }
@@ -120,7 +120,7 @@
         let initial = id.never_executed();
         let entry = self.entries.entry(id).or_insert(initial);
         entry.executions += 1;
-        entry.answer = Some(response);
+        entry.response = Some(response);
     }
 
     /// Reads the lines that were appended, by this and other instances, since the last call.
--- a/crates/standin/tests/load_plan.rs
+++ b/crates/standin/tests/load_plan.rs
@@ -72,7 +72,7 @@
                 key: key.to_owned(),
                 customer: None,
                 executions,
-                answer: None,
+                response: None,
             });
         }
     }
--- a/crates/wire/src/service.rs
+++ b/crates/wire/src/service.rs
@@ -27,7 +27,8 @@
     /// How often the call was run.
     pub executions: u64,
     /// Response of the call; none if it did not run.
-    pub answer: Option<serde_json::Value>,
+    #[serde(rename = "answer")]
+    pub response: Option<serde_json::Value>,
 }
 
 /// Current load of a service instance.
