--- a/crates/serving/src/plan/counts.rs
+++ b/crates/serving/src/plan/counts.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Counts a replica that serves, forms or closes.
+    /// Counts a replica that serves, forms or closes. With an unknown model only its hosts count.
     pub fn add_existing(
         &mut self,
         model: Option<&'a ModelConfig>,
@@ -40,7 +40,6 @@
         }
     }
 
-    /// Counts a replica that the plan forms.
     pub fn add_formed(&mut self, model: &'a ModelConfig) {
         *self.current.entry(&model.name).or_default() += 1;
         *self.formed.entry(&model.name).or_default() += 1;
@@ -51,7 +50,7 @@
         self.members.contains_key(host)
     }
 
-    /// Returns whether a host is in an existing replica of a model.
+    /// Returns whether a host is in an existing replica that is known to have this model.
     pub fn is_member_of(&self, host: &HostId, model: &ModelName) -> bool {
         self.members.get(host) == Some(&Some(model))
     }
@@ -61,7 +60,6 @@
         self.current.get(model).copied().unwrap_or(0)
     }
 
-    /// Returns the number of replicas of a model that the domain should have.
     pub fn desired(&self, model: &ModelName) -> usize {
         self.fabric.desired.get(model).copied().unwrap_or(0)
     }
--- a/crates/serving/src/plan/coverage.rs
+++ b/crates/serving/src/plan/coverage.rs
@@ -13,13 +13,11 @@
 pub(super) struct Coverage(f64);
 
 impl Coverage {
-    /// Returns the coverage of a model with the given number of replicas.
     pub fn of(model: &ModelConfig, replicas: usize) -> Self {
         let hosts = u32::try_from(replicas * model.size).unwrap_or(u32::MAX);
         Self(f64::from(hosts) / model.share.max(MIN_SHARE))
     }
 
-    /// Returns the coverage as a number.
     pub fn hosts_per_share(self) -> f64 {
         self.0
     }
