--- a/crates/control/src/config/poll.rs
+++ b/crates/control/src/config/poll.rs
@@ -109,12 +109,12 @@
     async fn maintain_snapshots(&self, published: &mut ConfigRevision) {
         let every = self.settings.snapshot_every.max(1);
         let revision = self.config.status().revision;
-        let turn = revision.0 / every;
-        if turn == published.0 / every {
+        let snapshot_number = revision.0 / every;
+        if snapshot_number == published.0 / every {
             return;
         }
         let view = self.members.view(Instant::now());
-        let chosen = view.choose(&format!("snapshot.{turn}"));
+        let chosen = view.choose(&format!("snapshot.{snapshot_number}"));
         if chosen.is_some_and(|node| *node != *self.members.node()) {
             *published = revision;
             return;
