--- a/crates/control/src/assembly/controller.rs
+++ b/crates/control/src/assembly/controller.rs
@@ -40,7 +40,7 @@
     pub targets: Option<watch::Receiver<Arc<TargetView>>>,
     /// The host list.
     pub directory: watch::Receiver<Arc<HostDirectory>>,
-    /// The active configuration.
+    /// The configuration in force.
     pub config: watch::Receiver<Arc<ConfigView>>,
     /// Recorder of the assembly events.
     pub recorder: EventRecorder,
