--- a/crates/policy/examples/compare/main.rs
+++ b/crates/policy/examples/compare/main.rs
@@ -1,4 +1,5 @@
-//! Prints tables that compare each decision with its baselines under fixed seeds.
+//! Prints the tables of docs/DECISIONS.md, which compare each decision with its baselines under
+//! fixed seeds.
 //!
 //! Arguments are names of tables; only these are printed.
 
--- a/crates/policy/src/placement/request.rs
+++ b/crates/policy/src/placement/request.rs
@@ -21,7 +21,7 @@
     ///
     /// Choosing the best of a few samples spreads requests, so that delayed reports don't make
     /// every entry send to the same idle target. The `placement` table of the `compare` example has
-    /// the figures for other values.
+    /// the figures for other values; docs/DECISIONS.md shows it.
     #[builder(default = 4)]
     pub samples: usize,
     /// Assumed prefill rate in prompt tokens per second of a target whose rate is unknown.
--- a/tests/gateway/failure_diagnosis.rs
+++ b/tests/gateway/failure_diagnosis.rs
@@ -1,4 +1,4 @@
-//! Diagnosing a failed request by its id, from the log alone.
+//! Diagnosing a failed request by its id, from the log alone, as docs/OPERATIONS.md describes.
 
 use http::StatusCode;
 use standin::site::ServiceMode;
